--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -43,14 +43,14 @@
 /// Answers another instance.
 fn answer(gateway: &Gateway, report: Report) -> News {
     let now = gateway.clock.now();
-    let knowledge = &gateway.knowledge;
+    let cluster_state = &gateway.cluster_state;
     let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let asks = report.asks;
-    knowledge.told_of(now, report.version);
+    cluster_state.told_of(now, report.version);
     let changes = if report.wants_intent {
-        knowledge.changes_since(report.version)
+        cluster_state.changes_since(report.version)
     } else {
-        knowledge.small_changes_since(report.version, INTENT_PASSED_ON)
+        cluster_state.small_changes_since(report.version, INTENT_PASSED_ON)
     };
     let (instances, is_news) = {
         let mut candidates = lock(&gateway.peers.candidates);
@@ -83,7 +83,7 @@
         gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
     }
     let sums = sums(gateway, now);
-    let told = knowledge.list_told(now, report.list);
+    let told = cluster_state.list_told(now, report.list);
     News {
         loads: sums.loads.clone(),
         silent: sums.silent.clone(),
@@ -91,13 +91,15 @@
         run: gateway.peers.run,
         servers_end: gateway.suspicion.is_alert(now),
         verdicts: verdicts(gateway, now, asks),
-        version: knowledge.version(),
+        version: cluster_state.version(),
         changes,
-        confirmed: knowledge.with_watch(|watch| watch.confirmed()).map(|confirmed| ConfirmedAgo {
-            age_ms: millis(now.saturating_duration_since(confirmed.at)),
-            store: confirmed.store,
+        confirmed: cluster_state.with_watch(|watch| watch.confirmed()).map(|confirmed| {
+            ConfirmedAgo {
+                age_ms: millis(now.saturating_duration_since(confirmed.at)),
+                store: confirmed.store,
+            }
         }),
-        orders: knowledge.orders_told(),
+        orders: cluster_state.orders_told(),
         rollout_states: gateway.rollouts.told(now),
         list: told.news,
         list_age_ms: told.age.map(millis),
@@ -117,7 +119,7 @@
 
 /// Returns the age of the list of servers, for log lines; -1 where there is none.
 fn age_ms(gateway: &Gateway, now: Instant) -> i64 {
-    let age = gateway.knowledge.servers_age(now);
+    let age = gateway.cluster_state.servers_age(now);
     age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
 }
 
@@ -146,7 +148,7 @@
     let mut aggregate = lock(&gateway.peers.aggregate);
     aggregate.take(now, gateway.settings.node.clone(), own_counts);
     gateway
-        .knowledge
+        .cluster_state
         .with_servers(|roster| aggregate.summary(now, roster.servers().map(|server| &**server)))
 }
 
--- a/src/gateway/knowledge.rs
+++ b/src/gateway/cluster_state.rs
@@ -32,7 +32,7 @@
 }
 
 /// An instance's beliefs.
-pub struct Knowledge {
+pub struct ClusterState {
     current: ArcSwapOption<Intent>,
     in_force: Mutex<IntentInForce>,
     roster: Mutex<Roster>,
@@ -51,11 +51,11 @@
     became_complete: Condvar,
 }
 
-impl Knowledge {
+impl ClusterState {
     /// Returns the beliefs of an instance that knows nothing; changes of the intent are to be in force
     /// within `bound`.
-    pub fn new(bound: Duration) -> Knowledge {
-        Knowledge {
+    pub fn new(bound: Duration) -> ClusterState {
+        ClusterState {
             current: ArcSwapOption::empty(),
             in_force: Mutex::default(),
             roster: Mutex::default(),
--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -83,7 +83,7 @@
 
     /// Returns what the servers of a service bear while they are cold, if that is little.
     pub(super) fn cold_terms(&self, service: &ServiceName) -> Option<ColdTerms> {
-        self.knowledge.intent()?.services.get(service)?.cold
+        self.cluster_state.intent()?.services.get(service)?.cold
     }
 
     fn ask_permit(&self, ask: &PermitAsk) -> Permit {
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -70,7 +70,7 @@
 /// Serves a connection as long as one request closely follows the other.
 pub fn serve(gateway: &Gateway, mut conn: Conn) -> Served {
     // An instance that has just started knows enough within some hundredths of a second.
-    gateway.knowledge.wait_complete(START_PATIENCE);
+    gateway.cluster_state.wait_complete(START_PATIENCE);
     loop {
         conn.give_back_buffer();
         match conn.first_byte(gateway.clock.now() + BUSY) {
@@ -91,13 +91,13 @@
 
 /// Returns until when a caller's connection may wait for its next request that has been idle since then.
 pub fn idle_until(gateway: &Gateway, since: Instant) -> Instant {
-    let idle_time = gateway.knowledge.idle_time();
+    let idle_time = gateway.cluster_state.idle_time();
     since + if idle_time.is_zero() { IDLE_TIME_FIRST } else { idle_time }
 }
 
 /// Serves one request.
 fn serve_one(gateway: &Gateway, conn: &mut Conn) -> After {
-    let intent = gateway.knowledge.intent();
+    let intent = gateway.cluster_state.intent();
     let limits = intent.as_ref().map(|intent| &intent.limits);
     let head_bytes = limits.map_or(HEAD_BYTES_FIRST, |limits| limits.head_bytes);
     let head_time = limits.map_or(HEAD_TIME_FIRST, |limits| limits.head_time);
@@ -189,7 +189,7 @@
         let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", super::reply::CALLER_STALL);
     }
     let mut reader = BodyReader::new(framing);
-    let idle = gateway.knowledge.idle_time().max(IDLE_TIME_FIRST);
+    let idle = gateway.cluster_state.idle_time().max(IDLE_TIME_FIRST);
     let mut body = Vec::new();
     loop {
         let piece = match reader.next_by(conn, |conn| conn.fill_beside(began + idle, None)) {
@@ -245,8 +245,8 @@
                  version_age_ms={}",
                 own.status.as_u16(),
                 own.reason,
-                gateway.knowledge.version(),
-                gateway.knowledge.intent_age(began).map_or(-1, |age| age.as_millis() as i64)
+                gateway.cluster_state.version(),
+                gateway.cluster_state.intent_age(began).map_or(-1, |age| age.as_millis() as i64)
             );
             Ended { done: Some(done_of(&own, keep)), service: String::new() }
         }
@@ -292,8 +292,8 @@
         now.saturating_duration_since(request.began).as_millis(),
         request.route.target_latency.as_millis(),
         request.version,
-        millis(gateway.knowledge.intent_age(now)),
-        millis(gateway.knowledge.servers_age(now)),
+        millis(gateway.cluster_state.intent_age(now)),
+        millis(gateway.cluster_state.servers_age(now)),
     );
 }
 
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -46,7 +46,7 @@
         thread::sleep(pause);
         // Drawn, so that instances that started together do not call together.
         pause = TABLE_PERIOD.mul_f64(1.0 - 0.5 * fastrand::f64());
-        let known = gateway.knowledge.with_watch(|watch| watch.confirmed());
+        let known = gateway.cluster_state.with_watch(|watch| watch.confirmed());
         if known.is_some_and(|known| known.store.era > era) && !gateway.drain.is_draining() {
             // The store has come back from a copy, which may lack the row.
             era = announce_until_done(gateway);
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -21,7 +21,7 @@
 /// Keeps the intent fresh until the process ends: follows it in the store where others rely on this
 /// instance, and looks there only when their news stop where it relies on others.
 pub fn run(gateway: &Arc<Gateway>) {
-    let knowledge = &gateway.knowledge;
+    let cluster_state = &gateway.cluster_state;
     loop {
         let now = gateway.clock.now();
         if start::waits(gateway, now) {
@@ -32,16 +32,16 @@
         gateway.refresh_orders();
         rollout_keeper::spawn_if_due(gateway);
         let role = gateway.peers.watch_role(now);
-        match knowledge.with_watch(|watch| watch.next(now, &role)) {
+        match cluster_state.with_watch(|watch| watch.next(now, &role)) {
             WatchStep::Pause(time) => thread::sleep(time),
-            WatchStep::Wait(longest) => knowledge.wait_told(longest),
+            WatchStep::Wait(longest) => cluster_state.wait_told(longest),
             WatchStep::Read => read_step(gateway, || read(gateway)),
             WatchStep::Follow { after, wait } => {
                 read_step(gateway, || follow(gateway, after, wait));
             }
             WatchStep::Ask => {
                 peers::catch_up(gateway);
-                knowledge.with_watch(|watch| watch.asked(gateway.clock.now(), &role));
+                cluster_state.with_watch(|watch| watch.asked(gateway.clock.now(), &role));
             }
         }
     }
@@ -51,34 +51,34 @@
     let began = gateway.clock.now();
     match step() {
         Ok(()) => {
-            gateway.knowledge.with_watch(|watch| watch.store_read(gateway.clock.now()));
+            gateway.cluster_state.with_watch(|watch| watch.store_read(gateway.clock.now()));
         }
         Err(StoreFault::HistoryGone) => {
             // Whatever was missed is read whole.
             log::info!("event=history_gone table={INTENT_TABLE}");
-            gateway.knowledge.with_watch(|watch| watch.history_gone());
+            gateway.cluster_state.with_watch(|watch| watch.history_gone());
         }
         Err(fault) => {
             let took = gateway.clock.now().saturating_duration_since(began);
             log::warn!(
                 "event=intent_unread took_ms={} version={} reason={:?}",
                 took.as_millis(),
-                gateway.knowledge.version(),
+                gateway.cluster_state.version(),
                 fault.to_string()
             );
             gateway.store_failed("intent", &fault);
-            gateway.knowledge.with_watch(|watch| watch.store_failed());
+            gateway.cluster_state.with_watch(|watch| watch.store_failed());
         }
     }
 }
 
 fn tell_overdue(gateway: &Gateway, now: Instant) {
     let (behind, newest) =
-        gateway.knowledge.with_watch(|watch| (watch.take_overdue(now), watch.newest()));
+        gateway.cluster_state.with_watch(|watch| (watch.take_overdue(now), watch.newest()));
     if let Some(behind) = behind {
         log::warn!(
             "event=intent_out_of_date version={} newest={newest} for_ms={}",
-            gateway.knowledge.version(),
+            gateway.cluster_state.version(),
             behind.as_millis()
         );
     }
@@ -93,7 +93,7 @@
     let at = gateway.clock.now();
     let rows = gateway.store.rows(INTENT_TABLE)?;
     let told = ToldOrders::read(rows.version, orders::decode(&rows.rows));
-    gateway.knowledge.offer_orders(at, told);
+    gateway.cluster_state.offer_orders(at, told);
     take(gateway, &rows, at);
     Ok(())
 }
@@ -104,7 +104,7 @@
 ///
 /// The store cannot be read.
 pub fn look(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
-    match gateway.knowledge.with_watch(|watch| watch.confirmed()) {
+    match gateway.cluster_state.with_watch(|watch| watch.confirmed()) {
         Some(confirmed) => follow(gateway, confirmed.store, Duration::ZERO),
         None => read(gateway),
     }
@@ -116,13 +116,13 @@
 ///
 /// The store cannot be read.
 pub fn look_at_orders(gateway: &Gateway) -> Result<(), StoreFault> {
-    let Some(confirmed) = gateway.knowledge.with_watch(|watch| watch.confirmed()) else {
+    let Some(confirmed) = gateway.cluster_state.with_watch(|watch| watch.confirmed()) else {
         // One that knows nothing yet serves nobody.
         return Ok(());
     };
     let rows = gateway.store.changes(INTENT_TABLE, confirmed.store, Duration::ZERO)?;
     let changes = orders::decode(&rows.rows);
-    gateway.knowledge.follow_orders(gateway.clock.now(), rows.version, changes);
+    gateway.cluster_state.follow_orders(gateway.clock.now(), rows.version, changes);
     gateway.refresh_orders();
     Ok(())
 }
@@ -132,7 +132,7 @@
     let rows = gateway.store.changes(INTENT_TABLE, after, wait)?;
     // A reply without changes came when the wait was over, so nothing had changed until then.
     let changes = orders::decode(&rows.rows);
-    gateway.knowledge.follow_orders(began, rows.version, changes);
+    gateway.cluster_state.follow_orders(began, rows.version, changes);
     let unchanged = rows.rows.is_empty() && gateway.clock.now() >= began + wait;
     take(gateway, &rows, if unchanged { began + wait } else { began });
     Ok(())
@@ -140,13 +140,13 @@
 
 /// Takes the intent among rows that were current at `at`, and hands on what is new of it and of operators' orders.
 fn take(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
-    let before = gateway.knowledge.version();
+    let before = gateway.cluster_state.version();
     let orders_changed = gateway.refresh_orders();
     let confirmed = Confirmed { at, store: rows.version };
     let is_intent = |row: &&StoreRow| row.key == INTENT_KEY && !row.removed;
     let is_newer = match rows.rows.iter().rev().find(is_intent) {
         None => {
-            gateway.knowledge.confirm(gateway.knowledge.version(), confirmed);
+            gateway.cluster_state.confirm(gateway.cluster_state.version(), confirmed);
             false
         }
         Some(row) => take_row(gateway, row, confirmed),
@@ -162,7 +162,7 @@
     let began = gateway.clock.now();
     match intent::decode(&row.value) {
         Ok(decoded) => {
-            let is_newer = gateway.knowledge.offer_intent(decoded, confirmed);
+            let is_newer = gateway.cluster_state.offer_intent(decoded, confirmed);
             if is_newer {
                 log_in_force(gateway, "store", row.value.len(), began);
             }
@@ -170,7 +170,7 @@
         }
         Err(fault) => {
             log::error!("event=intent_skipped source=store reason={fault}");
-            gateway.knowledge.with_watch(|watch| watch.seen(confirmed.store));
+            gateway.cluster_state.with_watch(|watch| watch.seen(confirmed.store));
             false
         }
     }
@@ -182,7 +182,7 @@
         return;
     }
     let began = gateway.clock.now();
-    match gateway.knowledge.offer_changes(changes) {
+    match gateway.cluster_state.offer_changes(changes) {
         Ok(true) => {
             let bytes = changes.iter().map(|change| change.len()).sum();
             log_in_force(gateway, "peer", bytes, began);
@@ -193,7 +193,7 @@
 }
 
 fn log_in_force(gateway: &Gateway, source: &str, bytes: usize, began: Instant) {
-    let Some(intent) = gateway.knowledge.intent() else { return };
+    let Some(intent) = gateway.cluster_state.intent() else { return };
     gateway.metrics.revision(intent.version);
     let took = gateway.clock.now().saturating_duration_since(began);
     log::warn!(
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,11 @@
 //! A running instance on a platform that lists backend servers and keeps the operator's intent.
 //!
 //! `connection` reads a caller's request, `forward` finds it a backend server and answers it,
-//! `stream` passes events on; `intent_reader`, `roster_reader` and `peers` keep `knowledge` fresh;
+//! `stream` passes events on; `intent_reader`, `roster_reader` and `peers` keep `cluster_state` fresh;
 //! `instance_table` tells instances of each other.
 
 pub mod answering;
+pub mod cluster_state;
 pub mod cold_permits;
 pub mod connection;
 pub mod drain;
@@ -15,7 +16,6 @@
 pub mod held_table;
 pub mod instance_table;
 pub mod intent_reader;
-pub mod knowledge;
 pub mod list_read;
 mod listeners;
 pub mod log_sink;
@@ -51,7 +51,7 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cold_permits::ColdPermits, drain::Drain, flight::Flight, knowledge::Knowledge,
+    cluster_state::ClusterState, cold_permits::ColdPermits, drain::Drain, flight::Flight,
     list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, settings::GatewaySettings, skipped_log::SkippedLog,
     suspicion::Suspicion,
@@ -82,7 +82,7 @@
     /// The platform's store.
     pub store: Store,
     /// What is believed of intent and servers.
-    pub knowledge: Knowledge,
+    pub cluster_state: ClusterState,
     /// Loads and health of servers.
     pub picker: Mutex<Picker>,
     /// Kept connections to servers.
@@ -125,7 +125,7 @@
             metrics: metrics.clone(),
             store: open_store(&settings, clock, metrics.clone(), &store_share),
             store_share,
-            knowledge: Knowledge::new(settings.bounds.intent_in_force),
+            cluster_state: ClusterState::new(settings.bounds.intent_in_force),
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
@@ -227,14 +227,14 @@
 
     /// Returns how many connections a server of `service` takes from all instances.
     pub fn connections_of(&self, service: &ServiceName) -> u32 {
-        let intent = self.knowledge.intent();
+        let intent = self.cluster_state.intent();
         let spec = intent.as_ref().and_then(|intent| intent.services.get(service));
         spec.map_or(CONNECTIONS_UNKNOWN, |spec| spec.max_connections)
     }
 
     /// Takes over a changed list of servers.
     pub fn servers_changed(&self) {
-        let known: HashSet<Incarnation> = self.knowledge.with_servers(|roster| {
+        let known: HashSet<Incarnation> = self.cluster_state.with_servers(|roster| {
             let mut picker = lock(&self.picker);
             picker.set_servers(self.clock.now(), roster.servers());
             picker.set_cold(roster.cold());
@@ -245,7 +245,7 @@
 
     /// Takes what was read or told of operators' orders.
     pub fn take_orders(&self, told: ToldOrders, source: &str) {
-        if self.knowledge.offer_orders(self.clock.now(), told) && self.refresh_orders() {
+        if self.cluster_state.offer_orders(self.clock.now(), told) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
     }
@@ -254,7 +254,7 @@
     /// roll-outs; returns whether anything has changed.
     pub fn refresh_orders(&self) -> bool {
         let now = self.clock.now();
-        let (zones, former, rollouts_changed) = self.knowledge.apply_orders(now, |orders| {
+        let (zones, former, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
             let former = lock(&self.picker).set_evacuated(orders.zones.clone());
             (orders.zones, former, self.rollouts.set_orders(self, &orders.rollouts))
         });
@@ -264,7 +264,7 @@
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
             let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
-            self.knowledge.suspect_cold(now, zone, lasts);
+            self.cluster_state.suspect_cold(now, zone, lasts);
             self.servers_changed();
         }
         zones != former || rollouts_changed
@@ -272,7 +272,7 @@
 
     /// Forgets a server whose address answered as another one.
     pub fn forget_server(&self, id: &Incarnation) {
-        self.knowledge.forget_server(id);
+        self.cluster_state.forget_server(id);
         self.servers_changed();
     }
 
@@ -293,18 +293,18 @@
     /// Returns whether the intent in force is recent enough to deny a request by it.
     pub fn intent_is_fresh(&self, now: Instant) -> bool {
         let bound = self.settings.bounds.intent_in_force.max(self.settings.roster_period() * 2);
-        let is_young = self.knowledge.intent_age(now).is_some_and(|age| age <= bound);
-        is_young && self.knowledge.with_watch(|watch| watch.is_settled(now))
+        let is_young = self.cluster_state.intent_age(now).is_some_and(|age| age <= bound);
+        is_young && self.cluster_state.with_watch(|watch| watch.is_settled(now))
     }
 
     /// Brings the metrics that are looked up, not counted, up to date.
     fn show_gauges(&self) {
         let now = self.clock.now();
-        self.metrics.revision(self.knowledge.version());
-        self.metrics.revision_newest(self.knowledge.with_watch(|watch| watch.newest()));
+        self.metrics.revision(self.cluster_state.version());
+        self.metrics.revision_newest(self.cluster_state.with_watch(|watch| watch.newest()));
         for (subject, age) in [
-            ("intent", self.knowledge.intent_age(now)),
-            ("servers", self.knowledge.servers_age(now)),
+            ("intent", self.cluster_state.intent_age(now)),
+            ("servers", self.cluster_state.servers_age(now)),
         ] {
             if let Some(age) = age {
                 self.metrics.knowledge_age(subject, age);
@@ -317,9 +317,9 @@
         for (server, count) in lock(&self.picker).in_flight() {
             self.metrics.in_flight_at(server, count);
         }
-        let confirmed = self.knowledge.with_watch(|watch| watch.confirmed());
+        let confirmed = self.cluster_state.with_watch(|watch| watch.confirmed());
         self.metrics.store_era(confirmed.map_or(0, |confirmed| confirmed.store.era.0));
-        self.metrics.evacuated_zones(self.knowledge.evacuated(now).len());
+        self.metrics.evacuated_zones(self.cluster_state.evacuated(now).len());
         for (service, share) in lock(&self.picker).new_version_shares(now) {
             self.metrics.rollout_share(&service, share);
         }
@@ -330,15 +330,15 @@
 
     /// Returns whether callers should be sent here.
     pub fn is_ready(&self) -> bool {
-        let served = self.knowledge.with_servers(|roster| roster.servers().next().is_some());
-        let knows = served && self.knowledge.intent().is_some();
+        let served = self.cluster_state.with_servers(|roster| roster.servers().next().is_some());
+        let knows = served && self.cluster_state.intent().is_some();
         knows && !self.drain.is_draining() && !self.is_out_of_date(self.clock.now())
     }
 
     /// Returns whether a newer intent has been known to exist for longer than changes may take: new callers
     /// are better off with another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let behind = self.knowledge.with_watch(|watch| watch.behind_for(now));
+        let behind = self.cluster_state.with_watch(|watch| watch.behind_for(now));
         behind.is_some_and(|behind| behind > self.settings.bounds.intent_in_force)
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -343,7 +343,7 @@
 fn ask(gateway: &Gateway, address: SocketAddr, asks: Asks) -> Result<(), String> {
     let peers = &gateway.peers;
     let asked = gateway.clock.now();
-    let (list, version) = (gateway.knowledge.list_version(), gateway.knowledge.version());
+    let (list, version) = (gateway.cluster_state.list_version(), gateway.cluster_state.version());
     let (from, instances) = {
         let candidates = lock(&peers.candidates);
         (candidates.own().clone(), candidates.version())
@@ -414,12 +414,12 @@
     as_of: Instant,
     era: StoreEra,
 ) {
-    let knowledge = &gateway.knowledge;
+    let cluster_state = &gateway.cluster_state;
     let is_same = matches!(news, ListNews::Same);
-    if is_same && knowledge.confirm_list(gateway.clock.now(), version, as_of, era) {
+    if is_same && cluster_state.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
-    if let Some(servers) = knowledge.apply_list_news(version, news) {
+    if let Some(servers) = cluster_state.apply_list_news(version, news) {
         roster_reader::take(gateway, servers, as_of, era, "peer");
     }
 }
@@ -433,9 +433,9 @@
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.knowledge.confirm(news.version, Confirmed { at, store });
+        gateway.cluster_state.confirm(news.version, Confirmed { at, store });
     }
-    gateway.knowledge.told_of(gateway.clock.now(), news.version);
+    gateway.cluster_state.told_of(gateway.clock.now(), news.version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
         take_list(gateway, list, news.list, as_of, news.list_era);
     }
--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_keeper.rs
@@ -241,7 +241,7 @@
     service: &ServiceName,
     to: &SoftwareVersion,
 ) -> IndexSet<SoftwareVersion> {
-    gateway.knowledge.with_servers(|roster| {
+    gateway.cluster_state.with_servers(|roster| {
         let servers = roster.servers().filter(|server| server.service == *service);
         servers
             .filter_map(|server| server.version.clone())
@@ -283,7 +283,7 @@
     let (at, ms) = held.clock;
     let before = Duration::from_millis(ms.saturating_sub(record.since_ms));
     let to = &record.order.to;
-    let (servers_new, servers_old) = gateway.knowledge.with_servers(|roster| {
+    let (servers_new, servers_old) = gateway.cluster_state.with_servers(|roster| {
         let servers = roster.servers().filter(|s| s.service == held.row.service && !s.leaving);
         let usable = servers
             .filter(|s| s.version.as_ref().is_none_or(|version| !record.barred.contains(version)));
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -216,7 +216,7 @@
 
 /// Returns how the listed servers of a version are grouped.
 fn domains(gateway: &Gateway, service: &ServiceName, to: &SoftwareVersion) -> FailureDomains {
-    gateway.knowledge.with_servers(|roster| {
+    gateway.cluster_state.with_servers(|roster| {
         let servers = roster.servers().filter(|s| s.service == *service);
         let new = servers.filter(|s| s.version.as_ref() == Some(to));
         FailureDomains::new(new.map(|s| (s.tag(), Tag::of(s.zone.as_str()))))
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -34,7 +34,7 @@
         }
         let role = gateway.peers.roster_role(now);
         lock(&gateway.store_share).set_reads_for_others(role.reader);
-        let as_of = gateway.knowledge.with_servers(|roster| roster.as_of());
+        let as_of = gateway.cluster_state.with_servers(|roster| roster.as_of());
         match watch.next(now, &role, as_of) {
             RosterStep::Wait(time) => gateway.reader_wanted.wait(time),
             RosterStep::Ask => {
@@ -61,7 +61,7 @@
 /// Reads the list, and says so where the news of others should have done.
 fn read_as(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
     if !role.reader
-        && let Some(age) = gateway.knowledge.servers_age(gateway.clock.now())
+        && let Some(age) = gateway.cluster_state.servers_age(gateway.clock.now())
     {
         log::info!("event=news_stopped servers_age_ms={}", age.as_millis());
     }
@@ -86,21 +86,26 @@
     gateway.store_answered();
     // The work of a look that brings nothing is not to grow with the servers.
     if let Some(told) = list.told()
-        && gateway.knowledge.confirm_list(gateway.clock.now(), Some(told), as_of, list.version.era)
+        && gateway.cluster_state.confirm_list(
+            gateway.clock.now(),
+            Some(told),
+            as_of,
+            list.version.era,
+        )
     {
         return Ok(());
     }
     let skipped: Vec<SkippedEntry> = list.skipped().cloned().collect();
     let (servers, era) = (list.servers(), list.version.era);
     drop(kept);
-    if gateway.knowledge.with_servers(|roster| roster.lacks_version_of(&servers)) {
+    if gateway.cluster_state.with_servers(|roster| roster.lacks_version_of(&servers)) {
         look_for_orders(gateway);
     }
     lock(&gateway.skipped_log).tell(&skipped);
-    gateway.knowledge.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
+    gateway.cluster_state.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
     take(gateway, servers, as_of, era, "store");
     if let Some(list) = lock(&gateway.list_read).as_mut() {
-        list.set_told(gateway.knowledge.list_version());
+        list.set_told(gateway.cluster_state.list_version());
     }
     Ok(())
 }
@@ -141,7 +146,7 @@
     era: StoreEra,
     source: &str,
 ) {
-    let change = gateway.knowledge.observe_servers(gateway.clock.now(), as_of, era, list);
+    let change = gateway.cluster_state.observe_servers(gateway.clock.now(), as_of, era, list);
     log_change(&change, source, gateway.clock.now().saturating_duration_since(as_of));
     if change != RosterChange::default() {
         gateway.servers_changed();
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -63,8 +63,8 @@
 pub fn take_offer(gateway: &Arc<Gateway>, offer: Offer) -> OfferReply {
     gateway.take_orders(offer.orders, "peer");
     intent_reader::take_changes(gateway, &offer.changes);
-    let version = gateway.knowledge.version();
-    gateway.knowledge.told_of(gateway.clock.now(), offer.version);
+    let version = gateway.cluster_state.version();
+    gateway.cluster_state.told_of(gateway.clock.now(), offer.version);
     if version >= offer.version {
         hand_on(gateway, spread::parts(offer.pass_on));
     }
@@ -98,14 +98,14 @@
 }
 
 fn hand_to(gateway: &Gateway, to: SocketAddr, pass_on: &[SocketAddr]) -> Result<(), String> {
-    let version = gateway.knowledge.version();
-    let last = gateway.knowledge.last_change();
+    let version = gateway.cluster_state.version();
+    let last = gateway.cluster_state.last_change();
     let small = last.filter(|change| change.to == version && change.len() <= SENT_AT_ONCE);
     let told = offer(gateway, to, version, small.into_iter().collect(), pass_on)?;
     if told >= version {
         return Ok(());
     }
-    let changes = gateway.knowledge.changes_since(told);
+    let changes = gateway.cluster_state.changes_since(told);
     let told = offer(gateway, to, version, changes, pass_on)?;
     if told >= version { Ok(()) } else { Err(format!("it has version {told} in force")) }
 }
@@ -117,7 +117,7 @@
     changes: Vec<Arc<PackedChange>>,
     pass_on: &[SocketAddr],
 ) -> Result<u64, String> {
-    let orders = gateway.knowledge.orders_told();
+    let orders = gateway.cluster_state.orders_told();
     let offer = Offer { version, orders, changes, pass_on: pass_on.to_vec() };
     let reply: OfferReply = gateway.peers.offer(to, &offer)?;
     Ok(reply.version)
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -8,7 +8,7 @@
 /// Asks until there is an intent and a list of servers, or no more is waited for.
 pub fn run(gateway: &Arc<Gateway>) {
     while waits(gateway, gateway.clock.now()) {
-        if peers::ask_seed(gateway, || gateway.knowledge.is_complete()) {
+        if peers::ask_seed(gateway, || gateway.cluster_state.is_complete()) {
             log::info!("event=told_at_start servers_age_ms={}", servers_age_ms(gateway));
             return;
         }
@@ -18,10 +18,10 @@
 
 /// Returns whether this instance has just started, and waits for others to tell it what there is.
 pub fn waits(gateway: &Gateway, now: Instant) -> bool {
-    gateway.peers.start.waits(now) && !gateway.knowledge.is_complete()
+    gateway.peers.start.waits(now) && !gateway.cluster_state.is_complete()
 }
 
 fn servers_age_ms(gateway: &Gateway) -> u128 {
-    let age = gateway.knowledge.servers_age(gateway.clock.now());
+    let age = gateway.cluster_state.servers_age(gateway.clock.now());
     age.unwrap_or_default().as_millis()
 }
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -148,7 +148,7 @@
         if let Some(known) = lock(&self.ends).has_ended(now, &server.id) {
             return known;
         }
-        let is_used = gateway.knowledge.with_servers(|roster| {
+        let is_used = gateway.cluster_state.with_servers(|roster| {
             roster.servers().any(|listed| listed.id == server.id && !listed.leaving)
         });
         if !is_used {
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -6,7 +6,7 @@
 };
 
 use cartvane::{
-    gateway::knowledge::Knowledge,
+    gateway::cluster_state::ClusterState,
     names::ServiceName,
     routing::{BackendServer, ListNews, LoadReport, Picker, ServiceLoad, StoreEra, Wanted},
 };
@@ -60,17 +60,17 @@
 /// Times a list that others tell, without news: looked at, and confirmed.
 fn list_figures(size: usize, servers: &[Arc<BackendServer>]) -> Vec<Figure> {
     let (now, era) = (Instant::now(), StoreEra::default());
-    let knowledge = Knowledge::new(Duration::from_secs(1));
+    let cluster_state = ClusterState::new(Duration::from_secs(1));
     let list: Vec<BackendServer> = servers.iter().map(|server| (**server).clone()).collect();
-    knowledge.observe_servers(now, now, era, list);
-    let version = knowledge.list_version();
+    cluster_state.observe_servers(now, now, era, list);
+    let version = cluster_state.list_version();
     let at = |round: u32| now + Duration::from_millis(1) * round;
     let look = |round| {
-        let same = knowledge.apply_list_news(version, ListNews::Same);
-        same.map(|list| knowledge.observe_servers(at(round), at(round), era, list))
+        let same = cluster_state.apply_list_news(version, ListNews::Same);
+        same.map(|list| cluster_state.observe_servers(at(round), at(round), era, list))
     };
     let looked: Vec<Duration> = (1..20).map(|round| timed(|| drop(look(round)))).collect();
-    let confirm = |round| knowledge.confirm_list(at(round), version, at(round), era);
+    let confirm = |round| cluster_state.confirm_list(at(round), version, at(round), era);
     let confirmed: Vec<Duration> = (20..60).map(|round| timed(|| _ = confirm(round))).collect();
     let mut figures = spread(&format!("list without news looked at, {size} servers"), &looked);
     figures.extend(spread(&format!("list without news confirmed, {size} servers"), &confirmed));
--- a/tests/suite/bodies.rs
+++ b/tests/suite/bodies.rs
@@ -94,7 +94,7 @@
     // An instance that never knew other limits: callers that know longer ones are not cut off.
     let instance = spawn("two", world.store.address(), Vec::new());
     eventually("ready", || {
-        instance.gateway().is_ready() && instance.gateway().knowledge.version() == 9
+        instance.gateway().is_ready() && instance.gateway().cluster_state.version() == 9
     });
     let mut slow = TcpStream::connect(instance.callers()).expect("connected");
     slow.write_all(b"POST /idem/ HTTP/1.1\r\nhost: ").expect("sent");
@@ -223,14 +223,16 @@
         let mut entry = world.servers[0].entry("app", "ready");
         entry["address"] = address.to_string().into();
         world.store.put("servers", "early", &entry);
-        let knowledge = || {
+        let cluster_state = || {
             let gateway = world.instance.gateway();
             let listed = |id: &str| {
-                gateway.knowledge.with_servers(|r| r.servers().any(|s| s.id.server.as_str() == id))
+                gateway
+                    .cluster_state
+                    .with_servers(|r| r.servers().any(|s| s.id.server.as_str() == id))
             };
-            gateway.knowledge.version() == 9 && listed("early") && !listed("s0")
+            gateway.cluster_state.version() == 9 && listed("early") && !listed("s0")
         };
-        eventually("the server is known", knowledge);
+        eventually("the server is known", cluster_state);
         let (go_on, goes_on) = mpsc::channel();
         let server = answers_early(listener, status, goes_on);
         let body: Vec<u8> = (0..LARGE).map(|at| (at % 251) as u8).collect();
--- a/tests/suite/knowledge.rs
+++ b/tests/suite/cluster_state.rs
@@ -5,7 +5,7 @@
 
 use cartvane::{
     clock::Clock,
-    gateway::{GatewayHandle, knowledge::Knowledge},
+    gateway::{GatewayHandle, cluster_state::ClusterState},
     routing::{Confirmed, Intent, StoreVersion, Wanted},
 };
 use serde_json::json;
@@ -32,7 +32,7 @@
     world.store.put("op", "config", &intent(7));
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(world.send(&call("/added/", "c")).status, 200);
-    assert_eq!(world.instance.gateway().knowledge.version(), 9);
+    assert_eq!(world.instance.gateway().cluster_state.version(), 9);
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let world = start(1);
     world.store.forget_history();
     world.store.put("op", "config", &intent(9));
-    let version = || world.instance.gateway().knowledge.version();
+    let version = || world.instance.gateway().cluster_state.version();
     eventually("the new version is in force", || version() == 9);
 }
 
@@ -101,7 +101,7 @@
         let version = 100 + number as u64;
         world.store.put("op", "config", &intent(version));
         world.store.set_mode(StoreMode::Up);
-        let known = || world.instance.gateway().knowledge.version();
+        let known = || world.instance.gateway().cluster_state.version();
         eventually("the change made meanwhile is in force", || known() == version);
     }
 }
@@ -152,7 +152,7 @@
     eventually("the key is gone", || status("/idem/", "b") == 401);
     world.store.remove("servers", &world.servers[0].id);
     eventually("the server is gone", || {
-        cut_off.gateway().knowledge.with_servers(|roster| roster.servers().count()) == 1
+        cut_off.gateway().cluster_state.with_servers(|roster| roster.servers().count()) == 1
     });
 }
 
@@ -287,11 +287,12 @@
 fn word_of_a_newer_version_says_nothing_of_the_one_in_force() {
     let now = Clock::system().now();
     let later = now + Duration::from_secs(1);
-    let knowledge = Knowledge::new(Duration::from_secs(2));
+    let cluster_state = ClusterState::new(Duration::from_secs(2));
     let store = StoreVersion::default();
-    knowledge.offer_intent(Intent { version: 5, ..Intent::empty() }, Confirmed { at: now, store });
-    knowledge.confirm(9, Confirmed { at: later, store });
-    assert_eq!(knowledge.intent_age(later), Some(Duration::from_secs(1)));
-    knowledge.confirm(4, Confirmed { at: later, store });
-    assert_eq!(knowledge.intent_age(later), Some(Duration::ZERO), "it was no older then");
+    cluster_state
+        .offer_intent(Intent { version: 5, ..Intent::empty() }, Confirmed { at: now, store });
+    cluster_state.confirm(9, Confirmed { at: later, store });
+    assert_eq!(cluster_state.intent_age(later), Some(Duration::from_secs(1)));
+    cluster_state.confirm(4, Confirmed { at: later, store });
+    assert_eq!(cluster_state.intent_age(later), Some(Duration::ZERO), "it was no older then");
 }
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -246,7 +246,7 @@
     eventually("it is passed over", || {
         let now = gateway.clock.now();
         let picker = gateway.picker.lock().expect("the picker");
-        let servers = gateway.knowledge.with_servers(|r| {
+        let servers = gateway.cluster_state.with_servers(|r| {
             r.servers().find(|server| server.id == silent).map(|server| server.tag())
         });
         servers.is_some_and(|tag| picker.own_silent(now).contains(&tag))
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -13,7 +13,7 @@
         store::{StoreRow, StoreRows},
     },
     configs::fleet::chunks::encode,
-    gateway::{knowledge::Knowledge, list_read::ListRead},
+    gateway::{cluster_state::ClusterState, list_read::ListRead},
     names::Tag,
     routing::{
         BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceNews, Picker,
@@ -127,16 +127,16 @@
 #[test]
 fn a_list_without_news_is_current_without_a_look_at_its_servers() {
     for count in [SMALL, LARGE] {
-        let knowledge = Knowledge::new(Duration::from_secs(1));
+        let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
         let era = StoreEra::default();
-        let first = knowledge.observe_servers(now, now, era, servers(count));
+        let first = cluster_state.observe_servers(now, now, era, servers(count));
         assert_eq!(first.added.len(), count);
-        let version = knowledge.list_version();
+        let version = cluster_state.list_version();
         let later = now + Duration::from_millis(900);
-        assert!(knowledge.confirm_list(later, version, later, era), "{count} servers");
-        assert_eq!(knowledge.servers_age(later), Some(Duration::ZERO));
-        let told = knowledge.list_told(later, version);
+        assert!(cluster_state.confirm_list(later, version, later, era), "{count} servers");
+        assert_eq!(cluster_state.servers_age(later), Some(Duration::ZERO));
+        let told = cluster_state.list_told(later, version);
         assert!(encode(&told.news).len() < 16, "{count} servers");
     }
 }
@@ -205,7 +205,7 @@
         let knows = |wanted: &dyn Fn(&BackendServer) -> bool| {
             instance
                 .gateway()
-                .knowledge
+                .cluster_state
                 .with_servers(|roster| roster.servers().filter(|server| wanted(server)).count())
         };
         eventually("the list is known", || knows(&|_| true) == count);
@@ -248,15 +248,15 @@
             now_ms: 0,
             rows: (0..count).map(|number| row(number, beat, "ready")).collect(),
         };
-        let knowledge = Knowledge::new(Duration::from_secs(1));
+        let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
         let mut list = ListRead::new(now, version(1));
         list.take(rows(1));
         assert_eq!(list.told(), None, "all is new");
-        knowledge.observe_servers(now, now, StoreEra::default(), list.servers());
-        list.set_told(knowledge.list_version());
+        cluster_state.observe_servers(now, now, StoreEra::default(), list.servers());
+        list.set_told(cluster_state.list_version());
         list.take(rows(2));
-        assert_eq!(list.told(), knowledge.list_version(), "{count} heartbeats are no news");
+        assert_eq!(list.told(), cluster_state.list_version(), "{count} heartbeats are no news");
         list.take(StoreRows { version: version(3), now_ms: 0, rows: vec![row(7, 3, "draining")] });
         assert_eq!(list.told(), None, "a server that leaves is");
         list.take(rows(4));
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -112,7 +112,7 @@
 }
 
 fn servers_in_use(world: &World) -> usize {
-    world.instance.gateway().knowledge.with_servers(|roster| roster.servers().count())
+    world.instance.gateway().cluster_state.with_servers(|roster| roster.servers().count())
 }
 
 // A request under way at a server whose entry is overwritten ends in peace.
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -8,7 +8,7 @@
 };
 
 use cartvane::{
-    gateway::knowledge::Knowledge,
+    gateway::cluster_state::ClusterState,
     routing::{
         BackendServer, Candidates, Helper, InstanceInfo, ListNews, RosterRole, RosterStep,
         RosterWatch, StoreEra, helper,
@@ -381,7 +381,7 @@
     const READS: u16 = 1500;
     let start = Instant::now();
     let as_of = |read: u16| start + Duration::from_millis(u64::from(read));
-    let knowledge = Knowledge::new(BOUND);
+    let cluster_state = ClusterState::new(BOUND);
     // The port of the first server says which read the list is of.
     let list = |read: u16| -> Vec<BackendServer> {
         let others = (0..150).map(|number| server(&format!("s{number}"), 1));
@@ -396,18 +396,18 @@
             .cloned(),
         _ => None,
     };
-    knowledge.observe_servers(start, as_of(1), StoreEra(0), list(1));
+    cluster_state.observe_servers(start, as_of(1), StoreEra(0), list(1));
     let end = as_of(READS);
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for read in 2..=READS {
-                knowledge.observe_servers(end, as_of(read), StoreEra(0), list(read));
+                cluster_state.observe_servers(end, as_of(read), StoreEra(0), list(read));
             }
         });
         for _ in 0..3 {
             scope.spawn(|| {
                 loop {
-                    let list = knowledge.list_told(end, None);
+                    let list = cluster_state.list_told(end, None);
                     let told = marked(list.news).expect("a whole list").address.port();
                     let age = list.age.expect("a list has an age");
                     assert_eq!(end - age, as_of(told), "the age is of another list");
--- a/tests/suite/server_notices.rs
+++ b/tests/suite/server_notices.rs
@@ -145,7 +145,7 @@
     let first = &world.servers[0];
     let is_listed = || {
         let gateway = world.instance.gateway();
-        gateway.knowledge.with_servers(|roster| {
+        gateway.cluster_state.with_servers(|roster| {
             roster.servers().any(|server| server.id.server.as_str() == first.id)
         })
     };
--- a/tests/suite/starts.rs
+++ b/tests/suite/starts.rs
@@ -64,7 +64,7 @@
     drop(nobody);
     let alone = calm("alone", store.address(), &seeds);
     eventually("it is ready", || alone.gateway().is_ready());
-    assert!(alone.gateway().knowledge.servers_age(Clock::system().now()).is_some());
+    assert!(alone.gateway().cluster_state.servers_age(Clock::system().now()).is_some());
 }
 
 // One that is named to all and knows nothing itself, since the store turns it away, keeps nobody waiting for long.
--- a/tests/suite/store_eras.rs
+++ b/tests/suite/store_eras.rs
@@ -34,7 +34,7 @@
     world.store.come_back(copy);
     thread::sleep(SOME_LOOKS);
     let gateway = world.instance.gateway();
-    assert_eq!(gateway.knowledge.version(), 8, "what is in force does not go back");
+    assert_eq!(gateway.cluster_state.version(), 8, "what is in force does not go back");
     assert!(gateway.is_ready());
     let before = world.store.row_bytes("op");
     thread::sleep(SOME_LOOKS);
@@ -85,7 +85,7 @@
     assert!(after[2] > before[2], "what started in the lost seconds is used on");
     // None of this for ever: what all write again, and what nobody does, is believed in the end.
     eventually("what the store says holds", || {
-        let listed = world.instance.gateway().knowledge.with_servers(|roster| {
+        let listed = world.instance.gateway().cluster_state.with_servers(|roster| {
             roster.servers().map(|server| server.id.server.to_string()).collect::<Vec<_>>()
         });
         listed.contains(&gone.id) && !listed.contains(&lost.id)
