--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -9,7 +9,7 @@
     Gateway,
     cold_permits::{PERMIT_PATH, PermitReply},
     intent_reader,
-    messages::{Asks, ConfirmedAgo, News, Report},
+    messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
     peers::{EXCHANGE_PATH, EXCHANGE_TIME},
     rollout_table::{ROLLOUT_PATH, perform_for_another},
     roster_reader,
@@ -41,11 +41,11 @@
 const BUSY: Duration = Duration::from_millis(20);
 
 /// Answers another instance.
-fn answer(gateway: &Gateway, report: Report) -> News {
+fn answer(gateway: &Gateway, report: ExchangeReport) -> ExchangeReply {
     let now = gateway.clock.now();
     let cluster_state = &gateway.cluster_state;
     let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-    let asks = report.asks;
+    let purpose = report.purpose;
     cluster_state.told_of(now, report.version);
     let changes = if report.wants_intent {
         cluster_state.changes_since(report.version)
@@ -64,11 +64,11 @@
     if is_news {
         gateway.instances_changed();
     }
-    if report.asks == Asks::InTurn {
+    if report.purpose == ExchangePurpose::Aggregate {
         let began = !gateway.peers.is_read_from(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
         aggregate.take(now, report.from.node.clone(), report.counts);
-        aggregate.take_silent(now, report.from.node.clone(), report.silent);
+        aggregate.take_silent(now, report.from.node.clone(), report.unresponsive);
         drop(aggregate);
         lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
         gateway.suspicion.take_report(now, &report.suspicion);
@@ -78,19 +78,23 @@
         }
     }
     gateway.rollouts.take_told(gateway, &report.rollout_states, "peer");
-    if asks == Asks::InTurn {
+    if purpose == ExchangePurpose::Aggregate {
         let (node, run) = (&report.from.node, report.run);
         gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
     }
     let sums = sums(gateway, now);
     let told = cluster_state.list_told(now, report.list);
-    News {
+    ExchangeReply {
         loads: sums.loads.clone(),
-        silent: sums.silent.clone(),
-        budgets: if asks == Asks::InTurn { sums.budgets.clone() } else { Vec::new() },
+        unresponsive: sums.silent.clone(),
+        budgets: if purpose == ExchangePurpose::Aggregate {
+            sums.budgets.clone()
+        } else {
+            Vec::new()
+        },
         run: gateway.peers.run,
-        servers_end: gateway.suspicion.is_alert(now),
-        verdicts: verdicts(gateway, now, asks),
+        crash_alert: gateway.suspicion.is_alert(now),
+        verdicts: verdicts(gateway, now, purpose),
         version: cluster_state.version(),
         changes,
         confirmed: cluster_state.with_watch(|watch| watch.confirmed()).map(|confirmed| {
@@ -109,9 +113,9 @@
 }
 
 /// Returns what another instance is to know of requests that end servers.
-fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<ToldVerdict> {
+fn verdicts(gateway: &Gateway, now: Instant, purpose: ExchangePurpose) -> Vec<ToldVerdict> {
     let mut verdicts = gateway.suspicion.lasting(now);
-    if asks == Asks::InTurn {
+    if purpose == ExchangePurpose::Aggregate {
         verdicts.extend(gateway.suspicion.watched(now));
     }
     verdicts
@@ -193,8 +197,8 @@
             }
             match path {
                 EXCHANGE_PATH => {
-                    let report: Report = decode(body).map_err(|_| 400_u16)?;
-                    if report.asks == Asks::ToRead {
+                    let report: ExchangeReport = decode(body).map_err(|_| 400_u16)?;
+                    if report.purpose == ExchangePurpose::ReadStore {
                         read_for_another(gateway)?;
                     }
                     Ok(encode(&answer(gateway, report)))
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -20,24 +20,27 @@
 
 /// What an instance wants of the one that it asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asks {
+pub enum ExchangePurpose {
     /// What it knows, this once.
-    Once,
+    #[serde(rename = "Once")]
+    Query,
     /// That it collects its counts, and reads the store for it.
-    InTurn,
+    #[serde(rename = "InTurn")]
+    Aggregate,
     /// That it reads the store for it, since the store turns it away.
-    ToRead,
+    #[serde(rename = "ToRead")]
+    ReadStore,
 }
 
 /// What an instance tells.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct ExchangeReport {
     /// Who tells.
     pub from: InstanceInfo,
     /// Its requests in flight, by server.
     pub counts: Vec<Count>,
     /// Servers that it finds silent, or that want no requests of it.
-    pub silent: Vec<Tag>,
+    pub unresponsive: Vec<Tag>,
     /// The run of its process.
     pub run: RunId,
     /// Repeats that it has spent.
@@ -53,7 +56,7 @@
     /// Whether it wants a newer intent however large.
     pub wants_intent: bool,
     /// What the other is to it.
-    pub asks: Asks,
+    pub purpose: ExchangePurpose,
     /// Its newest list of servers.
     pub list: Option<ListVersion>,
     /// Hash of the instances that it knows.
@@ -62,17 +65,17 @@
 
 /// What it is told.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct ExchangeReply {
     /// What all instances have in flight.
     pub loads: Vec<ServiceLoad>,
     /// Servers that several instances find silent, or that want no requests of several.
-    pub silent: Vec<Tag>,
+    pub unresponsive: Vec<Tag>,
     /// Repeats that all instances have spent.
     pub budgets: Vec<BudgetSum>,
     /// The run of the process that tells.
     pub run: RunId,
     /// Whether servers have ended lately.
-    pub servers_end: bool,
+    pub crash_alert: bool,
     /// Requests that are held back or watched.
     pub verdicts: Vec<ToldVerdict>,
     /// Version of the intent that the other has in force.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -19,7 +19,7 @@
     answering::{SUMS_AGE, Sums, sums},
     cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
     intent_reader,
-    messages::{Asks, ConfirmedAgo, News, Report},
+    messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
     rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
     roster_reader,
     settings::GatewaySettings,
@@ -268,7 +268,7 @@
             judge_own(gateway, now);
             return;
         };
-        match ask(gateway, first.address, Asks::InTurn) {
+        match ask(gateway, first.address, ExchangePurpose::Aggregate) {
             Ok(()) => {
                 lock(&peers.candidates).note_heard(&first.node);
                 return;
@@ -310,7 +310,7 @@
         return ask_helper(gateway, now);
     }
     for address in gateway.peers.draw(&gateway.settings.seeds, ASKED) {
-        if let Err(fault) = ask(gateway, address, Asks::Once) {
+        if let Err(fault) = ask(gateway, address, ExchangePurpose::Query) {
             log::info!("event=peer_silent peer={address} reason={fault:?}");
         }
     }
@@ -322,7 +322,7 @@
     for _ in 0..helper::ASKED {
         let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
         let Some(helper) = helper else { return };
-        let Err(fault) = ask(gateway, helper.address, Asks::ToRead) else { return };
+        let Err(fault) = ask(gateway, helper.address, ExchangePurpose::ReadStore) else { return };
         log::info!("event=no_help peer={} reason={fault:?}", helper.node);
         lock(&peers.helper).failed();
     }
@@ -336,11 +336,11 @@
         return false;
     }
     fastrand::shuffle(&mut seeds);
-    seeds.into_iter().any(|seed| ask(gateway, seed, Asks::Once).is_ok() && is_enough())
+    seeds.into_iter().any(|seed| ask(gateway, seed, ExchangePurpose::Query).is_ok() && is_enough())
 }
 
 /// Makes one exchange.
-fn ask(gateway: &Gateway, address: SocketAddr, asks: Asks) -> Result<(), String> {
+fn ask(gateway: &Gateway, address: SocketAddr, purpose: ExchangePurpose) -> Result<(), String> {
     let peers = &gateway.peers;
     let asked = gateway.clock.now();
     let (list, version) = (gateway.cluster_state.list_version(), gateway.cluster_state.version());
@@ -353,12 +353,12 @@
         (picker.own_counts(), picker.own_silent(asked))
     };
     // Others than the one that all turn to know only a part.
-    let in_turn = asks == Asks::InTurn;
+    let in_turn = purpose == ExchangePurpose::Aggregate;
     let suspicion = if in_turn { gateway.suspicion.report(asked) } else { Default::default() };
-    let report = Report {
+    let report = ExchangeReport {
         from,
         counts: counts.clone(),
-        silent,
+        unresponsive: silent,
         run: peers.run,
         suspicion,
         spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
@@ -367,11 +367,11 @@
         version,
         // An instance that starts takes what it can get, and so does one that asks.
         wants_intent: !in_turn || version == 0,
-        asks,
+        purpose,
         list,
         instances,
     };
-    let mut news: News = peers
+    let mut news: ExchangeReply = peers
         .links
         .call(Purpose::Loads, address, EXCHANGE_PATH, &report)
         .map_err(|e| e.to_string())?;
@@ -382,11 +382,11 @@
     if in_turn {
         gateway.suspicion.note_told(news.run, &report.suspicion);
         gateway.suspicion.watch(told, &watched);
-        if news.servers_end {
+        if news.crash_alert {
             gateway.suspicion.alert(told);
         }
         take_loads(gateway, told, &news.loads, Some(counts));
-        lock(&gateway.picker).told_silent(told, &news.silent);
+        lock(&gateway.picker).told_silent(told, &news.unresponsive);
         gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
     }
     take(gateway, news, list, asked);
@@ -424,7 +424,7 @@
     }
 }
 
-fn take(gateway: &Gateway, news: News, list: Option<ListVersion>, asked: Instant) {
+fn take(gateway: &Gateway, news: ExchangeReply, list: Option<ListVersion>, asked: Instant) {
     // Before an intent or a list by which the instance may become ready.
     gateway.take_orders(news.orders, "peer");
     gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -10,7 +10,7 @@
     configs::fleet::chunks::{decode, encode},
     gateway::{
         cold_permits::{PermitAsk, PermitReply},
-        messages::{Asks, ConfirmedAgo, News, Report},
+        messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
         spread::{Offer, OfferReply},
     },
     names::Tag,
@@ -49,11 +49,11 @@
     }
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> ExchangeReport {
+    ExchangeReport {
         from: instance(),
         counts: vec![(Tag(7), 3)],
-        silent: vec![Tag(9)],
+        unresponsive: vec![Tag(9)],
         run: RunId(5),
         spending: Vec::<Spending>::new(),
         rollouts: Vec::new(),
@@ -61,20 +61,20 @@
         suspicion: Default::default(),
         version: 12,
         wants_intent: false,
-        asks: Asks::InTurn,
+        purpose: ExchangePurpose::Aggregate,
         list: Some(ListVersion(77)),
         instances: 8,
     }
 }
 
-fn news(list: ListNews) -> News {
+fn news(list: ListNews) -> ExchangeReply {
     let service = "llm".parse().expect("a name");
-    News {
+    ExchangeReply {
         loads: vec![ServiceLoad { service, mean: 2.5, counts: vec![(Tag(7), 4)], whole: true }],
-        silent: vec![Tag(9)],
+        unresponsive: vec![Tag(9)],
         budgets: Vec::<BudgetSum>::new(),
         run: RunId(6),
-        servers_end: false,
+        crash_alert: false,
         verdicts: Vec::new(),
         version: 12,
         changes: Vec::new(),
@@ -161,9 +161,9 @@
 fn what_builds_before_have_written_is_understood() {
     let [report_bytes, news_bytes, permit, orders_bytes] = KEPT.map(|(_, hex)| bytes_of(hex));
     let same = |read: Vec<u8>, now: Vec<u8>| assert_eq!(read, now);
-    same(encode(&decode::<Report>(&report_bytes).expect("a report")), encode(&report()));
+    same(encode(&decode::<ExchangeReport>(&report_bytes).expect("a report")), encode(&report()));
     let without = ToldOrders { unread: IndexSet::new(), ..orders() };
-    let read = decode::<News>(&news_bytes).expect("news");
+    let read = decode::<ExchangeReply>(&news_bytes).expect("news");
     assert_eq!((read.version, &read.orders), (12, &without));
     assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
     assert_eq!(decode::<ToldOrders>(&orders_bytes).expect("orders"), without);
