--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -46,7 +46,7 @@
     let cluster_state = &gateway.cluster_state;
     let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let purpose = report.purpose;
-    cluster_state.told_of(now, report.version);
+    cluster_state.note_version(now, report.version);
     let changes = if report.wants_intent {
         cluster_state.changes_since(report.version)
     } else {
@@ -83,7 +83,7 @@
         gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
     }
     let sums = sums(gateway, now);
-    let told = cluster_state.list_told(now, report.list);
+    let told = cluster_state.server_list_reply(now, report.list);
     ExchangeReply {
         loads: sums.loads.clone(),
         unresponsive: sums.silent.clone(),
@@ -103,7 +103,7 @@
                 store: confirmed.store,
             }
         }),
-        orders: cluster_state.orders_told(),
+        orders: cluster_state.orders_snapshot(),
         rollout_states: gateway.rollouts.told(now),
         list: told.news,
         list_age_ms: told.age.map(millis),
--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -22,7 +22,7 @@
 
 /// A list of backend servers as another instance is told of it.
 #[derive(Debug)]
-pub struct ToldList {
+pub struct ServerListReply {
     /// What is new in it.
     pub news: ListNews,
     /// How long ago it was current.
@@ -39,7 +39,7 @@
     /// How sure it is that the intent in force is the newest.
     watch: Mutex<IntentWatch>,
     /// Is told when the watch has something new to do.
-    watch_told: Condvar,
+    newer_intent: Condvar,
     /// What operators order beside the intent.
     orders: Mutex<OperatorOrders>,
     /// Changes of the intent, for other instances.
@@ -60,7 +60,7 @@
             in_force: Mutex::default(),
             roster: Mutex::default(),
             watch: Mutex::new(IntentWatch::new(bound)),
-            watch_told: Condvar::new(),
+            newer_intent: Condvar::new(),
             orders: Mutex::default(),
             changes: Mutex::default(),
             lists: Mutex::default(),
@@ -175,9 +175,9 @@
     }
 
     /// Notes that there is `version` of the intent.
-    pub fn told_of(&self, now: Instant, version: u64) {
+    pub fn note_version(&self, now: Instant, version: u64) {
         if lock(&self.watch).told(now, version) {
-            self.watch_told.notify_all();
+            self.newer_intent.notify_all();
         }
     }
 
@@ -187,10 +187,10 @@
     }
 
     /// Waits until a newer intent is told of, `longest` at most.
-    pub fn wait_told(&self, longest: Duration) {
+    pub fn wait_for_newer(&self, longest: Duration) {
         let watch = lock(&self.watch);
         // Whatever ended the wait, the watch says what is next.
-        drop(self.watch_told.wait_timeout_while(watch, longest, |watch| !watch.is_behind()));
+        drop(self.newer_intent.wait_timeout_while(watch, longest, |watch| !watch.is_behind()));
     }
 
     /// Returns how long ago the intent in force was known to be the newest.
@@ -214,7 +214,7 @@
     }
 
     /// Returns the zones that get nothing new.
-    pub fn evacuated(&self, now: Instant) -> IndexSet<ZoneName> {
+    pub fn evacuated_zones(&self, now: Instant) -> IndexSet<ZoneName> {
         lock(&self.orders).in_force(now).zones
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Returns what other instances are told of operators' orders.
-    pub fn orders_told(&self) -> ToldOrders {
+    pub fn orders_snapshot(&self) -> ToldOrders {
         lock(&self.orders).newest().clone()
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Forgets a server whose address answered as another one.
-    pub fn forget_server(&self, id: &Incarnation) {
+    pub fn remove_server(&self, id: &Incarnation) {
         lock(&self.roster).forget(id);
     }
 
@@ -325,15 +325,15 @@
     ///
     /// Both are of one moment: a list from just before a read, told with the age from just after it, would count
     /// as current and keep the next news out.
-    pub fn list_told(&self, now: Instant, version: Option<ListVersion>) -> ToldList {
+    pub fn server_list_reply(&self, now: Instant, version: Option<ListVersion>) -> ServerListReply {
         let roster = lock(&self.roster);
         let news = lock(&self.lists).since(version);
         let age = roster.as_of().map(|at| now.saturating_duration_since(at));
-        ToldList { news, age, era: roster.era() }
+        ServerListReply { news, age, era: roster.era() }
     }
 
     /// Returns the list that the newest one becomes by `news`, which is of `version`.
-    pub fn apply_list_news(
+    pub fn apply_list_update(
         &self,
         version: Option<ListVersion>,
         news: ListNews,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -323,7 +323,7 @@
                 server.id,
                 server.address
             );
-            self.gateway.forget_server(&server.id);
+            self.gateway.remove_server(&server.id);
         }
         if answer.words.not_run {
             return Err(AttemptFault::Refused);
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -34,7 +34,7 @@
         let role = gateway.peers.watch_role(now);
         match cluster_state.with_watch(|watch| watch.next(now, &role)) {
             WatchStep::Pause(time) => thread::sleep(time),
-            WatchStep::Wait(longest) => cluster_state.wait_told(longest),
+            WatchStep::Wait(longest) => cluster_state.wait_for_newer(longest),
             WatchStep::Read => read_step(gateway, || read(gateway)),
             WatchStep::Follow { after, wait } => {
                 read_step(gateway, || follow(gateway, after, wait));
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -244,7 +244,7 @@
     }
 
     /// Takes what was read or told of operators' orders.
-    pub fn take_orders(&self, told: ToldOrders, source: &str) {
+    pub fn accept_orders(&self, told: ToldOrders, source: &str) {
         if self.cluster_state.offer_orders(self.clock.now(), told) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
@@ -271,8 +271,8 @@
     }
 
     /// Forgets a server whose address answered as another one.
-    pub fn forget_server(&self, id: &Incarnation) {
-        self.cluster_state.forget_server(id);
+    pub fn remove_server(&self, id: &Incarnation) {
+        self.cluster_state.remove_server(id);
         self.servers_changed();
     }
 
@@ -319,7 +319,7 @@
         }
         let confirmed = self.cluster_state.with_watch(|watch| watch.confirmed());
         self.metrics.store_era(confirmed.map_or(0, |confirmed| confirmed.store.era.0));
-        self.metrics.evacuated_zones(self.cluster_state.evacuated(now).len());
+        self.metrics.evacuated_zones(self.cluster_state.evacuated_zones(now).len());
         for (service, share) in lock(&self.picker).new_version_shares(now) {
             self.metrics.rollout_share(&service, share);
         }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -419,14 +419,14 @@
     if is_same && cluster_state.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
-    if let Some(servers) = cluster_state.apply_list_news(version, news) {
+    if let Some(servers) = cluster_state.apply_list_update(version, news) {
         roster_reader::take(gateway, servers, as_of, era, "peer");
     }
 }
 
 fn take(gateway: &Gateway, news: ExchangeReply, list: Option<ListVersion>, asked: Instant) {
     // Before an intent or a list by which the instance may become ready.
-    gateway.take_orders(news.orders, "peer");
+    gateway.accept_orders(news.orders, "peer");
     gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
     intent_reader::take_changes(gateway, &news.changes);
     let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
@@ -435,7 +435,7 @@
     {
         gateway.cluster_state.confirm(news.version, Confirmed { at, store });
     }
-    gateway.cluster_state.told_of(gateway.clock.now(), news.version);
+    gateway.cluster_state.note_version(gateway.clock.now(), news.version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
         take_list(gateway, list, news.list, as_of, news.list_era);
     }
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -61,10 +61,10 @@
 
 /// Takes an offer; passes it on as soon as its version is in force.
 pub fn take_offer(gateway: &Arc<Gateway>, offer: Offer) -> OfferReply {
-    gateway.take_orders(offer.orders, "peer");
+    gateway.accept_orders(offer.orders, "peer");
     intent_reader::take_changes(gateway, &offer.changes);
     let version = gateway.cluster_state.version();
-    gateway.cluster_state.told_of(gateway.clock.now(), offer.version);
+    gateway.cluster_state.note_version(gateway.clock.now(), offer.version);
     if version >= offer.version {
         hand_on(gateway, spread::parts(offer.pass_on));
     }
@@ -117,7 +117,7 @@
     changes: Vec<Arc<PackedChange>>,
     pass_on: &[SocketAddr],
 ) -> Result<u64, String> {
-    let orders = gateway.cluster_state.orders_told();
+    let orders = gateway.cluster_state.orders_snapshot();
     let offer = Offer { version, orders, changes, pass_on: pass_on.to_vec() };
     let reply: OfferReply = gateway.peers.offer(to, &offer)?;
     Ok(reply.version)
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -66,7 +66,7 @@
     let version = cluster_state.list_version();
     let at = |round: u32| now + Duration::from_millis(1) * round;
     let look = |round| {
-        let same = cluster_state.apply_list_news(version, ListNews::Same);
+        let same = cluster_state.apply_list_update(version, ListNews::Same);
         same.map(|list| cluster_state.observe_servers(at(round), at(round), era, list))
     };
     let looked: Vec<Duration> = (1..20).map(|round| timed(|| drop(look(round)))).collect();
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -136,7 +136,7 @@
         let later = now + Duration::from_millis(900);
         assert!(cluster_state.confirm_list(later, version, later, era), "{count} servers");
         assert_eq!(cluster_state.servers_age(later), Some(Duration::ZERO));
-        let told = cluster_state.list_told(later, version);
+        let told = cluster_state.server_list_reply(later, version);
         assert!(encode(&told.news).len() < 16, "{count} servers");
     }
 }
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -407,7 +407,7 @@
         for _ in 0..3 {
             scope.spawn(|| {
                 loop {
-                    let list = cluster_state.list_told(end, None);
+                    let list = cluster_state.server_list_reply(end, None);
                     let told = marked(list.news).expect("a whole list").address.port();
                     let age = list.age.expect("a list has an age");
                     assert_eq!(end - age, as_of(told), "the age is of another list");
