--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -16,7 +16,6 @@
 pub mod held_table;
 pub mod instance_table;
 pub mod intent_reader;
-pub mod list_read;
 mod listeners;
 pub mod log_sink;
 pub mod messages;
@@ -29,6 +28,7 @@
 pub mod rollouts;
 pub mod roster_reader;
 pub mod server_conns;
+pub mod server_list_cache;
 pub mod settings;
 pub mod silence;
 pub mod skipped_log;
@@ -52,8 +52,8 @@
 pub use self::handle::GatewayHandle;
 use self::{
     cluster_state::ClusterState, cold_permits::ColdPermits, drain::Drain, flight::Flight,
-    list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
-    server_conns::ServerConns, settings::GatewaySettings, skipped_log::SkippedLog,
+    peers::Peers, request::Request, rollouts::Rollouts, server_conns::ServerConns,
+    server_list_cache::ServerListCache, settings::GatewaySettings, skipped_log::SkippedLog,
     suspicion::Suspicion,
 };
 use crate::{
@@ -107,7 +107,7 @@
     store_share: Arc<Mutex<StoreShare>>,
     store_lost: Mutex<bool>,
     skipped_log: Mutex<SkippedLog>,
-    list_read: Mutex<Option<ListRead>>,
+    server_list_cache: Mutex<Option<ServerListCache>>,
 }
 
 impl Gateway {
@@ -139,7 +139,7 @@
             budgets: Mutex::default(),
             store_lost: Mutex::default(),
             skipped_log: Mutex::default(),
-            list_read: Mutex::default(),
+            server_list_cache: Mutex::default(),
             settings,
         })
     }
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -6,9 +6,9 @@
 };
 
 use super::{
-    Gateway, intent_reader,
-    list_read::{ListRead, PAGE_ROWS},
-    peers, start,
+    Gateway, intent_reader, peers,
+    server_list_cache::{PAGE_ROWS, ServerListCache},
+    start,
 };
 use crate::{
     adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
@@ -75,8 +75,8 @@
 /// The store cannot be read.
 pub fn read(gateway: &Gateway) -> Result<(), StoreFault> {
     let as_of = gateway.clock.now();
-    let mut kept = lock(&gateway.list_read);
-    let list = match kept.as_mut().filter(|kept| kept.can_be_followed(as_of)) {
+    let mut kept = lock(&gateway.server_list_cache);
+    let list = match kept.as_mut().filter(|kept| kept.can_read_changes(as_of)) {
         Some(known) => match follow(gateway, known) {
             Err(StoreFault::HistoryGone) => kept.insert(read_whole(gateway, as_of)?),
             followed => followed.map(|()| known)?,
@@ -85,7 +85,7 @@
     };
     gateway.store_answered();
     // The work of a look that brings nothing is not to grow with the servers.
-    if let Some(told) = list.told()
+    if let Some(told) = list.unchanged_version()
         && gateway.cluster_state.confirm_list(
             gateway.clock.now(),
             Some(told),
@@ -104,8 +104,8 @@
     lock(&gateway.skipped_log).tell(&skipped);
     gateway.cluster_state.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
     take(gateway, servers, as_of, era, "store");
-    if let Some(list) = lock(&gateway.list_read).as_mut() {
-        list.set_told(gateway.cluster_state.list_version());
+    if let Some(list) = lock(&gateway.server_list_cache).as_mut() {
+        list.mark_applied(gateway.cluster_state.list_version());
     }
     Ok(())
 }
@@ -118,15 +118,15 @@
     }
 }
 
-fn read_whole(gateway: &Gateway, at: Instant) -> Result<ListRead, StoreFault> {
+fn read_whole(gateway: &Gateway, at: Instant) -> Result<ServerListCache, StoreFault> {
     let rows = gateway.store.rows(SERVER_TABLE)?;
-    let mut list = ListRead::new(at, rows.version);
+    let mut list = ServerListCache::new(at, rows.version);
     list.take(rows);
     Ok(list)
 }
 
 /// Takes what has changed in the list since it was read; a reply may hold a part of that.
-fn follow(gateway: &Gateway, list: &mut ListRead) -> Result<(), StoreFault> {
+fn follow(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreFault> {
     for _ in 0..REPLIES_MAX {
         let rows = gateway.store.changes(SERVER_TABLE, list.version, Duration::ZERO)?;
         let is_last = rows.rows.len() < PAGE_ROWS;
--- a/src/gateway/list_read.rs
+++ b/src/gateway/server_list_cache.rs
@@ -20,39 +20,46 @@
 
 /// How long a list is followed before it is read whole again: half of the history that the users' stores keep, and whatever a
 /// reply should have left out is set right.
-const FOLLOWED: Duration = Duration::from_secs(10);
+const WHOLE_READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Entries of servers, by key, as of one version of the store.
 #[derive(Debug)]
-pub struct ListRead {
+pub struct ServerListCache {
     /// Version of the store.
     pub version: StoreVersion,
     /// When it was read whole.
     whole_at: Instant,
     /// Whether something new of servers was read that has not been taken over yet.
-    has_news: bool,
+    has_changes: bool,
     /// The list that other instances were told of after the last news.
-    told: Option<ListVersion>,
+    applied: Option<ListVersion>,
     servers: IndexMap<String, BackendServer>,
     skipped: IndexMap<String, SkippedEntry>,
 }
 
-impl ListRead {
+impl ServerListCache {
     /// Returns an empty list that is read at `at`.
-    pub fn new(at: Instant, version: StoreVersion) -> ListRead {
+    pub fn new(at: Instant, version: StoreVersion) -> ServerListCache {
         let (servers, skipped) = (IndexMap::new(), IndexMap::new());
-        ListRead { version, whole_at: at, has_news: true, told: None, servers, skipped }
+        ServerListCache {
+            version,
+            whole_at: at,
+            has_changes: true,
+            applied: None,
+            servers,
+            skipped,
+        }
     }
 
     /// Returns whether what has changed costs less than the whole, and is still told.
-    pub fn can_be_followed(&self, now: Instant) -> bool {
+    pub fn can_read_changes(&self, now: Instant) -> bool {
         let is_long = self.servers.len() + self.skipped.len() > PAGE_ROWS;
-        is_long && now.saturating_duration_since(self.whole_at) < FOLLOWED
+        is_long && now.saturating_duration_since(self.whole_at) < WHOLE_READ_INTERVAL
     }
 
     /// Takes rows that are new, changed or removed: nearly all say only that a server is still there, which is no news.
     pub fn take(&mut self, rows: StoreRows) {
-        let known = |list: &ListRead, key: &str| {
+        let known = |list: &ServerListCache, key: &str| {
             (list.servers.get(key).cloned(), list.skipped.get(key).cloned())
         };
         let keys: IndexSet<&str> = rows.rows.iter().map(|row| row.key.as_str()).collect();
@@ -67,18 +74,18 @@
         let skipped = entries.skipped.into_iter();
         self.skipped.extend(skipped.map(|entry| (entry.key.clone(), entry)));
         self.version = rows.version;
-        self.has_news |= keys.iter().zip(before).any(|(key, before)| known(self, key) != before);
+        self.has_changes |= keys.iter().zip(before).any(|(key, before)| known(self, key) != before);
     }
 
     /// Notes that the list has been taken over, and which one other instances are told of now.
-    pub fn set_told(&mut self, told: Option<ListVersion>) {
-        self.told = told;
-        self.has_news = false;
+    pub fn mark_applied(&mut self, applied: Option<ListVersion>) {
+        self.applied = applied;
+        self.has_changes = false;
     }
 
     /// Returns the list that other instances were told of, if nothing new was read since.
-    pub fn told(&self) -> Option<ListVersion> {
-        self.told.filter(|_| !self.has_news)
+    pub fn unchanged_version(&self) -> Option<ListVersion> {
+        self.applied.filter(|_| !self.has_changes)
     }
 
     /// Returns the servers.
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -13,7 +13,7 @@
         store::{StoreRow, StoreRows},
     },
     configs::fleet::chunks::encode,
-    gateway::{cluster_state::ClusterState, list_read::ListRead},
+    gateway::{cluster_state::ClusterState, server_list_cache::ServerListCache},
     names::Tag,
     routing::{
         BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceNews, Picker,
@@ -250,17 +250,21 @@
         };
         let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
-        let mut list = ListRead::new(now, version(1));
+        let mut list = ServerListCache::new(now, version(1));
         list.take(rows(1));
-        assert_eq!(list.told(), None, "all is new");
+        assert_eq!(list.unchanged_version(), None, "all is new");
         cluster_state.observe_servers(now, now, StoreEra::default(), list.servers());
-        list.set_told(cluster_state.list_version());
+        list.mark_applied(cluster_state.list_version());
         list.take(rows(2));
-        assert_eq!(list.told(), cluster_state.list_version(), "{count} heartbeats are no news");
+        assert_eq!(
+            list.unchanged_version(),
+            cluster_state.list_version(),
+            "{count} heartbeats are no news"
+        );
         list.take(StoreRows { version: version(3), now_ms: 0, rows: vec![row(7, 3, "draining")] });
-        assert_eq!(list.told(), None, "a server that leaves is");
+        assert_eq!(list.unchanged_version(), None, "a server that leaves is");
         list.take(rows(4));
-        assert_eq!(list.told(), None, "as long as it has not been taken over");
+        assert_eq!(list.unchanged_version(), None, "as long as it has not been taken over");
     }
 }
 
