--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use super::{Gateway, peers, rollout_keeper, spread, start};
+use super::{Gateway, intent_relay, peers, rollout_keeper, start};
 use crate::{
     adapter::{
         calls::{INTENT_KEY, INTENT_TABLE},
@@ -153,7 +153,7 @@
     };
     // At a start all instances read; there is nothing to tell.
     if before > 0 && (orders_changed || is_newer) {
-        spread::publish(gateway);
+        intent_relay::publish(gateway);
     }
 }
 
--- a/src/gateway/spread.rs
+++ b/src/gateway/intent_relay.rs
@@ -18,15 +18,15 @@
 
 /// Largest change that is sent with the first offer, in bytes: as much as fits into a packet or two, where
 /// asking first would take longer. Nearly all changes are smaller.
-const SENT_AT_ONCE: usize = 2 << 10;
+const INLINE_CHANGE_MAX_BYTES: usize = 2 << 10;
 
 /// Instances, the first in rank, that hand on what they read though nobody turns to them for news: if the one
 /// that reads for all fails, the first to look for themselves are enough.
-const DEPUTIES: usize = 4;
+const BACKUP_PUBLISHERS: usize = 4;
 
 /// How long instances that do not answer are passed over in one part: ten of them, at 0.3 s each. Whoever is
 /// left then asks by itself.
-const PART_TIME: Duration = Duration::from_secs(3);
+const PART_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What an instance hands on.
 #[derive(Debug, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     /// Changes that lead to it, where they are small or asked for.
     pub changes: Vec<Arc<PackedChange>>,
     /// To whom else it is to be handed.
-    pub pass_on: Vec<SocketAddr>,
+    pub relay_to: Vec<SocketAddr>,
 }
 
 /// What the other says.
@@ -52,31 +52,31 @@
 pub fn publish(gateway: &Arc<Gateway>) {
     let now = gateway.clock.now();
     let number = gateway.peers.position().number;
-    if number >= DEPUTIES && !gateway.peers.is_reader(now) {
+    if number >= BACKUP_PUBLISHERS && !gateway.peers.is_reader(now) {
         return;
     }
     let parts = spread::first_parts(lock(&gateway.peers.candidates).heard(now));
-    hand_on(gateway, parts);
+    relay(gateway, parts);
 }
 
 /// Takes an offer; passes it on as soon as its version is in force.
-pub fn take_offer(gateway: &Arc<Gateway>, offer: Offer) -> OfferReply {
+pub fn accept_offer(gateway: &Arc<Gateway>, offer: Offer) -> OfferReply {
     gateway.accept_orders(offer.orders, "peer");
     intent_reader::take_changes(gateway, &offer.changes);
     let version = gateway.cluster_state.version();
     gateway.cluster_state.note_version(gateway.clock.now(), offer.version);
     if version >= offer.version {
-        hand_on(gateway, spread::parts(offer.pass_on));
+        relay(gateway, spread::parts(offer.relay_to));
     }
     OfferReply { version }
 }
 
-fn hand_on(gateway: &Arc<Gateway>, parts: Vec<Vec<SocketAddr>>) {
+fn relay(gateway: &Arc<Gateway>, parts: Vec<Vec<SocketAddr>>) {
     for part in parts {
         let gateway = Arc::clone(gateway);
         let spawned = thread::Builder::new()
             .name("spread".to_owned())
-            .spawn(move || hand_to_first(&gateway, &part));
+            .spawn(move || relay_to_part(&gateway, &part));
         if let Err(fault) = spawned {
             // Those of the part learn of it in the exchange.
             log::warn!("event=not_handed_on reason={:?}", fault.to_string());
@@ -85,11 +85,11 @@
 }
 
 /// Hands the intent to the first of `part` that takes it; that one hands it to the rest.
-fn hand_to_first(gateway: &Gateway, part: &[SocketAddr]) {
-    let until = gateway.clock.now() + PART_TIME;
+fn relay_to_part(gateway: &Gateway, part: &[SocketAddr]) {
+    let until = gateway.clock.now() + PART_TIMEOUT;
     let mut left = part;
     while let Some((&first, rest)) = left.split_first() {
-        match hand_to(gateway, first, rest) {
+        match send_intent(gateway, first, rest) {
             Ok(()) => return,
             Err(reason) => log::info!("event=peer_silent peer={first} reason={reason:?}"),
         }
@@ -97,16 +97,17 @@
     }
 }
 
-fn hand_to(gateway: &Gateway, to: SocketAddr, pass_on: &[SocketAddr]) -> Result<(), String> {
+fn send_intent(gateway: &Gateway, to: SocketAddr, relay_to: &[SocketAddr]) -> Result<(), String> {
     let version = gateway.cluster_state.version();
     let last = gateway.cluster_state.last_change();
-    let small = last.filter(|change| change.to == version && change.len() <= SENT_AT_ONCE);
-    let told = offer(gateway, to, version, small.into_iter().collect(), pass_on)?;
+    let small =
+        last.filter(|change| change.to == version && change.len() <= INLINE_CHANGE_MAX_BYTES);
+    let told = offer(gateway, to, version, small.into_iter().collect(), relay_to)?;
     if told >= version {
         return Ok(());
     }
     let changes = gateway.cluster_state.changes_since(told);
-    let told = offer(gateway, to, version, changes, pass_on)?;
+    let told = offer(gateway, to, version, changes, relay_to)?;
     if told >= version { Ok(()) } else { Err(format!("it has version {told} in force")) }
 }
 
@@ -115,10 +116,10 @@
     to: SocketAddr,
     version: u64,
     changes: Vec<Arc<PackedChange>>,
-    pass_on: &[SocketAddr],
+    relay_to: &[SocketAddr],
 ) -> Result<u64, String> {
     let orders = gateway.cluster_state.orders_snapshot();
-    let offer = Offer { version, orders, changes, pass_on: pass_on.to_vec() };
+    let offer = Offer { version, orders, changes, relay_to: relay_to.to_vec() };
     let reply: OfferReply = gateway.peers.offer(to, &offer)?;
     Ok(reply.version)
 }
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -9,7 +9,7 @@
 use anyhow::Context as _;
 use http::StatusCode;
 
-use super::{Gateway, answering, connection};
+use super::{Gateway, connection, peer_server};
 use crate::link::{
     caller::{IdleRules, Listener, Served},
     http1::Conn,
@@ -68,7 +68,7 @@
     let listen = gateway.settings.addresses.peers;
     let rules = idle_rules(idle, |since| since + peer::IDLE_TIME, false);
     let serving = Arc::clone(gateway);
-    let serve = move |conn: Conn| answering::serve(&serving, conn);
+    let serve = move |conn: Conn| peer_server::serve(&serving, conn);
     let most = gateway.settings.peer_connections;
     Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
         .with_context(|| format!("cannot listen for other instances on {listen}"))
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,7 +4,6 @@
 //! `stream` passes events on; `intent_reader`, `roster_reader` and `peers` keep `cluster_state` fresh;
 //! `instance_table` tells instances of each other.
 
-pub mod answering;
 pub mod cluster_state;
 pub mod cold_permits;
 pub mod connection;
@@ -16,10 +15,12 @@
 pub mod held_table;
 pub mod instance_table;
 pub mod intent_reader;
+pub mod intent_relay;
 mod listeners;
 pub mod log_sink;
 pub mod messages;
 pub mod notices;
+pub mod peer_server;
 pub mod peers;
 pub mod reply;
 pub mod request;
@@ -32,7 +33,6 @@
 pub mod settings;
 pub mod silence;
 pub mod skipped_log;
-pub mod spread;
 pub mod start;
 pub mod stream;
 pub mod suspicion;
--- a/src/gateway/answering.rs
+++ b/src/gateway/peer_server.rs
@@ -9,11 +9,11 @@
     Gateway,
     cold_permits::{PERMIT_PATH, PermitReply},
     intent_reader,
+    intent_relay::{self, OFFER_PATH},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
     peers::{EXCHANGE_PATH, EXCHANGE_TIME},
     rollout_table::{ROLLOUT_PATH, perform_for_another},
     roster_reader,
-    spread::{self, OFFER_PATH},
 };
 use crate::{
     configs::fleet::chunks::{decode, encode},
@@ -213,7 +213,7 @@
                 }
                 OFFER_PATH => {
                     let offer = decode(body).map_err(|_| 400_u16)?;
-                    Ok(encode(&spread::take_offer(gateway, offer)))
+                    Ok(encode(&intent_relay::accept_offer(gateway, offer)))
                 }
                 _ => Err(404),
             }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -16,14 +16,14 @@
 
 use super::{
     Gateway,
-    answering::{SUMS_AGE, Sums, sums},
     cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
     intent_reader,
+    intent_relay::{OFFER_PATH, Offer, OfferReply},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
+    peer_server::{SUMS_AGE, Sums, sums},
     rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
     roster_reader,
     settings::GatewaySettings,
-    spread::{OFFER_PATH, Offer, OfferReply},
 };
 use crate::{
     clock::Clock,
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -10,8 +10,8 @@
     configs::fleet::chunks::{decode, encode},
     gateway::{
         cold_permits::{PermitAsk, PermitReply},
+        intent_relay::{Offer, OfferReply},
         messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
-        spread::{Offer, OfferReply},
     },
     names::Tag,
     routing::{
@@ -119,7 +119,7 @@
         version: 12,
         orders: orders(),
         changes: vec![Arc::new(PackedChange::pack(&IntentChange::whole(&Intent::empty())))],
-        pass_on: vec![([10, 0, 0, 2], 8229).into()],
+        relay_to: vec![([10, 0, 0, 2], 8229).into()],
     };
     let ask = PermitAsk { server: Tag(7), service: "llm".parse().expect("a name") };
     assert!(comes_back(&report()) && comes_back(&changes) && comes_back(&whole));
