--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -76,7 +76,7 @@
             return true;
         }
         let ask = PermitAsk { server: picked.server.tag(), service: service.clone() };
-        let permit = self.ask_permit(&ask);
+        let permit = self.request_permit(&ask);
         self.metrics.cold_permit(service, permit.name());
         permit == Permit::Granted
     }
@@ -86,16 +86,16 @@
         self.cluster_state.intent()?.services.get(service)?.cold
     }
 
-    fn ask_permit(&self, ask: &PermitAsk) -> Permit {
+    fn request_permit(&self, ask: &PermitAsk) -> Permit {
         let now = self.clock.now();
-        if !self.peers.knows_others(now) {
+        if !self.peers.has_joined(now) {
             return Permit::NobodyKnown;
         }
         let Some(granter) = self.granter(ask.server) else { return Permit::Unanswered };
         if self.peers.is_own(&granter) {
             return Permit::of(self.grant(ask));
         }
-        match self.peers.ask_permit(granter.address, ask) {
+        match self.peers.request_permit(granter.address, ask) {
             Ok(reply) => Permit::of(reply.granted),
             Err(fault) => {
                 log::info!("event=permit_unanswered peer={} reason={fault:?}", granter.node);
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -37,7 +37,7 @@
         gateway.suspicion.judged.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
         let is_first = lock(&gateway.peers.candidates).first(now).is_none();
-        if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
+        if gateway.drain.is_draining() || !is_first || !gateway.peers.has_joined(now) {
             continue;
         }
         if let Err(fault) = keep(gateway, &mut watch) {
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -108,13 +108,13 @@
     let until = gateway.clock.now() + TOLD_WITHIN;
     let knows_others = || gateway.peers.instances() > 1;
     // One that alone starts again is told of all at once.
-    let told = !gateway.settings.first_start && peers::ask_seed(gateway, knows_others);
+    let told = !gateway.settings.first_start && peers::query_seeds(gateway, knows_others);
     thread::sleep(SETTLED);
     if !is_asked(gateway) {
         thread::sleep(SEEDS_FIRST);
     }
     while !is_asked(gateway) && gateway.clock.now() < until {
-        if peers::ask_seed(gateway, knows_others) {
+        if peers::query_seeds(gateway, knows_others) {
             return;
         }
         thread::sleep(QUESTION_PAUSE);
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -177,7 +177,7 @@
 }
 
 /// Puts changes that another instance tells in force.
-pub fn take_changes(gateway: &Gateway, changes: &[Arc<PackedChange>]) {
+pub fn apply_changes(gateway: &Gateway, changes: &[Arc<PackedChange>]) {
     if changes.is_empty() {
         return;
     }
--- a/src/gateway/intent_relay.rs
+++ b/src/gateway/intent_relay.rs
@@ -62,7 +62,7 @@
 /// Takes an offer; passes it on as soon as its version is in force.
 pub fn accept_offer(gateway: &Arc<Gateway>, offer: Offer) -> OfferReply {
     gateway.accept_orders(offer.orders, "peer");
-    intent_reader::take_changes(gateway, &offer.changes);
+    intent_reader::apply_changes(gateway, &offer.changes);
     let version = gateway.cluster_state.version();
     gateway.cluster_state.note_version(gateway.clock.now(), offer.version);
     if version >= offer.version {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -98,7 +98,7 @@
     /// State of leaving.
     pub drain: Drain,
     /// Is set when others begin to turn to this instance, which then reads the store for them.
-    pub reader_wanted: Signal,
+    pub store_read_requested: Signal,
     /// Requests in flight and bytes of their bodies.
     pub usage: Usage,
     /// When this process started, if the instance may have run before.
@@ -133,7 +133,7 @@
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
             drain: Drain::open().context("cannot make a pipe")?,
-            reader_wanted: Signal::default(),
+            store_read_requested: Signal::default(),
             usage: Usage::default(),
             restarted: (!settings.first_start).then(|| clock.now()),
             budgets: Mutex::default(),
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -11,7 +11,7 @@
     intent_reader,
     intent_relay::{self, OFFER_PATH},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
-    peers::{EXCHANGE_PATH, EXCHANGE_TIME},
+    peers::{EXCHANGE_PATH, EXCHANGE_TIMEOUT},
     rollout_table::{ROLLOUT_PATH, perform_for_another},
     roster_reader,
 };
@@ -58,14 +58,14 @@
         candidates.add(report.from.clone());
         let after = candidates.version();
         // One that knows a few only would have them taken for all.
-        let tells = after != report.instances && gateway.peers.knows_others(now);
+        let tells = after != report.instances && gateway.peers.has_joined(now);
         (tells.then(|| candidates.since(report.instances)), after != before)
     };
     if is_news {
         gateway.instances_changed();
     }
     if report.purpose == ExchangePurpose::Aggregate {
-        let began = !gateway.peers.is_read_from(now);
+        let began = !gateway.peers.is_aggregator(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
         aggregate.take(now, report.from.node.clone(), report.counts);
         aggregate.take_silent(now, report.from.node.clone(), report.unresponsive);
@@ -74,7 +74,7 @@
         gateway.suspicion.take_report(now, &report.suspicion);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
-            gateway.reader_wanted.set();
+            gateway.store_read_requested.set();
         }
     }
     gateway.rollouts.take_told(gateway, &report.rollout_states, "peer");
@@ -188,7 +188,7 @@
 pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> Served {
     let service = PeerService {
         accepted: None,
-        timeout: EXCHANGE_TIME,
+        timeout: EXCHANGE_TIMEOUT,
         traffic: &gateway.peers.traffic,
         answer: |path: &str, body: &[u8]| {
             if gateway.drain.is_draining() {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -43,7 +43,7 @@
 pub(super) const EXCHANGE_PATH: &str = "/exchange";
 
 /// Longest pause in an exchange with another instance: many round trips, and less than the news may age.
-pub(super) const EXCHANGE_TIME: Duration = Duration::from_millis(300);
+pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Least pause between two exchanges: several within the time that a stream takes.
 const PERIOD_MIN: Duration = Duration::from_millis(250);
@@ -57,17 +57,17 @@
 const PERIOD_MAX: Duration = Duration::from_millis(900);
 
 /// Instances asked when the store cannot be read.
-const ASKED: usize = 2;
+const PEERS_PER_ROUND: usize = 2;
 
 /// Least pause between two rounds of questions.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(300);
 
 /// Time after its start from which an instance that knows no other counts as alone, whether it could learn of
 /// others or not: what it read at its start is still young then.
-const JOIN_MAX: Duration = Duration::from_millis(1500);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long an instance that others turn to goes on to read the store for them.
-const READS_FOR_OTHERS: Duration = Duration::from_millis(3000);
+const AGGREGATOR_TTL: Duration = Duration::from_millis(3000);
 
 /// Other instances, and what they tell.
 pub struct Peers {
@@ -103,18 +103,18 @@
             cores: settings.cores,
         };
         let run = RunId(fastrand::u64(..));
-        let is_asked = settings.seeds.is_empty() || settings.seeds.contains(&own.address);
+        let is_seed = settings.seeds.is_empty() || settings.seeds.contains(&own.address);
         Peers {
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
             permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIME, traffic.clone()),
-            links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIME, traffic.clone()),
+            links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartWatch::new(clock.now(), is_asked, fastrand::f64()),
+            start: StartWatch::new(clock.now(), is_seed, fastrand::f64()),
             sums: Recent::new(SUMS_AGE),
             last_round: Mutex::default(),
             helper: Mutex::default(),
@@ -139,8 +139,8 @@
     /// Returns whether this instance reads the store at a pace: it has nobody to turn to, or others
     /// turn to it.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.knows_others(now) && lock(&self.candidates).first(now).is_none();
-        alone || self.is_read_from(now)
+        let alone = self.has_joined(now) && lock(&self.candidates).first(now).is_none();
+        alone || self.is_aggregator(now)
     }
 
     /// Returns whether the settings name this instance among `seeds`.
@@ -155,16 +155,16 @@
 
     /// Returns whether an instance that knows nobody has nobody to rely on: one that has just started has not
     /// learnt of the others yet.
-    pub(super) fn knows_others(&self, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(self.started) >= JOIN_MAX;
+    pub(super) fn has_joined(&self, now: Instant) -> bool {
+        let waited = now.saturating_duration_since(self.started) >= JOIN_TIMEOUT;
         waited || self.joined.load(Ordering::Relaxed)
     }
 
     /// Returns whether others have turned to this instance lately.
-    pub(super) fn is_read_from(&self, now: Instant) -> bool {
+    pub(super) fn is_aggregator(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
         let heard = lock(&self.aggregate).last_heard(&own);
-        heard.is_some_and(|at| now.saturating_duration_since(at) < READS_FOR_OTHERS)
+        heard.is_some_and(|at| now.saturating_duration_since(at) < AGGREGATOR_TTL)
     }
 
     /// Returns what this instance is to the others in the watch over the list of servers.
@@ -192,7 +192,7 @@
     }
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
-    pub fn ask_helper_for_rollouts(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
+    pub fn access_rollouts_by_fallback(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
         for _ in 0..helper::ASKED {
             let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
             match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, ask) {
@@ -214,7 +214,7 @@
     /// # Errors
     ///
     /// Why it did not answer, for logs.
-    pub fn ask_permit(&self, of: SocketAddr, ask: &PermitAsk) -> Result<PermitReply, String> {
+    pub fn request_permit(&self, of: SocketAddr, ask: &PermitAsk) -> Result<PermitReply, String> {
         let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, ask);
         reply.map_err(|fault| fault.to_string())
     }
@@ -231,7 +231,7 @@
     }
 
     /// Returns up to `count` other addresses, drawn anew each time.
-    fn draw(&self, seeds: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
+    fn random_peers(&self, seeds: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
         let candidates = lock(&self.candidates);
         let own = candidates.own().address;
         let known = candidates.all().iter().map(|i| i.address);
@@ -262,10 +262,10 @@
         let first = lock(&peers.candidates).first(now).cloned();
         let Some(first) = first else {
             let sums = sums(gateway, now);
-            take_loads(gateway, now, &sums.loads, None);
+            apply_loads(gateway, now, &sums.loads, None);
             lock(&gateway.picker).told_silent(now, &sums.silent);
             gateway.set_budget_sums(now, sums.budgets.clone());
-            judge_own(gateway, now);
+            take_own_crash_report(gateway, now);
             return;
         };
         match ask(gateway, first.address, ExchangePurpose::Aggregate) {
@@ -282,9 +282,9 @@
 }
 
 /// Takes this instance's own word on servers that ended, as the one to which all turn.
-fn judge_own(gateway: &Gateway, now: Instant) {
+fn take_own_crash_report(gateway: &Gateway, now: Instant) {
     let suspicion = &gateway.suspicion;
-    if !gateway.settings.first_start && gateway.peers.knows_others(now) {
+    if !gateway.settings.first_start && gateway.peers.has_joined(now) {
         suspicion.want_table();
     }
     let report = suspicion.report(now);
@@ -301,15 +301,15 @@
     let now = gateway.clock.now();
     {
         let mut last = lock(&gateway.peers.last_round);
-        if last.is_some_and(|at| now.saturating_duration_since(at) < ROUND_PAUSE) {
+        if last.is_some_and(|at| now.saturating_duration_since(at) < ROUND_INTERVAL_MIN) {
             return;
         }
         *last = Some(now);
     }
-    if gateway.peers.is_read_from(now) {
-        return ask_helper(gateway, now);
+    if gateway.peers.is_aggregator(now) {
+        return request_store_read(gateway, now);
     }
-    for address in gateway.peers.draw(&gateway.settings.seeds, ASKED) {
+    for address in gateway.peers.random_peers(&gateway.settings.seeds, PEERS_PER_ROUND) {
         if let Err(fault) = ask(gateway, address, ExchangePurpose::Query) {
             log::info!("event=peer_silent peer={address} reason={fault:?}");
         }
@@ -317,7 +317,7 @@
 }
 
 /// Has another instance read the store, for those that turn to this one.
-fn ask_helper(gateway: &Gateway, now: Instant) {
+fn request_store_read(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
     for _ in 0..helper::ASKED {
         let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
@@ -330,7 +330,7 @@
 
 /// Asks the instances that the settings name, one after the other, for all, until what one tells is enough; returns
 /// whether it is. One that has just started itself answers, and tells of nobody and nothing.
-pub fn ask_seed(gateway: &Gateway, is_enough: impl Fn() -> bool) -> bool {
+pub fn query_seeds(gateway: &Gateway, is_enough: impl Fn() -> bool) -> bool {
     let mut seeds = gateway.settings.seeds.clone();
     if gateway.peers.is_seed(&seeds) {
         return false;
@@ -385,7 +385,7 @@
         if news.crash_alert {
             gateway.suspicion.alert(told);
         }
-        take_loads(gateway, told, &news.loads, Some(counts));
+        apply_loads(gateway, told, &news.loads, Some(counts));
         lock(&gateway.picker).told_silent(told, &news.unresponsive);
         gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
     }
@@ -395,7 +395,7 @@
 
 /// Takes what all instances have in flight; `told` is what this one had told of its own, where that is
 /// not what it has now.
-fn take_loads(gateway: &Gateway, now: Instant, loads: &[ServiceLoad], told: Option<Vec<Count>>) {
+fn apply_loads(gateway: &Gateway, now: Instant, loads: &[ServiceLoad], told: Option<Vec<Count>>) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
         let own = told.unwrap_or_else(|| picker.own_counts());
@@ -407,7 +407,7 @@
 }
 
 /// Takes what is new in the list that was of `version`, and current at `as_of`.
-fn take_list(
+fn apply_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
     news: ListNews,
@@ -428,7 +428,7 @@
     // Before an intent or a list by which the instance may become ready.
     gateway.accept_orders(news.orders, "peer");
     gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
-    intent_reader::take_changes(gateway, &news.changes);
+    intent_reader::apply_changes(gateway, &news.changes);
     let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
         && let Some(at) = then(age_ms)
@@ -437,7 +437,7 @@
     }
     gateway.cluster_state.note_version(gateway.clock.now(), news.version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
-        take_list(gateway, list, news.list, as_of, news.list_era);
+        apply_list(gateway, list, news.list, as_of, news.list_era);
     }
     if let Some(instances) = news.instances {
         lock(&gateway.peers.candidates).take(instances);
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -29,14 +29,14 @@
     loop {
         let now = gateway.clock.now();
         if start::waits(gateway, now) {
-            gateway.reader_wanted.wait(QUESTION_PAUSE);
+            gateway.store_read_requested.wait(QUESTION_PAUSE);
             continue;
         }
         let role = gateway.peers.roster_role(now);
         lock(&gateway.store_share).set_reads_for_others(role.reader);
         let as_of = gateway.cluster_state.with_servers(|roster| roster.as_of());
         match watch.next(now, &role, as_of) {
-            RosterStep::Wait(time) => gateway.reader_wanted.wait(time),
+            RosterStep::Wait(time) => gateway.store_read_requested.wait(time),
             RosterStep::Ask => {
                 peers::catch_up(gateway);
                 watch.asked(gateway.clock.now());
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -8,7 +8,7 @@
 /// Asks until there is an intent and a list of servers, or no more is waited for.
 pub fn run(gateway: &Arc<Gateway>) {
     while waits(gateway, gateway.clock.now()) {
-        if peers::ask_seed(gateway, || gateway.cluster_state.is_complete()) {
+        if peers::query_seeds(gateway, || gateway.cluster_state.is_complete()) {
             log::info!("event=told_at_start servers_age_ms={}", servers_age_ms(gateway));
             return;
         }
