--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -44,7 +44,7 @@
     let serving = Arc::clone(gateway);
     let address = gateway.settings.addresses.metrics;
     let served = serve_small(gateway, idle, address, "metrics", move || {
-        serving.show_gauges();
+        serving.update_gauges();
         SmallAnswer { status: StatusCode::OK, text: serving.metrics.text() }
     });
     served.inspect_err(|fault| log::error!("event=no_metrics reason=\"{fault:#}\"")).ok()
--- a/src/gateway/log_sink.rs
+++ b/src/gateway/log_sink.rs
@@ -39,7 +39,7 @@
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the lines left out since the last call.
-pub fn take_left_out() -> u64 {
+pub fn take_dropped() -> u64 {
     LEFT_OUT.swap(0, Ordering::Relaxed)
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -69,7 +69,7 @@
 };
 
 /// Connections to a server of a service that no intent describes.
-const CONNECTIONS_UNKNOWN: u32 = 16;
+const DEFAULT_MAX_CONNECTIONS: u32 = 16;
 
 /// What the parts of an instance share.
 pub struct Gateway {
@@ -186,7 +186,7 @@
     }
 
     /// Returns whether the budget of `service` has a repeat.
-    pub fn has_repeat(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
+    pub fn has_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
@@ -210,7 +210,7 @@
     }
 
     /// Takes one repeat from the budget of `service`.
-    pub fn take_repeat(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
+    pub fn take_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let mut budgets = lock(&self.budgets);
         let terms = &self.settings.bounds.retries;
@@ -226,10 +226,10 @@
     }
 
     /// Returns how many connections a server of `service` takes from all instances.
-    pub fn connections_of(&self, service: &ServiceName) -> u32 {
+    pub fn max_connections(&self, service: &ServiceName) -> u32 {
         let intent = self.cluster_state.intent();
         let spec = intent.as_ref().and_then(|intent| intent.services.get(service));
-        spec.map_or(CONNECTIONS_UNKNOWN, |spec| spec.max_connections)
+        spec.map_or(DEFAULT_MAX_CONNECTIONS, |spec| spec.max_connections)
     }
 
     /// Takes over a changed list of servers.
@@ -277,7 +277,7 @@
     }
 
     /// Notes that the store answered.
-    pub fn store_answered(&self) {
+    pub fn store_responded(&self) {
         *lock(&self.store_lost) = false;
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// Brings the metrics that are looked up, not counted, up to date.
-    fn show_gauges(&self) {
+    fn update_gauges(&self) {
         let now = self.clock.now();
         self.metrics.revision(self.cluster_state.version());
         self.metrics.revision_newest(self.cluster_state.with_watch(|watch| watch.newest()));
@@ -325,7 +325,7 @@
         }
         self.metrics.cold_servers(lock(&self.picker).cold_count(now));
         self.metrics.held_requests(self.suspicion.held_count());
-        self.metrics.log_lines_left_out(log_sink::take_left_out());
+        self.metrics.log_lines_left_out(log_sink::take_dropped());
     }
 
     /// Returns whether callers should be sent here.
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -30,15 +30,15 @@
 
 /// Age up to which what is summed up of all instances is told again: a small part of the exchange's pause. Else each
 /// instance that asks would have the reports of all summed up, and the work would grow with the square of their number.
-pub(super) const SUMS_AGE: Duration = Duration::from_millis(50);
+pub(super) const SUMS_MAX_AGE: Duration = Duration::from_millis(50);
 
 /// Largest change of the intent passed on unasked, in bytes: a whole fleet's copies of a larger one would
 /// fill the link of the one instance that sends them all.
-const INTENT_PASSED_ON: usize = 16 << 10;
+const UNREQUESTED_CHANGES_MAX_BYTES: usize = 16 << 10;
 
 /// How long a thread waits for the next message before the connection is left to the watch over idle ones: a new
 /// connection's first message comes right behind it, and the next one an exchange's period later.
-const BUSY: Duration = Duration::from_millis(20);
+const NEXT_MESSAGE_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Answers another instance.
 fn answer(gateway: &Gateway, report: ExchangeReport) -> ExchangeReply {
@@ -50,7 +50,7 @@
     let changes = if report.wants_intent {
         cluster_state.changes_since(report.version)
     } else {
-        cluster_state.small_changes_since(report.version, INTENT_PASSED_ON)
+        cluster_state.small_changes_since(report.version, UNREQUESTED_CHANGES_MAX_BYTES)
     };
     let (instances, is_news) = {
         let mut candidates = lock(&gateway.peers.candidates);
@@ -82,7 +82,7 @@
         let (node, run) = (&report.from.node, report.run);
         gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
     }
-    let sums = sums(gateway, now);
+    let sums = fleet_sums(gateway, now);
     let told = cluster_state.server_list_reply(now, report.list);
     ExchangeReply {
         loads: sums.loads.clone(),
@@ -129,7 +129,7 @@
 
 /// What all instances have told, summed up.
 #[derive(Debug)]
-pub(super) struct Sums {
+pub(super) struct FleetSums {
     /// What they have in flight.
     pub(super) loads: Vec<ServiceLoad>,
     /// Servers that several find silent.
@@ -139,15 +139,15 @@
 }
 
 /// Returns what all instances have told, this one among them; summed up anew only now and then, whoever asks.
-pub(super) fn sums(gateway: &Gateway, now: Instant) -> Arc<Sums> {
-    gateway.peers.sums.get(now, || Sums {
-        loads: summary(gateway, now),
-        silent: all_silent(gateway, now),
+pub(super) fn fleet_sums(gateway: &Gateway, now: Instant) -> Arc<FleetSums> {
+    gateway.peers.fleet_sums.get(now, || FleetSums {
+        loads: service_loads(gateway, now),
+        silent: unresponsive_servers(gateway, now),
         budgets: budget_sums(gateway, now),
     })
 }
 
-fn summary(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
+fn service_loads(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
     let own_counts = lock(&gateway.picker).own_counts();
     let mut aggregate = lock(&gateway.peers.aggregate);
     aggregate.take(now, gateway.settings.node.clone(), own_counts);
@@ -163,7 +163,7 @@
     budget.sums(now)
 }
 
-fn all_silent(gateway: &Gateway, now: Instant) -> Vec<Tag> {
+fn unresponsive_servers(gateway: &Gateway, now: Instant) -> Vec<Tag> {
     let own = lock(&gateway.picker).own_silent(now);
     let mut aggregate = lock(&gateway.peers.aggregate);
     aggregate.take_silent(now, gateway.settings.node.clone(), own);
@@ -175,7 +175,7 @@
 /// # Errors
 ///
 /// The status that tells that it turns this one away too.
-fn read_for_another(gateway: &Arc<Gateway>) -> Result<(), u16> {
+fn read_store_for_peer(gateway: &Arc<Gateway>) -> Result<(), u16> {
     let servers = roster_reader::read(gateway);
     let intent = servers.and_then(|()| intent_reader::look(gateway));
     intent.map_err(|fault| {
@@ -199,7 +199,7 @@
                 EXCHANGE_PATH => {
                     let report: ExchangeReport = decode(body).map_err(|_| 400_u16)?;
                     if report.purpose == ExchangePurpose::ReadStore {
-                        read_for_another(gateway)?;
+                        read_store_for_peer(gateway)?;
                     }
                     Ok(encode(&answer(gateway, report)))
                 }
@@ -225,5 +225,5 @@
             _ => Purpose::Loads,
         },
     };
-    peer::serve_while_busy(conn, &service, BUSY)
+    peer::serve_while_busy(conn, &service, NEXT_MESSAGE_TIMEOUT)
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -20,7 +20,7 @@
     intent_reader,
     intent_relay::{OFFER_PATH, Offer, OfferReply},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
-    peer_server::{SUMS_AGE, Sums, sums},
+    peer_server::{FleetSums, SUMS_MAX_AGE, fleet_sums},
     rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
     roster_reader,
     settings::GatewaySettings,
@@ -87,7 +87,7 @@
     started: Instant,
     /// Whether this instance waits for others as it starts.
     pub(super) start: StartWatch,
-    pub(super) sums: Recent<Sums>,
+    pub(super) fleet_sums: Recent<FleetSums>,
     last_round: Mutex<Option<Instant>>,
     /// The one that reads for this one while the store turns it away.
     helper: Mutex<Helper>,
@@ -115,7 +115,7 @@
             joined: AtomicBool::new(false),
             started: clock.now(),
             start: StartWatch::new(clock.now(), is_seed, fastrand::f64()),
-            sums: Recent::new(SUMS_AGE),
+            fleet_sums: Recent::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
             helper: Mutex::default(),
         }
@@ -261,7 +261,7 @@
         let now = gateway.clock.now();
         let first = lock(&peers.candidates).first(now).cloned();
         let Some(first) = first else {
-            let sums = sums(gateway, now);
+            let sums = fleet_sums(gateway, now);
             apply_loads(gateway, now, &sums.loads, None);
             lock(&gateway.picker).told_silent(now, &sums.silent);
             gateway.set_budget_sums(now, sums.budgets.clone());
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -83,7 +83,7 @@
         },
         None => kept.insert(read_whole(gateway, as_of)?),
     };
-    gateway.store_answered();
+    gateway.store_responded();
     // The work of a look that brings nothing is not to grow with the servers.
     if let Some(told) = list.unchanged_version()
         && gateway.cluster_state.confirm_list(
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -157,7 +157,7 @@
         match gateway.conns.connect(server.address, now + CHECK_TIME) {
             Ok(conn) => {
                 lock(&self.ends).note_alive(now, &server.id);
-                let most = gateway.connections_of(&server.service);
+                let most = gateway.max_connections(&server.service);
                 gateway.conns.keep(&server.id, conn, None, most);
                 false
             }
