--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -24,7 +24,7 @@
 
 /// Keeps the list fresh until the process ends: does what `routing::roster_watch` says is next.
 pub fn run(gateway: &Arc<Gateway>) {
-    let mut watch = RosterWatch::new(gateway.settings.bounds.leaving_acted_on);
+    let mut watch = RosterWatch::new(gateway.settings.bounds.server_drain_time);
     let mut lost = false;
     loop {
         let now = gateway.clock.now();
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -25,7 +25,7 @@
     /// Peers' addresses of some other instances; may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// The platform's store.
-    pub source: RosterSource,
+    pub source: StoreSettings,
     /// Its share of processors, in cores.
     pub cores: f32,
     /// Most connections of callers at once.
@@ -53,7 +53,7 @@
 
 /// Where backend servers and the operator's intent are read.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RosterSource {
+pub struct StoreSettings {
     /// Address of the store.
     pub address: SocketAddr,
     /// Calls a second that it takes from all instances together.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Time within which a leaving backend server gets no more requests.
-    pub leaving_acted_on: Duration,
+    pub server_drain_time: Duration,
     /// Time between the signal to end and the kill.
     pub grace: Duration,
     /// Time within which a change of intent is in force.
@@ -80,6 +80,6 @@
 impl GatewaySettings {
     /// Returns the pause between two reads of the servers' list.
     pub fn roster_period(&self) -> Duration {
-        roster_watch::pause(self.bounds.leaving_acted_on)
+        roster_watch::pause(self.bounds.server_drain_time)
     }
 }
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -6,7 +6,7 @@
     clock::Clock,
     gateway::{
         GatewayHandle,
-        settings::{Addresses, Bounds, GatewaySettings, RosterSource},
+        settings::{Addresses, Bounds, GatewaySettings, StoreSettings},
     },
     routing::{RolloutTerms, StoreRates, budget::BudgetTerms},
     units::Rate,
@@ -44,7 +44,7 @@
             metrics: port(0),
         },
         seeds,
-        source: RosterSource {
+        source: StoreSettings {
             address: store,
             rates: StoreRates { reads: Rate(2000.0), writes: Rate(400.0) },
         },
@@ -53,7 +53,7 @@
         peer_connections: 100,
         body_bytes: 64 << 20,
         bounds: Bounds {
-            leaving_acted_on: Duration::from_millis(400),
+            server_drain_time: Duration::from_millis(400),
             grace: Duration::from_secs(8),
             intent_in_force: Duration::from_millis(800),
             load: 2.0,
