--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -118,14 +118,14 @@
     /// The metrics or a pipe cannot be made.
     pub fn open(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<Gateway> {
         let metrics = Metrics::new()?;
-        let share = StoreShare::new(settings.source.rates, clock.now());
+        let share = StoreShare::new(settings.store.rates, clock.now());
         let store_share = Arc::new(Mutex::new(share));
         Ok(Gateway {
             clock: clock.clone(),
             metrics: metrics.clone(),
             store: open_store(&settings, clock, metrics.clone(), &store_share),
             store_share,
-            cluster_state: ClusterState::new(settings.bounds.intent_in_force),
+            cluster_state: ClusterState::new(settings.bounds.intent_apply_time),
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
@@ -292,7 +292,7 @@
 
     /// Returns whether the intent in force is recent enough to deny a request by it.
     pub fn intent_is_fresh(&self, now: Instant) -> bool {
-        let bound = self.settings.bounds.intent_in_force.max(self.settings.roster_period() * 2);
+        let bound = self.settings.bounds.intent_apply_time.max(self.settings.roster_period() * 2);
         let is_young = self.cluster_state.intent_age(now).is_some_and(|age| age <= bound);
         is_young && self.cluster_state.with_watch(|watch| watch.is_settled(now))
     }
@@ -339,7 +339,7 @@
     /// are better off with another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
         let behind = self.cluster_state.with_watch(|watch| watch.behind_for(now));
-        behind.is_some_and(|behind| behind > self.settings.bounds.intent_in_force)
+        behind.is_some_and(|behind| behind > self.settings.bounds.intent_apply_time)
     }
 }
 
@@ -364,5 +364,5 @@
             Err(wait) => thread::sleep(wait),
         }
     };
-    Store::new(settings.source.address, clock.clone(), metrics, pace)
+    Store::new(settings.store.address, clock.clone(), metrics, pace)
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -25,7 +25,7 @@
     /// Peers' addresses of some other instances; may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// The platform's store.
-    pub source: StoreSettings,
+    pub store: StoreSettings,
     /// Its share of processors, in cores.
     pub cores: f32,
     /// Most connections of callers at once.
@@ -68,7 +68,7 @@
     /// Time between the signal to end and the kill.
     pub grace: Duration,
     /// Time within which a change of intent is in force.
-    pub intent_in_force: Duration,
+    pub intent_apply_time: Duration,
     /// Most load of an engine, as a multiple of its service's mean.
     pub load: f64,
     /// What a bad version may get of its service's requests.
--- a/tests/suite/cluster_state.rs
+++ b/tests/suite/cluster_state.rs
@@ -253,7 +253,7 @@
             let mut calm = settings(&format!("n{number}"), world.store.address(), seeds.clone());
             calm.cores = 0.1;
             calm.bounds.server_drain_time = Duration::from_secs(10);
-            calm.bounds.intent_in_force = Duration::from_secs(10);
+            calm.bounds.intent_apply_time = Duration::from_secs(10);
             GatewayHandle::spawn(calm, &Clock::system()).expect("an instance")
         })
         .collect();
--- a/tests/suite/large_intent.rs
+++ b/tests/suite/large_intent.rs
@@ -73,7 +73,7 @@
     let slack = |node: &str| {
         let mut settings = settings(node, store.address(), Vec::new());
         // Time enough that none looks for itself, however busy the machine that runs the test.
-        settings.bounds.intent_in_force = Duration::from_secs(30);
+        settings.bounds.intent_apply_time = Duration::from_secs(30);
         log_lines::start();
         GatewayHandle::spawn(settings, &Clock::system()).expect("an instance")
     };
--- a/tests/suite/starts.rs
+++ b/tests/suite/starts.rs
@@ -29,7 +29,7 @@
     let mut calm = settings(node, store, seeds.to_vec());
     calm.cores = if seeds.is_empty() { 1.0 } else { 0.1 };
     calm.bounds.server_drain_time = Duration::from_secs(60);
-    calm.bounds.intent_in_force = Duration::from_secs(60);
+    calm.bounds.intent_apply_time = Duration::from_secs(60);
     GatewayHandle::spawn(calm, &Clock::system()).expect("an instance")
 }
 
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -44,7 +44,7 @@
             metrics: port(0),
         },
         seeds,
-        source: StoreSettings {
+        store: StoreSettings {
             address: store,
             rates: StoreRates { reads: Rate(2000.0), writes: Rate(400.0) },
         },
@@ -55,7 +55,7 @@
         bounds: Bounds {
             server_drain_time: Duration::from_millis(400),
             grace: Duration::from_secs(8),
-            intent_in_force: Duration::from_millis(800),
+            intent_apply_time: Duration::from_millis(800),
             load: 2.0,
             rollouts: RolloutTerms { share: 0.1, slack: 50.0 },
             retries: BudgetTerms { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) },
