--- a/tests/suite/bodies.rs
+++ b/tests/suite/bodies.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     support::eventually,
-    world::{KEY, call, intent, settings, spawn, start},
+    testbed::{KEY, call, intent, settings, spawn, start},
 };
 
 /// A body that no socket buffer holds, so that a caller is still sending it when it is refused.
@@ -25,9 +25,9 @@
 
 #[test]
 fn a_caller_that_sends_too_much_reads_the_refusal() {
-    let world = start(1);
+    let testbed = start(1);
     for chunked in [false, true] {
-        let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+        let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
         let framing = if chunked { "transfer-encoding: chunked" } else { "content-length: 200000" };
         let head = format!(
             "POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-request-id: r\r\n\
@@ -40,14 +40,14 @@
         stream.read_to_string(&mut answer).expect("the answer is not destroyed");
         assert!(answer.starts_with("HTTP/1.1 413"), "chunked {chunked}: {answer:?}");
     }
-    assert_eq!(world.servers[0].total_runs(), 0);
+    assert_eq!(testbed.servers[0].total_runs(), 0);
 }
 
 /// The rest of the body comes only after the refusal is on its way, as from a caller behind a slow link.
 #[test]
 fn a_caller_that_goes_on_sending_after_its_refusal_reads_it() {
-    let world = start(1);
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     let head = format!(
         "POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-request-id: r\r\n\
          authorization: Bearer {KEY}\r\ncontent-length: 200000\r\n\r\n"
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_body_in_chunks_arrives_as_it_was_sent() {
-    let world = start(1);
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     let request = format!(
         "POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-request-id: r1\r\nconnection: close\r\n\
          authorization: Bearer {KEY}\r\ntransfer-encoding: chunked\r\n\r\n\
@@ -78,7 +78,7 @@
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
-    let arrived = world.servers[0].arrivals().pop().expect("an arrival");
+    let arrived = testbed.servers[0].arrivals().pop().expect("an arrival");
     assert_eq!(arrived.body, b"first second");
     assert_eq!(arrived.head.header("transfer-encoding"), None);
     assert_eq!(arrived.head.header("content-length"), Some("12"));
@@ -86,13 +86,13 @@
 
 #[test]
 fn a_head_that_does_not_come_and_an_idle_connection_end_by_the_operators_limits() {
-    let world = start(1);
+    let testbed = start(1);
     let mut shorter = intent(9);
     shorter["limits"]["header_timeout_ms"] = 200.into();
     shorter["limits"]["idle_timeout_ms"] = 300.into();
-    world.store.put("op", "config", &shorter);
+    testbed.store.put("op", "config", &shorter);
     // An instance that never knew other limits: callers that know longer ones are not cut off.
-    let instance = spawn("two", world.store.address(), Vec::new());
+    let instance = spawn("two", testbed.store.address(), Vec::new());
     eventually("ready", || {
         instance.gateway().is_ready() && instance.gateway().cluster_state.version() == 9
     });
@@ -110,23 +110,23 @@
 /// its connection is about to close is left unread.
 #[test]
 fn a_request_that_crosses_a_close_is_not_read() {
-    let world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(300)));
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(300)));
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     stream.write_all(&call("/once/", "r1").with("connection", "close").bytes()).expect("sent");
-    eventually("the first is under way", || world.runs("r1") == 1);
+    eventually("the first is under way", || testbed.runs("r1") == 1);
     stream.write_all(&call("/once/", "r2").bytes()).expect("sent");
     let mut answer = Vec::new();
     let end = stream.read_to_end(&mut answer).expect_err("unread bytes reset the connection");
     assert_eq!(end.kind(), std::io::ErrorKind::ConnectionReset);
     assert!(answer.starts_with(b"HTTP/1.1 200"));
-    assert_eq!(world.runs("r2"), 0);
+    assert_eq!(testbed.runs("r2"), 0);
 }
 
 #[test]
 fn a_head_without_end_is_refused_and_the_refusal_read() {
-    let world = start(1);
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     let head = format!("POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-long: {}", "x".repeat(1 << 20));
     stream.write_all(head.as_bytes()).expect("sent");
     let mut answer = String::new();
@@ -136,13 +136,13 @@
 
 #[test]
 fn bodies_are_bounded_together_and_their_room_is_given_back() {
-    let world = start(1);
+    let testbed = start(1);
     let mut larger = intent(9);
     larger["limits"]["max_body_bytes"] = 1_000_000.into();
-    world.store.put("op", "config", &larger);
+    testbed.store.put("op", "config", &larger);
     let settings = GatewaySettings {
         body_bytes: 100_000,
-        ..settings("small", world.store.address(), Vec::new())
+        ..settings("small", testbed.store.address(), Vec::new())
     };
     let instance = GatewayHandle::spawn(settings, &Clock::system()).expect("an instance");
     eventually("ready", || instance.gateway().is_ready());
@@ -152,7 +152,7 @@
     let refused = send("r1", 150_000);
     assert_eq!(refused.status, 503);
     assert!(!refused.header("retry-after").is_empty());
-    assert_eq!(world.runs("r1"), 0);
+    assert_eq!(testbed.runs("r1"), 0);
     // A caller may have its answer a moment before its room is given back.
     let idle = || instance.gateway().usage.requests() == 0;
     for number in 0..5 {
@@ -213,18 +213,18 @@
 #[test]
 fn an_answer_before_the_body_is_in_is_passed_on_and_its_connection_not_used_again() {
     for status in [200, 413] {
-        let world = start(1);
+        let testbed = start(1);
         let mut larger = intent(9);
         larger["limits"]["max_body_bytes"] = (2 * LARGE).into();
-        world.store.put("op", "config", &larger);
+        testbed.store.put("op", "config", &larger);
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        world.store.remove("servers", &world.servers[0].id);
-        let mut entry = world.servers[0].entry("app", "ready");
+        testbed.store.remove("servers", &testbed.servers[0].id);
+        let mut entry = testbed.servers[0].entry("app", "ready");
         entry["address"] = address.to_string().into();
-        world.store.put("servers", "early", &entry);
+        testbed.store.put("servers", "early", &entry);
         let cluster_state = || {
-            let gateway = world.instance.gateway();
+            let gateway = testbed.instance.gateway();
             let listed = |id: &str| {
                 gateway
                     .cluster_state
@@ -238,13 +238,13 @@
         let body: Vec<u8> = (0..LARGE).map(|at| (at % 251) as u8).collect();
         let large = Call { body: body.clone(), ..call("/once/", "r1") };
         let mut conn =
-            Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
+            Conn::connect(testbed.instance.callers(), Duration::from_secs(1), &Clock::system())
                 .expect("a connection");
         let answer = large.send_on(&mut conn);
         assert_eq!((answer.status, answer.text().as_str()), (status, "early"));
         go_on.send(()).expect("the server waits");
         // A request that follows must not be taken for the rest of that body.
-        let _ = call("/once/", "r2").send(world.instance.callers());
+        let _ = call("/once/", "r2").send(testbed.instance.callers());
         let arrived = server.join().expect("the server");
         assert!(body.starts_with(&arrived), "{} bytes of something else", arrived.len());
     }
--- a/tests/suite/cluster_state.rs
+++ b/tests/suite/cluster_state.rs
@@ -18,90 +18,90 @@
 
 use crate::{
     support::eventually,
-    world::{World, call, intent, route, settings, spawn, start},
+    testbed::{Testbed, call, intent, route, settings, spawn, start},
 };
 
 #[test]
 fn a_change_of_intent_is_in_force_and_an_older_one_is_not() {
-    let world = start(1);
-    assert_eq!(world.send(&call("/added/", "a")).status, 404);
+    let testbed = start(1);
+    assert_eq!(testbed.send(&call("/added/", "a")).status, 404);
     let mut next = intent(9);
     next["routes"].as_array_mut().expect("routes").push(route("added", "idempotent", "app"));
-    world.store.put("op", "config", &next);
-    eventually("the route is served", || world.send(&call("/added/", "b")).status == 200);
-    world.store.put("op", "config", &intent(7));
+    testbed.store.put("op", "config", &next);
+    eventually("the route is served", || testbed.send(&call("/added/", "b")).status == 200);
+    testbed.store.put("op", "config", &intent(7));
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(world.send(&call("/added/", "c")).status, 200);
-    assert_eq!(world.instance.gateway().cluster_state.version(), 9);
+    assert_eq!(testbed.send(&call("/added/", "c")).status, 200);
+    assert_eq!(testbed.instance.gateway().cluster_state.version(), 9);
 }
 
 #[test]
 fn an_intent_that_cannot_be_read_leaves_the_one_before_in_force() {
-    let world = start(1);
-    world.store.put_raw("op", "config", b"\xff{not json".to_vec());
-    world.store.put("op", "config", &json!({"routes": []}));
+    let testbed = start(1);
+    testbed.store.put_raw("op", "config", b"\xff{not json".to_vec());
+    testbed.store.put("op", "config", &json!({"routes": []}));
     let mut partly = intent(9);
     let routes = partly["routes"].as_array_mut().expect("routes");
     routes.push(json!({"name": "odd", "type": "telepathic"}));
     routes.push(route("added", "idempotent", "app"));
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(world.send(&call("/idem/", "a")).status, 200);
-    world.store.put("op", "config", &partly);
-    eventually("the rest is in force", || world.send(&call("/added/", "b")).status == 200);
+    assert_eq!(testbed.send(&call("/idem/", "a")).status, 200);
+    testbed.store.put("op", "config", &partly);
+    eventually("the rest is in force", || testbed.send(&call("/added/", "b")).status == 200);
 }
 
 #[test]
 fn history_that_is_gone_is_read_anew() {
-    let world = start(1);
-    world.store.forget_history();
-    world.store.put("op", "config", &intent(9));
-    let version = || world.instance.gateway().cluster_state.version();
+    let testbed = start(1);
+    testbed.store.forget_history();
+    testbed.store.put("op", "config", &intent(9));
+    let version = || testbed.instance.gateway().cluster_state.version();
     eventually("the new version is in force", || version() == 9);
 }
 
 #[test]
 fn a_leaving_server_gets_nothing_new_and_a_gone_one_neither() {
-    let world = start(2);
-    let leaving = &world.servers[0];
-    world.store.put("servers", &leaving.id, &leaving.entry("app", "draining"));
+    let testbed = start(2);
+    let leaving = &testbed.servers[0];
+    testbed.store.put("servers", &leaving.id, &leaving.entry("app", "draining"));
     std::thread::sleep(Duration::from_millis(500));
     let before = leaving.arrivals().len();
-    (0..20).for_each(|i| assert_eq!(world.send(&call("/idem/", &format!("a{i}"))).status, 200));
+    (0..20).for_each(|i| assert_eq!(testbed.send(&call("/idem/", &format!("a{i}"))).status, 200));
     assert_eq!(leaving.arrivals().len(), before);
-    world.store.put("servers", &leaving.id, &leaving.entry("app", "ready"));
-    world.store.remove("servers", &world.servers[1].id);
+    testbed.store.put("servers", &leaving.id, &leaving.entry("app", "ready"));
+    testbed.store.remove("servers", &testbed.servers[1].id);
     std::thread::sleep(Duration::from_millis(500));
-    let before = world.servers[1].arrivals().len();
-    (0..20).for_each(|i| assert_eq!(world.send(&call("/idem/", &format!("b{i}"))).status, 200));
-    assert_eq!(world.servers[1].arrivals().len(), before);
+    let before = testbed.servers[1].arrivals().len();
+    (0..20).for_each(|i| assert_eq!(testbed.send(&call("/idem/", &format!("b{i}"))).status, 200));
+    assert_eq!(testbed.servers[1].arrivals().len(), before);
 }
 
 #[test]
 fn malformed_entries_are_passed_over() {
-    let world = start(1);
-    world.store.put_raw("servers", "no-json", b"{".to_vec());
-    world.store.put("servers", "no-address", &json!({"service": "app", "zone": "north"}));
-    world.store.put(
+    let testbed = start(1);
+    testbed.store.put_raw("servers", "no-json", b"{".to_vec());
+    testbed.store.put("servers", "no-address", &json!({"service": "app", "zone": "north"}));
+    testbed.store.put(
         "servers",
         "bad-address",
         &json!({"service": "app", "zone": "n", "address": "x"}),
     );
     std::thread::sleep(Duration::from_millis(500));
-    (0..10).for_each(|i| assert_eq!(world.send(&call("/once/", &format!("a{i}"))).status, 200));
+    (0..10).for_each(|i| assert_eq!(testbed.send(&call("/once/", &format!("a{i}"))).status, 200));
 }
 
 #[test]
 fn whatever_the_store_does_requests_are_served_and_its_return_is_noticed() {
     let modes = StoreMode::failing(120);
-    let world = start(1);
+    let testbed = start(1);
     for (number, mode) in modes.into_iter().enumerate() {
-        world.store.set_mode(mode);
+        testbed.store.set_mode(mode);
         std::thread::sleep(Duration::from_millis(600));
-        assert_eq!(world.send(&call("/once/", &format!("{mode:?}"))).status, 200, "{mode:?}");
+        assert_eq!(testbed.send(&call("/once/", &format!("{mode:?}"))).status, 200, "{mode:?}");
         let version = 100 + number as u64;
-        world.store.put("op", "config", &intent(version));
-        world.store.set_mode(StoreMode::Up);
-        let known = || world.instance.gateway().cluster_state.version();
+        testbed.store.put("op", "config", &intent(version));
+        testbed.store.set_mode(StoreMode::Up);
+        let known = || testbed.instance.gateway().cluster_state.version();
         eventually("the change made meanwhile is in force", || known() == version);
     }
 }
@@ -128,29 +128,29 @@
 
 #[test]
 fn a_denial_needs_fresh_knowledge() {
-    let world = start(1);
-    assert_eq!(world.send(&call("/nothing/", "a")).status, 404);
-    world.store.set_mode(StoreMode::Busy);
+    let testbed = start(1);
+    assert_eq!(testbed.send(&call("/nothing/", "a")).status, 404);
+    testbed.store.set_mode(StoreMode::Busy);
     std::thread::sleep(Duration::from_millis(1500));
-    assert_eq!(world.send(&call("/nothing/", "b")).status, 503);
-    assert_eq!(world.send(&call("/idem/", "c")).status, 200, "what is known to be served is");
+    assert_eq!(testbed.send(&call("/nothing/", "b")).status, 503);
+    assert_eq!(testbed.send(&call("/idem/", "c")).status, 200, "what is known to be served is");
 }
 
 #[test]
 fn news_come_from_peers_when_the_store_turns_an_instance_away() {
-    let world = start(2);
+    let testbed = start(2);
     let other_store = StoreStandIn::spawn().expect("a store");
     other_store.set_mode(StoreMode::Busy);
-    let cut_off = spawn("two", other_store.address(), vec![world.instance.peers()]);
+    let cut_off = spawn("two", other_store.address(), vec![testbed.instance.peers()]);
     eventually("ready by its peer", || cut_off.gateway().is_ready());
     let status = |target: &str, id: &str| call(target, id).send(cut_off.callers()).status;
     assert_eq!(status("/idem/", "a"), 200);
     let mut next = intent(9);
     next["tenants"][0]["api_keys"] = json!(["another-key"]);
     next["padding"] = "x".repeat(40_000).into();
-    world.store.put("op", "config", &next);
+    testbed.store.put("op", "config", &next);
     eventually("the key is gone", || status("/idem/", "b") == 401);
-    world.store.remove("servers", &world.servers[0].id);
+    testbed.store.remove("servers", &testbed.servers[0].id);
     eventually("the server is gone", || {
         cut_off.gateway().cluster_state.with_servers(|roster| roster.servers().count()) == 1
     });
@@ -161,9 +161,9 @@
 // made on a day with four changes, where a calm one takes 2,577.
 #[test]
 fn an_instance_that_is_asked_out_of_turn_does_not_read_for_others() {
-    let world = start(1);
-    let other = spawn("two", world.store.address(), Vec::new());
-    let both = [&world.instance, &other];
+    let testbed = start(1);
+    let other = spawn("two", testbed.store.address(), Vec::new());
+    let both = [&testbed.instance, &other];
     eventually("they know of each other", || both.iter().all(|i| i.gateway().instances() == 2));
     let away = StoreStandIn::spawn().expect("a store");
     away.set_mode(StoreMode::Busy);
@@ -181,30 +181,30 @@
 
 #[test]
 fn an_instance_divides_what_all_share_by_those_that_turned_to_it() {
-    let world = start(1);
+    let testbed = start(1);
     let other_store = StoreStandIn::spawn().expect("a store");
     other_store.set_mode(StoreMode::Busy);
-    let cut_off = spawn("two", other_store.address(), vec![world.instance.peers()]);
+    let cut_off = spawn("two", other_store.address(), vec![testbed.instance.peers()]);
     let position =
         |instance: &GatewayHandle| instance.gateway().picker.lock().expect("the picker").position();
     // The other has no row in the store: it is known by what it told only.
     eventually("both know of two", || {
-        position(&world.instance).instances == 2 && position(&cut_off).instances == 2
+        position(&testbed.instance).instances == 2 && position(&cut_off).instances == 2
     });
-    assert_ne!(position(&world.instance).number, position(&cut_off).number);
+    assert_ne!(position(&testbed.instance).number, position(&cut_off).number);
 }
 
 #[test]
 fn instances_count_each_others_requests() {
-    let world = start(3);
-    let two = spawn("two", world.store.address(), Vec::new());
+    let testbed = start(3);
+    let two = spawn("two", testbed.store.address(), Vec::new());
     eventually("they know of each other", || {
-        two.gateway().instances() == 2 && world.instance.gateway().instances() == 2
+        two.gateway().instances() == 2 && testbed.instance.gateway().instances() == 2
     });
-    world.fault(Fault::Late(Duration::from_millis(1800)));
+    testbed.fault(Fault::Late(Duration::from_millis(1800)));
     let busy: Vec<_> = (0..6)
         .map(|i| {
-            let callers = world.instance.callers();
+            let callers = testbed.instance.callers();
             std::thread::spawn(move || call("/once/", &format!("r{i}")).send(callers))
         })
         .collect();
@@ -227,10 +227,10 @@
 
 #[test]
 fn one_instance_reads_the_store_for_the_others() {
-    let world = start(1);
+    let testbed = start(1);
     let others: Vec<GatewayHandle> =
-        (0..5).map(|i| spawn(&format!("n{i}"), world.store.address(), Vec::new())).collect();
-    let all = || others.iter().chain([&world.instance]);
+        (0..5).map(|i| spawn(&format!("n{i}"), testbed.store.address(), Vec::new())).collect();
+    let all = || others.iter().chain([&testbed.instance]);
     let readers = || {
         let now = Clock::system().now();
         all().filter(|instance| instance.gateway().peers.is_reader(now)).count()
@@ -245,12 +245,12 @@
 #[test]
 fn instances_that_start_together_call_the_store_three_times_each() {
     const INSTANCES: usize = 20;
-    let world = start(1);
-    let seeds = vec![world.instance.peers()];
-    let before: usize = calls(&world);
+    let testbed = start(1);
+    let seeds = vec![testbed.instance.peers()];
+    let before: usize = calls(&testbed);
     let spawned: Vec<GatewayHandle> = (0..INSTANCES)
         .map(|number| {
-            let mut calm = settings(&format!("n{number}"), world.store.address(), seeds.clone());
+            let mut calm = settings(&format!("n{number}"), testbed.store.address(), seeds.clone());
             calm.cores = 0.1;
             calm.bounds.server_drain_time = Duration::from_secs(10);
             calm.bounds.intent_apply_time = Duration::from_secs(10);
@@ -265,13 +265,13 @@
     let reads =
         |i: &GatewayHandle| i.gateway().metrics.text().lines().map(store_calls).sum::<usize>();
     let each: Vec<usize> = spawned.iter().map(reads).collect();
-    assert!(calls(&world) > before);
+    assert!(calls(&testbed) > before);
     let all: usize = each.iter().sum();
     assert!(all <= 3 * INSTANCES + 5, "{all} calls: {each:?}");
 }
 
-fn calls(world: &World) -> usize {
-    ["/v1/rows-get", "/v1/rows-tx", "/v1/rows-feed"].iter().map(|p| world.store.calls(p)).sum()
+fn calls(testbed: &Testbed) -> usize {
+    ["/v1/rows-get", "/v1/rows-tx", "/v1/rows-feed"].iter().map(|p| testbed.store.calls(p)).sum()
 }
 
 /// Calls to the store that a line of the metrics counts.
--- a/tests/suite/cold_servers.rs
+++ b/tests/suite/cold_servers.rs
@@ -12,7 +12,7 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{call, intent, spawn},
+    testbed::{call, intent, spawn},
 };
 
 /// What a cold server takes, in requests a second; and what it bears, as its operator states it.
--- a/tests/suite/deadly.rs
+++ b/tests/suite/deadly.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     support::eventually,
-    world::{KEY, intent, settings},
+    testbed::{KEY, intent, settings},
 };
 
 const DEADLY: &str = "the body that ends a server";
--- a/tests/suite/evacuations.rs
+++ b/tests/suite/evacuations.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     support::eventually,
-    world::{call, intent, spawn},
+    testbed::{call, intent, spawn},
 };
 
 /// Time from the store's acknowledgement within which nothing more reaches the zone's servers.
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -13,12 +13,12 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{KEY, call, settings, spawn, start, start_sharing},
+    testbed::{KEY, call, settings, spawn, start, start_sharing},
 };
 
 #[test]
 fn a_request_reaches_a_server_unchanged_but_for_what_is_ours() {
-    let world = start(1);
+    let testbed = start(1);
     let target = "/idem/a%20b/../c?q=1&x=%2F";
     let sent = call(target, "r1")
         .with("x-tenant", "somebody-else")
@@ -26,12 +26,12 @@
         .with("x-kept", "as it is")
         .with("connection", "keep-alive, x-dropped")
         .with("x-dropped", "hop by hop");
-    let answer = world.send(&sent);
+    let answer = testbed.send(&sent);
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.text(), expected(target, b"some body"));
     assert_eq!(answer.header("x-response-seal"), "s0");
     assert_eq!(answer.header("x-request-id"), "r1");
-    let arrived = world.servers[0].arrivals().pop().expect("an arrival");
+    let arrived = testbed.servers[0].arrivals().pop().expect("an arrival");
     let header = |name| arrived.head.header(name);
     assert_eq!(arrived.head.target, target);
     assert_eq!(arrived.body, b"some body");
@@ -48,8 +48,8 @@
 
 #[test]
 fn a_stream_comes_event_by_event_with_its_head() {
-    let world = start(1);
-    let answer = world.send(&call("/stream/x", "r1"));
+    let testbed = start(1);
+    let answer = testbed.send(&call("/stream/x", "r1"));
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.text(), events(1));
     assert!(answer.pieces.len() > EVENTS / 2, "{:?}", answer.pieces);
@@ -58,7 +58,7 @@
 
 #[test]
 fn what_may_not_be_served_is_refused_and_does_not_run() {
-    let world = start(1);
+    let testbed = start(1);
     let no_key = Call { headers: vec![("x-request-id".into(), "k".into())], ..call("/idem/", "k") };
     let cases: [(&str, Call, u16); 9] = [
         ("no route", call("/nothing/", "a"), 404),
@@ -76,25 +76,25 @@
         ("large head", call("/idem/", "g").with("x-long", "x".repeat(5000)), 431),
     ];
     for (what, call, status) in cases {
-        assert_eq!(world.send(&call).status, status, "{what}");
+        assert_eq!(testbed.send(&call).status, status, "{what}");
     }
     let only = |ms: &str| {
         Call::post("/idem/", KEY, "").with("x-request-id", "h").with("x-deadline-ms", ms)
     };
     for ms in ["-5", "0", "NaN", "1e400"] {
-        assert_eq!(world.send(&only(ms)).status, 400, "deadline {ms}");
+        assert_eq!(testbed.send(&only(ms)).status, 400, "deadline {ms}");
     }
-    assert_eq!(world.servers[0].total_runs(), 1, "the first of two deadlines was a good one");
+    assert_eq!(testbed.servers[0].total_runs(), 1, "the first of two deadlines was a good one");
     let public =
         Call { headers: vec![("x-request-id".into(), "p".into())], ..call("/public/", "p") };
-    assert_eq!(world.send(&public).status, 200);
+    assert_eq!(testbed.send(&public).status, 200);
 }
 
 /// Each fault of a server, met by each kind of request: the status that the caller gets, and how
 /// often the request ran.
 #[test]
 fn faults_of_servers_are_answered_truly() {
-    let world = start_sharing(3);
+    let testbed = start_sharing(3);
     let stall = Fault::StallHead(Duration::from_millis(1500));
     // (fault of the first server met, status and runs of an idempotent request, of another)
     let table = [
@@ -114,19 +114,19 @@
     for (number, (fault, idempotent, once)) in table.into_iter().enumerate() {
         for (path, (status, runs)) in [("/idem/", idempotent), ("/once/", once)] {
             // A server whose address answered as another is forgotten until it is listed anew.
-            for server in &world.servers {
-                world.store.put("servers", &server.id, &server.entry("app", "ready"));
+            for server in &testbed.servers {
+                testbed.store.put("servers", &server.id, &server.entry("app", "ready"));
             }
-            let instance = spawn("fresh", world.store.address(), Vec::new());
+            let instance = spawn("fresh", testbed.store.address(), Vec::new());
             eventually("ready", || instance.gateway().is_ready());
             let id = format!("{path}{number}");
             // Whichever server is met first has the fault, the others have none.
-            world.servers[0].faults.clear();
-            world.servers[0].faults.push([fault]);
+            testbed.servers[0].faults.clear();
+            testbed.servers[0].faults.push([fault]);
             let answer = call(path, &id).send(instance.callers());
             let led_to = || log_lines::with(&[&format!("request={id} ")]);
             assert_eq!(answer.status, status, "{fault:?} {path}{}", led_to());
-            assert_eq!(world.runs(&id), runs, "{fault:?} {path}{}", led_to());
+            assert_eq!(testbed.runs(&id), runs, "{fault:?} {path}{}", led_to());
             if status == 200 {
                 assert_eq!(answer.text(), expected(path, b"some body"), "{fault:?} {path}");
                 assert!(answer.whole, "{fault:?} {path}");
@@ -137,25 +137,25 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back_and_is_true() {
-    let world = start(2);
-    world.fault(Fault::RefuseNotRun);
+    let testbed = start(2);
+    testbed.fault(Fault::RefuseNotRun);
     for path in ["/idem/", "/once/", "/stream/"] {
-        let answer = world.send(&call(path, path));
+        let answer = testbed.send(&call(path, path));
         assert_eq!(answer.status, 503, "{path}");
         let after: f64 = answer.header("retry-after").parse().expect("a time");
         assert!(after > 0.0 && after < 1.0, "{after}");
-        assert_eq!(world.runs(path), 0);
+        assert_eq!(testbed.runs(path), 0);
     }
 }
 
 #[test]
 fn an_unreachable_server_is_passed_over() {
-    let mut world = start(3);
-    world.servers[0].stop();
+    let mut testbed = start(3);
+    testbed.servers[0].stop();
     for number in 0..20 {
         let id = format!("r{number}");
-        assert_eq!(world.send(&call("/once/", &id)).status, 200);
-        assert_eq!(world.runs(&id), 1);
+        assert_eq!(testbed.send(&call("/once/", &id)).status, 200);
+        assert_eq!(testbed.runs(&id), 1);
     }
 }
 
@@ -167,12 +167,12 @@
         Fault::CloseAfterRun,
         Fault::SilentAfter(3, Duration::from_secs(3)),
     ] {
-        let world = start(2);
-        world.servers.iter().for_each(|server| server.faults.push([fault]));
-        world.servers[0].faults.clear();
+        let testbed = start(2);
+        testbed.servers.iter().for_each(|server| server.faults.push([fault]));
+        testbed.servers[0].faults.clear();
         for number in 0..4 {
             let id = format!("r{number}");
-            let answer = world.send(&call("/stream-resumable/x", &id));
+            let answer = testbed.send(&call("/stream-resumable/x", &id));
             let led_to = || log_lines::with(&[&format!("request={id} ")]);
             assert_eq!((answer.status, answer.whole), (200, true), "{fault:?}{}", led_to());
             assert_eq!(answer.text(), events(1), "{fault:?}{}", led_to());
@@ -182,67 +182,67 @@
 
 #[test]
 fn a_stream_that_breaks_and_may_not_go_on_does_not_look_whole() {
-    let world = start(2);
-    world.fault(Fault::BreakAfter(3));
-    let answer = world.send(&call("/stream/x", "r1"));
+    let testbed = start(2);
+    testbed.fault(Fault::BreakAfter(3));
+    let answer = testbed.send(&call("/stream/x", "r1"));
     assert_eq!((answer.status, answer.whole), (200, false));
     assert!(events(1).starts_with(&answer.text()), "only whole events, in order");
-    assert_eq!(world.runs("r1"), 1);
-    world.fault(Fault::CloseAfterRun);
-    let answer = world.send(&call("/stream/x", "r2"));
+    assert_eq!(testbed.runs("r1"), 1);
+    testbed.fault(Fault::CloseAfterRun);
+    let answer = testbed.send(&call("/stream/x", "r2"));
     assert_eq!(answer.status, 502);
-    assert_eq!(world.runs("r2"), 1);
+    assert_eq!(testbed.runs("r2"), 1);
 }
 
 #[test]
 fn at_the_routes_timeout_there_is_a_final_answer() {
-    let world = start(2);
-    world.fault(Fault::StallHead(Duration::from_secs(2)));
-    let answer = world.send(&call("/short/", "r1"));
+    let testbed = start(2);
+    testbed.fault(Fault::StallHead(Duration::from_secs(2)));
+    let answer = testbed.send(&call("/short/", "r1"));
     assert_eq!(answer.status, 504);
-    assert_eq!(world.runs("r1"), 1);
+    assert_eq!(testbed.runs("r1"), 1);
 }
 
 /// A slow server is not given up on where no other can take the request over.
 #[test]
 fn a_slow_answer_is_waited_for_where_nobody_else_can_give_one() {
-    let world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(700)));
-    assert_eq!(world.send(&call("/idem/", "r1")).status, 200);
-    assert_eq!(world.runs("r1"), 1);
+    let testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(700)));
+    assert_eq!(testbed.send(&call("/idem/", "r1")).status, 200);
+    assert_eq!(testbed.runs("r1"), 1);
 }
 
 /// What was free elsewhere when the wait began may be taken by the time that patience is over: a request
 /// that is given up then is only lost.
 #[test]
 fn a_slow_answer_is_waited_for_where_the_last_repeat_was_taken_meanwhile() {
-    let world = start(2);
-    world.fault(Fault::Late(Duration::from_millis(900)));
-    let callers = world.instance.callers();
+    let testbed = start(2);
+    testbed.fault(Fault::Late(Duration::from_millis(900)));
+    let callers = testbed.instance.callers();
     let caller = std::thread::spawn(move || call("/idem/", "r1").send(callers));
-    eventually("it is under way", || world.runs("r1") == 1);
-    let gateway = world.instance.gateway();
+    eventually("it is under way", || testbed.runs("r1") == 1);
+    let gateway = testbed.instance.gateway();
     let (now, service) = (gateway.clock.now(), "app".parse().expect("a name"));
     while gateway.take_retry(now, &service, 0.0) {}
     assert_eq!(caller.join().expect("an answer").status, 200);
-    assert_eq!(world.runs("r1"), 1);
+    assert_eq!(testbed.runs("r1"), 1);
 }
 
 /// What waits at a server in vain speaks against it long before its own time is over, also where it may run
 /// only once.
 #[test]
 fn a_silent_server_is_passed_over_before_its_requests_have_failed() {
-    let world = start(2);
+    let testbed = start(2);
     for number in 0..20 {
-        assert_eq!(world.send(&call("/once/", &format!("w{number}"))).status, 200);
+        assert_eq!(testbed.send(&call("/once/", &format!("w{number}"))).status, 200);
     }
-    world.servers[0].faults.set_standing(Some(Fault::StallHead(Duration::from_secs(3))));
-    let callers = world.instance.callers();
+    testbed.servers[0].faults.set_standing(Some(Fault::StallHead(Duration::from_secs(3))));
+    let callers = testbed.instance.callers();
     let waiting: Vec<_> = (0..12)
         .map(|i| std::thread::spawn(move || call("/once/", &format!("s{i}")).send(callers).status))
         .collect();
-    let silent = world.servers[0].id.parse().expect("an id");
-    let gateway = world.instance.gateway();
+    let silent = testbed.servers[0].id.parse().expect("an id");
+    let gateway = testbed.instance.gateway();
     eventually("it is passed over", || {
         let now = gateway.clock.now();
         let picker = gateway.picker.lock().expect("the picker");
@@ -260,18 +260,18 @@
 /// Whatever a request's kind, what may end with its caller does, before its first byte and after.
 #[test]
 fn a_caller_that_leaves_ends_its_stream() {
-    let world = start(1);
+    let testbed = start(1);
     for fault in
         [Fault::StallHead(Duration::from_secs(3)), Fault::SilentAfter(2, Duration::from_secs(3))]
     {
-        world.fault(fault);
+        testbed.fault(fault);
         let target = if matches!(fault, Fault::StallHead(_)) { "/idem/" } else { "/stream/" };
         let mut conn =
-            Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
+            Conn::connect(testbed.instance.callers(), Duration::from_secs(1), &Clock::system())
                 .expect("a connection");
         conn.send(&call(target, "r1").bytes(), Duration::from_secs(1)).expect("sent");
         let in_flight = || {
-            let picker = world.instance.gateway().picker.lock().expect("the picker");
+            let picker = testbed.instance.gateway().picker.lock().expect("the picker");
             picker.in_flight().map(|(_, own)| own).sum::<u32>()
         };
         eventually("it is under way", || in_flight() == 1);
@@ -284,9 +284,9 @@
 #[test]
 fn a_caller_that_half_closes_still_gets_its_answer() {
     use std::io::{Read, Write};
-    let world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(200)));
-    let mut stream = std::net::TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(200)));
+    let mut stream = std::net::TcpStream::connect(testbed.instance.callers()).expect("connected");
     stream.write_all(&call("/once/", "r1").bytes()).expect("sent");
     stream.shutdown(std::net::Shutdown::Write).expect("half closed");
     let mut answer = String::new();
@@ -297,8 +297,8 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     use std::io::{Read, Write};
-    let world = start(1);
-    let mut stream = std::net::TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = std::net::TcpStream::connect(testbed.instance.callers()).expect("connected");
     let last = call("/once/", "r3").with("connection", "close").bytes();
     let all = [call("/once/", "r1").bytes(), call("/idem/", "r2").bytes(), last].concat();
     stream.write_all(&all).expect("sent");
@@ -311,10 +311,10 @@
 
 #[test]
 fn metrics_tell_of_requests_and_of_what_is_believed() {
-    let world = start(1);
-    (0..3).for_each(|i| assert_eq!(world.send(&call("/idem/", &format!("r{i}"))).status, 200));
+    let testbed = start(1);
+    (0..3).for_each(|i| assert_eq!(testbed.send(&call("/idem/", &format!("r{i}"))).status, 200));
     let get = Call { method: "GET".into(), ..call("/metrics", "m") };
-    let text = get.send(world.instance.metrics().expect("metrics")).text();
+    let text = get.send(testbed.instance.metrics().expect("metrics")).text();
     for name in [
         "cartvane_requests_total{outcome=\"run\",service=\"app\",status=\"200\"} 3",
         "cartvane_knowledge_age_seconds{subject=\"servers\"}",
@@ -327,9 +327,9 @@
 
 #[test]
 fn kept_connections_serve_request_after_request() {
-    let world = start(1);
+    let testbed = start(1);
     let mut conn =
-        Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
+        Conn::connect(testbed.instance.callers(), Duration::from_secs(1), &Clock::system())
             .expect("a connection");
     for number in 0..10 {
         let target = if number % 2 == 0 { "/once/" } else { "/stream/" };
@@ -340,13 +340,13 @@
 
 #[test]
 fn a_drain_finishes_what_is_under_way_and_refuses_what_cannot_finish() {
-    let mut world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(600)));
-    let callers = world.instance.callers();
+    let mut testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(600)));
+    let callers = testbed.instance.callers();
     let under_way = std::thread::spawn(move || call("/once/", "r1").send(callers));
     std::thread::sleep(Duration::from_millis(200));
     let idle = Conn::connect(callers, Duration::from_secs(1), &Clock::system()).expect("a conn");
-    let instance = world.instance;
+    let instance = testbed.instance;
     let readiness = instance.readiness();
     let draining = std::thread::spawn(move || (instance.drain(), instance));
     std::thread::sleep(Duration::from_millis(100));
@@ -358,7 +358,7 @@
     let (clean, instance) = draining.join().expect("a drain");
     assert!(clean);
     assert_ne!(idle.state(), cartvane::link::http1::conn::ConnState::Open);
-    world.instance = instance;
+    testbed.instance = instance;
 }
 
 // Many streams that break off at the same time, whose next runs break off too: as many go on as the budget of all
@@ -367,12 +367,12 @@
 fn streams_that_break_off_together_go_on_within_the_budget() {
     const STREAMS: usize = 40;
     const SLACK: usize = 10;
-    let world = start(3);
-    let mut tight = settings("tight", world.store.address(), Vec::new());
+    let testbed = start(3);
+    let mut tight = settings("tight", testbed.store.address(), Vec::new());
     tight.bounds.retries.slack = SLACK as f64;
     let instance = GatewayHandle::spawn(tight, &Clock::system()).expect("an instance");
     eventually("it is ready", || instance.gateway().is_ready());
-    world.fault(Fault::BreakAfter(2));
+    testbed.fault(Fault::BreakAfter(2));
     let callers = instance.callers();
     let streams: Vec<_> = (0..STREAMS)
         .map(|i| {
@@ -383,9 +383,9 @@
         let answer = stream.join().expect("an answer");
         assert_eq!((answer.status, answer.whole), (200, false), "stream {number}");
         assert!(events(1).starts_with(&answer.text()), "only whole events, each once, in order");
-        assert!((1..=3).contains(&world.runs(&format!("r{number}"))), "stream {number}");
+        assert!((1..=3).contains(&testbed.runs(&format!("r{number}"))), "stream {number}");
     }
-    let runs: u32 = world.servers.iter().map(|server| server.total_runs()).sum();
+    let runs: u32 = testbed.servers.iter().map(|server| server.total_runs()).sum();
     let allowed = STREAMS + SLACK + STREAMS / 5;
     assert!((STREAMS + 1..=allowed).contains(&(runs as usize)), "{runs} runs");
 }
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -27,7 +27,7 @@
 use crate::{
     routing::{list, picker, server},
     support::eventually,
-    world::{intent, spawn},
+    testbed::{intent, spawn},
 };
 
 const SMALL: usize = 1_000;
--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -43,7 +43,7 @@
     Exchange(usize),
 }
 
-struct World {
+struct Testbed {
     case: Case,
     servers: Vec<BackendServer>,
     pickers: Vec<Picker>,
@@ -71,8 +71,8 @@
     }
 }
 
-impl World {
-    fn new(case: Case) -> World {
+impl Testbed {
+    fn new(case: Case) -> Testbed {
         let zone = |number| if number < case.emptied { "emptied" } else { "z" };
         let servers: Vec<BackendServer> = (0..case.servers).map(|n| server(n, zone(n))).collect();
         let list: Vec<_> = servers.iter().cloned().map(std::sync::Arc::new).collect();
@@ -83,7 +83,7 @@
             picker.set_position(FleetPosition { number, instances: case.instances });
             picker
         };
-        World {
+        Testbed {
             pickers: (0..case.instances).map(picker).collect(),
             aggregate: Aggregate::default(),
             loads: vec![0; case.servers],
@@ -141,7 +141,7 @@
 
 /// Plays a case and returns the share of arrivals beyond the bound.
 fn play(case: Case) -> f64 {
-    let mut world = World::new(case);
+    let mut testbed = Testbed::new(case);
     let start = Instant::now();
     let mut queue = BinaryHeap::new();
     let mut rng = fastrand::Rng::with_seed(11);
@@ -160,18 +160,18 @@
         }
         match next {
             Next::Call(caller) => {
-                world.call(start + at, caller, at >= WARM_UP);
+                testbed.call(start + at, caller, at >= WARM_UP);
                 let takes = case.takes.mul_f64(0.8 + 0.4 * rng.f64());
                 push(&mut queue, at + takes, Next::Call(caller));
             }
             Next::Exchange(instance) => {
-                world.exchange(start + at, instance);
+                testbed.exchange(start + at, instance);
                 let period = case.period.mul_f64(0.9 + 0.2 * rng.f64());
                 push(&mut queue, at + period, Next::Exchange(instance));
             }
         }
     }
-    f64::from(world.beyond) / f64::from(world.arrivals)
+    f64::from(testbed.beyond) / f64::from(testbed.arrivals)
 }
 
 #[test]
--- a/tests/suite/homes_of_requests.rs
+++ b/tests/suite/homes_of_requests.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     support::eventually,
-    world::{call, intent, route, spawn},
+    testbed::{call, intent, route, spawn},
 };
 
 fn entry(server: &Listed, zone: &str) -> Value {
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -23,7 +23,7 @@
 use crate::{
     routing::{list, picker, server},
     support::eventually,
-    world::{World, call, start},
+    testbed::{Testbed, call, start},
 };
 
 /// The entry of an incarnation that started at `born`, in Unix milliseconds.
@@ -33,18 +33,18 @@
     entry
 }
 
-fn put(world: &World, server: &Listed, state: &str, born: u64) {
-    world.store.put("servers", &server.id, &entry(server, state, born));
+fn put(testbed: &Testbed, server: &Listed, state: &str, born: u64) {
+    testbed.store.put("servers", &server.id, &entry(server, state, born));
 }
 
-fn own_in_flight(world: &World) -> u32 {
-    let picker = world.instance.gateway().picker.lock().expect("the picker");
+fn own_in_flight(testbed: &Testbed) -> u32 {
+    let picker = testbed.instance.gateway().picker.lock().expect("the picker");
     picker.own_counts().iter().map(|(_, count)| count).sum()
 }
 
-fn asks_until_served(world: &World, what: &str) {
+fn asks_until_served(testbed: &Testbed, what: &str) {
     eventually(what, || {
-        world.send(&call("/idem/", &format!("{what}-{}", fastrand::u64(..)))).status == 200
+        testbed.send(&call("/idem/", &format!("{what}-{}", fastrand::u64(..)))).status == 200
     });
 }
 
@@ -52,22 +52,22 @@
 // ran: the change from leaving to ready was seen as no change at all, so the picker never learnt of it.
 #[test]
 fn a_server_that_left_is_used_again_after_its_next_start() {
-    let world = start(1);
-    let server = &world.servers[0];
-    put(&world, server, "ready", 1000);
-    asks_until_served(&world, "first");
-    put(&world, server, "draining", 1000);
-    eventually("nothing is sent to it", || world.send(&call("/idem/", "leaving")).status == 503);
-    put(&world, server, "ready", 2000);
-    asks_until_served(&world, "again");
+    let testbed = start(1);
+    let server = &testbed.servers[0];
+    put(&testbed, server, "ready", 1000);
+    asks_until_served(&testbed, "first");
+    put(&testbed, server, "draining", 1000);
+    eventually("nothing is sent to it", || testbed.send(&call("/idem/", "leaving")).status == 503);
+    put(&testbed, server, "ready", 2000);
+    asks_until_served(&testbed, "again");
 }
 
 // Entries come from many writers: a field may be missing or of another type, a state may be one that is not known.
 // An unknown state counted as ready, and a server whose state could not be told got requests.
 #[test]
 fn an_entry_that_is_not_understood_names_no_server_to_use() {
-    let world = start(2);
-    let (good, spoiled) = (&world.servers[0], &world.servers[1]);
+    let testbed = start(2);
+    let (good, spoiled) = (&testbed.servers[0], &testbed.servers[1]);
     let whole = spoiled.entry("app", "ready");
     let with = |name: &str, value: Value| {
         let mut entry = whole.clone();
@@ -95,37 +95,37 @@
         with("version", json!(3)),
     ];
     for (number, entry) in odd.into_iter().enumerate() {
-        world.store.put("servers", &spoiled.id, &whole);
-        eventually("both are used", || servers_in_use(&world) == 2);
-        world.store.put("servers", &spoiled.id, &entry);
+        testbed.store.put("servers", &spoiled.id, &whole);
+        eventually("both are used", || servers_in_use(&testbed) == 2);
+        testbed.store.put("servers", &spoiled.id, &entry);
         eventually(&format!("entry {number} names no server: {entry}"), || {
-            servers_in_use(&world) == 1
+            servers_in_use(&testbed) == 1
         });
         let before = spoiled.arrivals().len();
         (0..4).for_each(|i| {
             let id = format!("{number}-{i}");
-            assert_eq!(world.send(&call("/idem/", &id)).status, 200);
+            assert_eq!(testbed.send(&call("/idem/", &id)).status, 200);
         });
         assert_eq!(spoiled.arrivals().len(), before);
         assert!(good.total_runs() > 0);
     }
 }
 
-fn servers_in_use(world: &World) -> usize {
-    world.instance.gateway().cluster_state.with_servers(|roster| roster.servers().count())
+fn servers_in_use(testbed: &Testbed) -> usize {
+    testbed.instance.gateway().cluster_state.with_servers(|roster| roster.servers().count())
 }
 
 // A request under way at a server whose entry is overwritten ends in peace.
 #[test]
 fn an_overwritten_entry_cuts_no_request() {
-    let world = start(1);
-    let server = &world.servers[0];
-    world.fault(Fault::Late(Duration::from_millis(900)));
-    let callers: SocketAddr = world.instance.callers();
+    let testbed = start(1);
+    let server = &testbed.servers[0];
+    testbed.fault(Fault::Late(Duration::from_millis(900)));
+    let callers: SocketAddr = testbed.instance.callers();
     let under_way = std::thread::spawn(move || call("/once/", "slow").send(callers));
-    eventually("it is under way", || own_in_flight(&world) == 1);
-    world.store.put_raw("servers", &server.id, b"\xff{".to_vec());
-    eventually("the server is not used", || servers_in_use(&world) == 0);
+    eventually("it is under way", || own_in_flight(&testbed) == 1);
+    testbed.store.put_raw("servers", &server.id, b"\xff{".to_vec());
+    eventually("the server is not used", || servers_in_use(&testbed) == 0);
     assert_eq!(under_way.join().expect("an answer").status, 200);
 }
 
--- a/tests/suite/large_intent.rs
+++ b/tests/suite/large_intent.rs
@@ -12,7 +12,7 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{call, intent, route, settings, spawn, start},
+    testbed::{call, intent, route, settings, spawn, start},
 };
 
 /// Bytes a second of a slow link to the store: the configuration of [`grown`] takes 1.4 s over it.
@@ -37,13 +37,13 @@
 // whose links are faster read the same bytes in 64 ms.
 #[test]
 fn an_intent_that_takes_longer_to_read_than_a_call_may_take_is_in_force() {
-    let world = start(1);
+    let testbed = start(1);
     let others: Vec<GatewayHandle> =
-        (0..3).map(|i| spawn(&format!("n{i}"), world.store.address(), Vec::new())).collect();
-    let all = || others.iter().chain([&world.instance]);
+        (0..3).map(|i| spawn(&format!("n{i}"), testbed.store.address(), Vec::new())).collect();
+    let all = || others.iter().chain([&testbed.instance]);
     eventually("all are known to all", || all().all(|i| i.gateway().instances() == 4));
-    world.store.set_link(SLOW_LINK);
-    world.store.put("op", "config", &grown(9, 2800));
+    testbed.store.set_link(SLOW_LINK);
+    testbed.store.put("op", "config", &grown(9, 2800));
     let served = |i: &GatewayHandle| call("/more-2799/", "a").send(i.callers()).status == 200;
     eventually("all serve the route added last", || all().all(served));
 }
@@ -103,13 +103,13 @@
 //     intent_unread reason="the store's reply was lost: timeout: global"
 #[test]
 fn an_instance_that_cannot_read_the_intent_does_not_hold_its_own_to_be_the_newest() {
-    let world = start(1);
-    assert_eq!(world.send(&call("/nothing/", "a")).status, 404);
-    world.store.set_table_mode("op", StoreMode::Silent);
+    let testbed = start(1);
+    assert_eq!(testbed.send(&call("/nothing/", "a")).status, 404);
+    testbed.store.set_table_mode("op", StoreMode::Silent);
     eventually("the denial becomes a refusal", || {
-        world.send(&call("/nothing/", "b")).status == 503
+        testbed.send(&call("/nothing/", "b")).status == 503
     });
-    assert_eq!(world.send(&call("/idem/", "c")).status, 200, "what is known to be served is");
-    world.store.set_table_mode("op", StoreMode::Up);
-    eventually("it is sure again", || world.send(&call("/nothing/", "d")).status == 404);
+    assert_eq!(testbed.send(&call("/idem/", "c")).status, 200, "what is known to be served is");
+    testbed.store.set_table_mode("op", StoreMode::Up);
+    eventually("it is sure again", || testbed.send(&call("/nothing/", "d")).status == 404);
 }
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -50,5 +50,5 @@
 mod store_eras;
 mod support;
 mod suspended;
+mod testbed;
 mod whole_path;
-mod world;
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -26,7 +26,7 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{call, intent, spawn},
+    testbed::{call, intent, spawn},
 };
 
 /// Time that operators give a roll-out.
--- a/tests/suite/server_notices.rs
+++ b/tests/suite/server_notices.rs
@@ -12,7 +12,7 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{KEY, World, call, start},
+    testbed::{KEY, Testbed, call, start},
 };
 
 /// A pause that ends with none of these tests.
@@ -21,7 +21,7 @@
 /// Requests that are sent to see where they go: with three servers, one that is still in use is met by chance alone.
 const MANY: usize = 40;
 
-impl World {
+impl Testbed {
     /// Sends `count` requests of one kind and returns their answers.
     fn send_many(&self, target: &str, name: &str, count: usize) -> Vec<Answer> {
         (0..count).map(|n| self.send(&call(target, &format!("{name}-{n}")))).collect()
@@ -89,11 +89,11 @@
 // instances log `event=server_says_leaving` once each, and nothing reaches the server after it.
 #[test]
 fn a_server_that_says_it_leaves_gets_nothing_more() {
-    let world = start(3);
-    world.store.set_mode(StoreMode::Reset);
-    world.servers[0].leaves();
-    world.reach_first("/idem/x");
-    world.assert_first_is_spared("the store is away");
+    let testbed = start(3);
+    testbed.store.set_mode(StoreMode::Reset);
+    testbed.servers[0].leaves();
+    testbed.reach_first("/idem/x");
+    testbed.assert_first_is_spared("the store is away");
 }
 
 // Five of 18 servers turned every request away for nine seconds, each time with the time for which they wanted no
@@ -104,10 +104,10 @@
 // of the same kind fell from 1,187 to 266, and refused requests from 0.046 to 0.004 of all.
 #[test]
 fn a_server_that_wants_nothing_for_a_while_gets_nothing_and_the_others_serve_all() {
-    let world = start(3);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG)));
-    world.reach_first("/idem/x");
-    world.assert_first_is_spared("it turned one request away");
+    let testbed = start(3);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG)));
+    testbed.reach_first("/idem/x");
+    testbed.assert_first_is_spared("it turned one request away");
 }
 
 /// What a server answers as it says that it leaves: the fault, where the request goes, and the status of its answer.
@@ -127,11 +127,11 @@
     thread::scope(|scope| {
         for (fault, target, what) in LAST_ANSWERS {
             scope.spawn(move || {
-                let world = start(3);
-                world.servers[0].faults.set_standing(Some(fault));
-                world.servers[0].leaves();
-                world.reach_first(target);
-                world.assert_first_is_spared(what);
+                let testbed = start(3);
+                testbed.servers[0].faults.set_standing(Some(fault));
+                testbed.servers[0].leaves();
+                testbed.reach_first(target);
+                testbed.assert_first_is_spared(what);
             });
         }
     });
@@ -139,82 +139,82 @@
 
 #[test]
 fn that_it_leaves_is_not_undone_by_the_list() {
-    let world = start(3);
-    world.servers[0].leaves();
-    world.reach_first("/idem/x");
-    let first = &world.servers[0];
+    let testbed = start(3);
+    testbed.servers[0].leaves();
+    testbed.reach_first("/idem/x");
+    let first = &testbed.servers[0];
     let is_listed = || {
-        let gateway = world.instance.gateway();
+        let gateway = testbed.instance.gateway();
         gateway.cluster_state.with_servers(|roster| {
             roster.servers().any(|server| server.id.server.as_str() == first.id)
         })
     };
-    world.store.remove("servers", &first.id);
+    testbed.store.remove("servers", &first.id);
     eventually("the server is gone from the list", || !is_listed());
-    world.store.put("servers", &first.id, &first.entry("app", "ready"));
+    testbed.store.put("servers", &first.id, &first.entry("app", "ready"));
     eventually("the list has it again, as ready", is_listed);
-    world.assert_first_is_spared("the list has it again");
+    testbed.assert_first_is_spared("the list has it again");
 }
 
 #[test]
 fn a_stream_that_breaks_goes_on_where_no_server_asked_for_a_pause() {
-    let world = start(3);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG)));
-    world.reach_first("/idem/x");
+    let testbed = start(3);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG)));
+    testbed.reach_first("/idem/x");
     for number in 0..10 {
-        world.servers[1].faults.push([Fault::BreakAfter(2)]);
-        let answer = world.send(&call("/stream-resumable/x", &format!("broken-{number}")));
+        testbed.servers[1].faults.push([Fault::BreakAfter(2)]);
+        let answer = testbed.send(&call("/stream-resumable/x", &format!("broken-{number}")));
         assert_whole_stream(&answer);
-        world.servers[1].faults.clear();
+        testbed.servers[1].faults.clear();
     }
-    assert_eq!(world.arrivals(0), 1, "requests and resumed streams at the first server");
+    assert_eq!(testbed.arrivals(0), 1, "requests and resumed streams at the first server");
 }
 
 #[test]
 fn where_all_want_a_pause_a_refusal_comes_at_once_and_names_its_end() {
-    let world = start(3);
-    world.fault(Fault::RefuseFor(LONG));
+    let testbed = start(3);
+    testbed.fault(Fault::RefuseFor(LONG));
     // The budget may end a request's tries before all have been asked.
     for number in 0..10 {
-        world.send(&call("/idem/x", &format!("asks-{number}")));
+        testbed.send(&call("/idem/x", &format!("asks-{number}")));
     }
-    assert_eq!(world.all_arrivals(), 3, "one request at each server");
-    let answer = world.send(&call("/idem/x", "refused"));
+    assert_eq!(testbed.all_arrivals(), 3, "one request at each server");
+    let answer = testbed.send(&call("/idem/x", "refused"));
     assert_eq!(answer.status, 503);
     let after: f64 = answer.header("retry-after").parse().expect("a time to come back");
     assert!((50.0..=65.0).contains(&after), "{after} s");
-    assert_eq!(world.all_arrivals(), 3, "nothing was sent meanwhile");
+    assert_eq!(testbed.all_arrivals(), 3, "nothing was sent meanwhile");
 }
 
 #[test]
 fn a_server_is_used_again_once_its_pause_is_over() {
-    let world = start(3);
-    world.servers[0].faults.push([Fault::RefuseFor(Duration::from_millis(300))]);
-    world.reach_first("/idem/x");
+    let testbed = start(3);
+    testbed.servers[0].faults.push([Fault::RefuseFor(Duration::from_millis(300))]);
+    testbed.reach_first("/idem/x");
     let mut sent = 0;
     eventually("the server has requests again", || {
         sent += 1;
-        world.send(&call("/idem/x", &format!("again-{sent}")));
-        world.arrivals(0) > 1
+        testbed.send(&call("/idem/x", &format!("again-{sent}")));
+        testbed.arrivals(0) > 1
     });
 }
 
 #[test]
 fn a_server_that_starts_again_is_used_at_once() {
-    let world = start(1);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG)));
-    world.servers[0].leaves();
-    world.reach_first("/idem/x");
+    let testbed = start(1);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG)));
+    testbed.servers[0].leaves();
+    testbed.reach_first("/idem/x");
     let next = Listed::spawn("next").expect("a server");
-    world.store.remove("servers", &world.servers[0].id);
-    world.store.put("servers", &next.id, &next.entry("app", "ready"));
+    testbed.store.remove("servers", &testbed.servers[0].id);
+    testbed.store.put("servers", &next.id, &next.entry("app", "ready"));
     let mut sent = 0;
     eventually("the next start of the server serves", || {
         sent += 1;
-        world.send(&call("/idem/x", &format!("next-{sent}"))).status == 200
+        testbed.send(&call("/idem/x", &format!("next-{sent}"))).status == 200
     });
     let stream = Call::post("/stream/x", KEY, "some body").with("x-request-id", "stream");
-    assert_whole_stream(&world.send(&stream));
+    assert_whole_stream(&testbed.send(&stream));
     assert_eq!(next.arrivals().len(), 2);
 }
 
@@ -227,12 +227,12 @@
 // passed over; with it, 0.002 are refused.
 #[test]
 fn a_server_that_turns_requests_away_without_a_time_gets_few() {
-    let world = start(3);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseNotRun));
+    let testbed = start(3);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseNotRun));
     for target in ["/idem/x", "/once/x", "/stream/x"] {
-        let answers = world.send_many(target, target, MANY);
+        let answers = testbed.send_many(target, target, MANY);
         assert!(answers.iter().all(|answer| answer.status == 200), "{target}");
     }
-    let (repeats, requests) = (world.arrivals(0), 3 * MANY);
+    let (repeats, requests) = (testbed.arrivals(0), 3 * MANY);
     assert!((repeats as f64) < RETRY_BUDGET * requests as f64, "{repeats} of {requests}");
 }
--- a/tests/suite/silent_links.rs
+++ b/tests/suite/silent_links.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     support::eventually,
-    world::{call, intent, route, settings},
+    testbed::{call, intent, route, settings},
 };
 
 /// Longest time in which a new configuration is in force: a call of the store that is under way may be silent for 0.9 s,
--- a/tests/suite/starts.rs
+++ b/tests/suite/starts.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     support::eventually,
-    world::{call, intent, settings},
+    testbed::{call, intent, settings},
 };
 
 const INSTANCES: usize = 20;
--- a/tests/suite/suspended.rs
+++ b/tests/suite/suspended.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     support::eventually,
-    world::{KEY, call, intent, settings},
+    testbed::{KEY, call, intent, settings},
 };
 
 /// A clock that can be put forward, as after a suspension.
--- a/tests/suite/world.rs
+++ b/tests/suite/testbed.rs
@@ -96,24 +96,24 @@
 }
 
 /// A store, some servers, and an instance that knows them.
-pub(crate) struct World {
+pub(crate) struct Testbed {
     pub(crate) store: StoreStandIn,
     pub(crate) servers: Vec<Listed>,
     pub(crate) instance: GatewayHandle,
 }
 
-pub(crate) fn start(servers: usize) -> World {
+pub(crate) fn start(servers: usize) -> Testbed {
     start_with((0..servers).map(|i| Listed::spawn(&format!("s{i}")).expect("a server")).collect())
 }
 
 /// Starts a world whose servers share their faults: whichever is met first has the next one.
-pub(crate) fn start_sharing(servers: usize) -> World {
+pub(crate) fn start_sharing(servers: usize) -> Testbed {
     let faults: Arc<Faults> = Arc::default();
     let server = |i| Listed::spawn_sharing(&format!("s{i}"), Arc::clone(&faults));
     start_with((0..servers).map(|i| server(i).expect("a server")).collect())
 }
 
-fn start_with(servers: Vec<Listed>) -> World {
+fn start_with(servers: Vec<Listed>) -> Testbed {
     let store = StoreStandIn::spawn().expect("a store");
     for server in &servers {
         store.put("servers", &server.id, &server.entry("app", "ready"));
@@ -121,7 +121,7 @@
     store.put("op", "config", &intent(5));
     let instance = spawn("one", store.address(), Vec::new());
     eventually("the instance is ready", || instance.gateway().is_ready());
-    World { store, servers, instance }
+    Testbed { store, servers, instance }
 }
 
 pub(crate) fn spawn(node: &str, store: SocketAddr, seeds: Vec<SocketAddr>) -> GatewayHandle {
@@ -133,7 +133,7 @@
     Call::post(target, KEY, "some body").with("x-request-id", id).with("x-deadline-ms", 2000)
 }
 
-impl World {
+impl Testbed {
     pub(crate) fn send(&self, call: &Call) -> Answer {
         call.send(self.instance.callers())
     }
