--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -14,38 +14,38 @@
 };
 
 /// Pause between two reads of the instances' table by the one that the others turn to.
-const TABLE_PERIOD: Duration = Duration::from_secs(10);
+const TABLE_READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// First pause, while instances that start together write their rows.
-const TABLE_FIRST: Duration = Duration::from_secs(3);
+const FIRST_READ_DELAY: Duration = Duration::from_secs(3);
 
 /// Time over which instances that start together write their rows: 400 of them in what a part of the store takes
 /// (200 a second), and before the table is read again.
-const ANNOUNCE_SPREAD: Duration = Duration::from_secs(2);
+const ANNOUNCE_JITTER: Duration = Duration::from_secs(2);
 
 /// Time in which instances that start together have written their rows, and in which nobody reads the table: who
 /// reads it earlier finds some, and takes the wrong one for the first of all.
-const SETTLED: Duration = Duration::from_millis(500);
+const ANNOUNCE_SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// Time after that in which those that the settings name have read the table, and can tell the others.
-const SEEDS_FIRST: Duration = Duration::from_millis(200);
+const SEEDS_HEAD_START: Duration = Duration::from_millis(200);
 
 /// Time after its start within which an instance asks them, before it reads the table itself.
-const TOLD_WITHIN: Duration = Duration::from_millis(1400);
+const SEED_QUERY_TIMEOUT: Duration = Duration::from_millis(1400);
 
 /// Time without a sign of an instance after which its row is removed.
-const ROW_LEFT_BEHIND: Duration = Duration::from_secs(60);
+const STALE_ROW_AGE: Duration = Duration::from_secs(60);
 
 /// Keeps the instances' table until the process ends: every instance writes its row once and learns of the others;
 /// the one that the others turn to reads the table now and then and removes rows left behind.
 pub fn run(gateway: &Arc<Gateway>) {
     let mut era = join(gateway);
     let began = gateway.clock.now();
-    let mut pause = TABLE_FIRST;
+    let mut pause = FIRST_READ_DELAY;
     loop {
         thread::sleep(pause);
         // Drawn, so that instances that started together do not call together.
-        pause = TABLE_PERIOD.mul_f64(1.0 - 0.5 * fastrand::f64());
+        pause = TABLE_READ_INTERVAL.mul_f64(1.0 - 0.5 * fastrand::f64());
         let known = gateway.cluster_state.with_watch(|watch| watch.confirmed());
         if known.is_some_and(|known| known.store.era > era) && !gateway.drain.is_draining() {
             // The store has come back from a copy, which may lack the row.
@@ -55,7 +55,9 @@
         if gateway.drain.is_draining() || lock(&gateway.peers.candidates).first(now).is_some() {
             continue;
         }
-        if let Err(fault) = tidy(gateway, now.saturating_duration_since(began) > ROW_LEFT_BEHIND) {
+        if let Err(fault) =
+            prune_table(gateway, now.saturating_duration_since(began) > STALE_ROW_AGE)
+        {
             log::info!("event=instances_unread reason={:?}", fault.to_string());
         }
     }
@@ -67,20 +69,20 @@
 /// write when they have been told: with 296 rows at once a part of the table that takes 200 writes a second refused
 /// some 100, whose instances knew nobody for 3 s, and each read the whole list of servers for itself meanwhile.
 fn join(gateway: &Gateway) -> StoreEra {
-    if is_asked(gateway) {
+    if is_seed(gateway) {
         let era = announce_until_done(gateway);
-        learn(gateway);
+        discover_instances(gateway);
         gateway.peers.note_joined();
         return era;
     }
-    learn(gateway);
+    discover_instances(gateway);
     gateway.peers.note_joined();
-    thread::sleep(ANNOUNCE_SPREAD.mul_f64(fastrand::f64()));
+    thread::sleep(ANNOUNCE_JITTER.mul_f64(fastrand::f64()));
     announce_until_done(gateway)
 }
 
 /// Returns whether others ask this instance, or it has nobody to ask.
-fn is_asked(gateway: &Gateway) -> bool {
+fn is_seed(gateway: &Gateway) -> bool {
     let seeds = &gateway.settings.seeds;
     seeds.is_empty() || gateway.peers.is_seed(seeds)
 }
@@ -92,7 +94,7 @@
             Ok(version) => return version.era,
             Err(fault) => log::info!("event=instance_unwritten reason={:?}", fault.to_string()),
         }
-        thread::sleep(TABLE_FIRST.mul_f64(0.5 + 0.5 * fastrand::f64()));
+        thread::sleep(FIRST_READ_DELAY.mul_f64(0.5 + 0.5 * fastrand::f64()));
     }
 }
 
@@ -104,16 +106,16 @@
 
 /// Learns of the other instances: from one that the settings name, which learns from the table, or else from the
 /// table.
-fn learn(gateway: &Gateway) {
-    let until = gateway.clock.now() + TOLD_WITHIN;
+fn discover_instances(gateway: &Gateway) {
+    let until = gateway.clock.now() + SEED_QUERY_TIMEOUT;
     let knows_others = || gateway.peers.instances() > 1;
     // One that alone starts again is told of all at once.
     let told = !gateway.settings.first_start && peers::query_seeds(gateway, knows_others);
-    thread::sleep(SETTLED);
-    if !is_asked(gateway) {
-        thread::sleep(SEEDS_FIRST);
+    thread::sleep(ANNOUNCE_SETTLE_TIME);
+    if !is_seed(gateway) {
+        thread::sleep(SEEDS_HEAD_START);
     }
-    while !is_asked(gateway) && gateway.clock.now() < until {
+    while !is_seed(gateway) && gateway.clock.now() < until {
         if peers::query_seeds(gateway, knows_others) {
             return;
         }
@@ -124,7 +126,7 @@
     }
     while let Err(fault) = read_table(gateway) {
         log::info!("event=instances_unread reason={:?}", fault.to_string());
-        thread::sleep(TABLE_FIRST);
+        thread::sleep(FIRST_READ_DELAY);
     }
 }
 
@@ -143,7 +145,7 @@
     Ok(())
 }
 
-fn tidy(gateway: &Gateway, remove: bool) -> Result<(), StoreFault> {
+fn prune_table(gateway: &Gateway, remove: bool) -> Result<(), StoreFault> {
     read_table(gateway)?;
     if !remove {
         return Ok(());
