--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -39,12 +39,12 @@
         let metrics = serve_metrics(&gateway, &idle);
         let peers = serve_peers(&gateway, &idle)?;
         gateway.peers.advertise(peers.address());
-        background(&gateway, "start", start::run)?;
-        background(&gateway, "intent", intent_reader::run)?;
-        background(&gateway, "roster", roster_reader::run)?;
-        background(&gateway, "peers", peers::run)?;
-        background(&gateway, "table", instance_table::run)?;
-        background(&gateway, "held", held_table::run)?;
+        spawn_thread(&gateway, "start", start::run)?;
+        spawn_thread(&gateway, "intent", intent_reader::run)?;
+        spawn_thread(&gateway, "roster", roster_reader::run)?;
+        spawn_thread(&gateway, "peers", peers::run)?;
+        spawn_thread(&gateway, "table", instance_table::run)?;
+        spawn_thread(&gateway, "held", held_table::run)?;
         let callers = serve_callers(&gateway, &idle)?;
         log::warn!(
             "event=started node={} zone={} callers={} first_start={}",
@@ -95,7 +95,7 @@
     }
 }
 
-fn background(
+fn spawn_thread(
     gateway: &Arc<Gateway>,
     name: &str,
     run: impl Fn(&Arc<Gateway>) + Send + 'static,
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -28,16 +28,16 @@
             thread::sleep(QUESTION_PAUSE);
             continue;
         }
-        tell_overdue(gateway, now);
+        log_overdue(gateway, now);
         gateway.refresh_orders();
         rollout_keeper::spawn_if_due(gateway);
         let role = gateway.peers.watch_role(now);
         match cluster_state.with_watch(|watch| watch.next(now, &role)) {
             WatchStep::Pause(time) => thread::sleep(time),
             WatchStep::Wait(longest) => cluster_state.wait_for_newer(longest),
-            WatchStep::Read => read_step(gateway, || read(gateway)),
+            WatchStep::Read => run_store_step(gateway, || read(gateway)),
             WatchStep::Follow { after, wait } => {
-                read_step(gateway, || follow(gateway, after, wait));
+                run_store_step(gateway, || follow(gateway, after, wait));
             }
             WatchStep::Ask => {
                 peers::catch_up(gateway);
@@ -47,7 +47,7 @@
     }
 }
 
-fn read_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreFault>) {
+fn run_store_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreFault>) {
     let began = gateway.clock.now();
     match step() {
         Ok(()) => {
@@ -72,7 +72,7 @@
     }
 }
 
-fn tell_overdue(gateway: &Gateway, now: Instant) {
+fn log_overdue(gateway: &Gateway, now: Instant) {
     let (behind, newest) =
         gateway.cluster_state.with_watch(|watch| (watch.take_overdue(now), watch.newest()));
     if let Some(behind) = behind {
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn look(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
+pub fn read_changes(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
     match gateway.cluster_state.with_watch(|watch| watch.confirmed()) {
         Some(confirmed) => follow(gateway, confirmed.store, Duration::ZERO),
         None => read(gateway),
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn look_at_orders(gateway: &Gateway) -> Result<(), StoreFault> {
+pub fn read_orders(gateway: &Gateway) -> Result<(), StoreFault> {
     let Some(confirmed) = gateway.cluster_state.with_watch(|watch| watch.confirmed()) else {
         // One that knows nothing yet serves nobody.
         return Ok(());
@@ -149,7 +149,7 @@
             gateway.cluster_state.confirm(gateway.cluster_state.version(), confirmed);
             false
         }
-        Some(row) => take_row(gateway, row, confirmed),
+        Some(row) => apply_row(gateway, row, confirmed),
     };
     // At a start all instances read; there is nothing to tell.
     if before > 0 && (orders_changed || is_newer) {
@@ -158,7 +158,7 @@
 }
 
 /// Decodes an intent that was the newest; returns whether it is newer than the one in force, which it then replaces.
-fn take_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmed) -> bool {
+fn apply_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmed) -> bool {
     let began = gateway.clock.now();
     match intent::decode(&row.value) {
         Ok(decoded) => {
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -20,10 +20,10 @@
 
 /// Connections of those who look at readiness or metrics, at once, for each: the platform's and an operator's,
 /// with room for what they leave open.
-const SMALL_CONNECTIONS: usize = 32;
+const STATUS_CONNECTIONS_MAX: usize = 32;
 
 /// How long such a connection may be idle: a look each five seconds, twice.
-const SMALL_IDLE: Duration = Duration::from_secs(10);
+const STATUS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves readiness checks at any path.
 pub(super) fn serve_readiness(
@@ -32,7 +32,7 @@
 ) -> anyhow::Result<Listener> {
     let address = gateway.settings.addresses.readiness;
     let serving = Arc::clone(gateway);
-    serve_small(gateway, idle, address, "readiness", move || {
+    serve_status(gateway, idle, address, "readiness", move || {
         let ready = serving.is_ready();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         SmallAnswer { status, text: String::new() }
@@ -43,23 +43,23 @@
 pub(super) fn serve_metrics(gateway: &Arc<Gateway>, idle: &IdleConns) -> Option<Listener> {
     let serving = Arc::clone(gateway);
     let address = gateway.settings.addresses.metrics;
-    let served = serve_small(gateway, idle, address, "metrics", move || {
+    let served = serve_status(gateway, idle, address, "metrics", move || {
         serving.update_gauges();
         SmallAnswer { status: StatusCode::OK, text: serving.metrics.text() }
     });
     served.inspect_err(|fault| log::error!("event=no_metrics reason=\"{fault:#}\"")).ok()
 }
 
-fn serve_small(
+fn serve_status(
     gateway: &Gateway,
     idle: &IdleConns,
     address: SocketAddr,
     what: &str,
     answer: impl Fn() -> SmallAnswer + Send + Sync + 'static,
 ) -> anyhow::Result<Listener> {
-    let rules = idle_rules(idle, |since| since + SMALL_IDLE, false);
+    let rules = idle_rules(idle, |since| since + STATUS_IDLE_TIMEOUT, false);
     let serve = move |conn: Conn| small::serve(conn, &answer);
-    Listener::bind_idling(address, gateway.clock.clone(), SMALL_CONNECTIONS, rules, serve)
+    Listener::bind_idling(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
         .with_context(|| format!("cannot listen for {what} on {address}"))
 }
 
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -177,7 +177,7 @@
 /// The status that tells that it turns this one away too.
 fn read_store_for_peer(gateway: &Arc<Gateway>) -> Result<(), u16> {
     let servers = roster_reader::read(gateway);
-    let intent = servers.and_then(|()| intent_reader::look(gateway));
+    let intent = servers.and_then(|()| intent_reader::read_changes(gateway));
     intent.map_err(|fault| {
         gateway.store_failed("for_another", &fault);
         503
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -20,7 +20,7 @@
 };
 
 /// Most replies of one look at what has changed: some seconds' heartbeats of ten thousand servers.
-const REPLIES_MAX: usize = 16;
+const CHANGE_REPLIES_MAX: usize = 16;
 
 /// Keeps the list fresh until the process ends: does what `routing::roster_watch` says is next.
 pub fn run(gateway: &Arc<Gateway>) {
@@ -41,7 +41,7 @@
                 peers::catch_up(gateway);
                 watch.asked(gateway.clock.now());
             }
-            RosterStep::Read => match read_as(gateway, &role) {
+            RosterStep::Read => match read_and_log(gateway, &role) {
                 Ok(()) => {
                     watch.read(now);
                     if std::mem::take(&mut lost) {
@@ -59,7 +59,7 @@
 }
 
 /// Reads the list, and says so where the news of others should have done.
-fn read_as(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
+fn read_and_log(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
     if !role.reader
         && let Some(age) = gateway.cluster_state.servers_age(gateway.clock.now())
     {
@@ -99,7 +99,7 @@
     let (servers, era) = (list.servers(), list.version.era);
     drop(kept);
     if gateway.cluster_state.with_servers(|roster| roster.lacks_version_of(&servers)) {
-        look_for_orders(gateway);
+        read_orders_first(gateway);
     }
     lock(&gateway.skipped_log).tell(&skipped);
     gateway.cluster_state.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
@@ -112,8 +112,8 @@
 
 /// Looks for operators' orders before servers of a version that was not there are used: it may be one that is rolled out, and
 /// the list is read more often than the orders.
-fn look_for_orders(gateway: &Gateway) {
-    if let Err(fault) = intent_reader::look_at_orders(gateway) {
+fn read_orders_first(gateway: &Gateway) {
+    if let Err(fault) = intent_reader::read_orders(gateway) {
         log::info!("event=orders_unread reason={:?}", fault.to_string());
     }
 }
@@ -127,7 +127,7 @@
 
 /// Takes what has changed in the list since it was read; a reply may hold a part of that.
 fn follow(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreFault> {
-    for _ in 0..REPLIES_MAX {
+    for _ in 0..CHANGE_REPLIES_MAX {
         let rows = gateway.store.changes(SERVER_TABLE, list.version, Duration::ZERO)?;
         let is_last = rows.rows.len() < PAGE_ROWS;
         list.take(rows);
@@ -155,7 +155,7 @@
 
 /// Changes of one kind that are logged one by one; of more at once, as a start brings, only their number is: a start
 /// beside 3,000 servers wrote as many lines. What they cost was not measured.
-const LOGGED_EACH: usize = 16;
+const SINGLE_LINES_MAX: usize = 16;
 
 fn log_change(change: &RosterChange, source: &str, age: Duration) {
     let age = age.as_millis();
@@ -166,7 +166,7 @@
         ("server_gone", &change.gone),
         ("server_cold", &change.cold),
     ] {
-        if ids.len() > LOGGED_EACH {
+        if ids.len() > SINGLE_LINES_MAX {
             log::info!("event={what} servers={} source={source} age_ms={age}", ids.len());
             continue;
         }
