--- a/src/gateway/log_sink.rs
+++ b/src/gateway/log_sink.rs
@@ -18,38 +18,38 @@
 };
 
 /// Lines that wait to be written; more are dropped and counted.
-const QUEUE: usize = 2000;
+const QUEUE_LINES_MAX: usize = 2000;
 
 /// Lines of routine a second; more are left out and counted, warnings and errors are not.
-const ROUTINE_RATE: Rate = Rate(300.0);
+const INFO_LINE_RATE: Rate = Rate(300.0);
 
 /// Pause between two writes, so that many lines share one.
-const WRITE_PAUSE: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest wait for the last lines at the end of the process.
-const FLUSH_TIME: Duration = Duration::from_millis(250);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Pause between two looks whether the last lines are written.
-const FLUSH_LOOK: Duration = Duration::from_millis(10);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Lines that wait to be written.
-static WAITING: AtomicU64 = AtomicU64::new(0);
+static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Lines left out that no metric has counted yet.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the lines left out since the last call.
 pub fn take_dropped() -> u64 {
-    LEFT_OUT.swap(0, Ordering::Relaxed)
+    DROPPED_LINES.swap(0, Ordering::Relaxed)
 }
 
 /// Waits until all lines are written, for a quarter of a second at most.
 pub fn flush() {
-    for _ in 0..FLUSH_TIME.as_millis() / FLUSH_LOOK.as_millis() {
-        if WAITING.load(Ordering::SeqCst) == 0 {
+    for _ in 0..FLUSH_TIMEOUT.as_millis() / FLUSH_POLL_INTERVAL.as_millis() {
+        if QUEUED_LINES.load(Ordering::SeqCst) == 0 {
             return;
         }
-        thread::sleep(FLUSH_LOOK);
+        thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
@@ -59,34 +59,34 @@
 ///
 /// Logging has been started before, or the writer's thread cannot be started.
 pub fn start(instance: &str, level: LevelFilter, clock: &Clock) -> anyhow::Result<()> {
-    let (tx, rx) = sync_channel(QUEUE);
+    let (tx, rx) = sync_channel(QUEUE_LINES_MAX);
     let dropped = Arc::new(AtomicU64::new(0));
     let counted = Arc::clone(&dropped);
     thread::Builder::new().name("log".to_owned()).spawn(move || write_all(&rx, &counted))?;
-    let routine = Mutex::new(TokenBucket::new(ROUTINE_RATE, clock.now()));
+    let info_bucket = Mutex::new(TokenBucket::new(INFO_LINE_RATE, clock.now()));
     let (instance, clock) = (instance.to_owned(), clock.clone());
     fern::Dispatch::new()
         .level(LevelFilter::Warn)
         .level_for("cartvane", level)
         .chain(fern::Output::call(move |record| {
-            let is_routine = record.level() > Level::Warn;
-            if is_routine && lock(&routine).take(clock.now()).is_err() {
+            let is_info = record.level() > Level::Warn;
+            if is_info && lock(&info_bucket).take(clock.now()).is_err() {
                 dropped.fetch_add(1, Ordering::Relaxed);
                 return;
             }
             let at = humantime::format_rfc3339_millis(clock.wall()).to_string();
             let line =
                 logging::event_line(&at, &instance, record.level(), &record.args().to_string());
-            offer(&tx, line, &dropped);
+            enqueue(&tx, line, &dropped);
         }))
         .apply()?;
     Ok(())
 }
 
-fn offer(tx: &SyncSender<String>, line: String, dropped: &AtomicU64) {
-    WAITING.fetch_add(1, Ordering::SeqCst);
+fn enqueue(tx: &SyncSender<String>, line: String, dropped: &AtomicU64) {
+    QUEUED_LINES.fetch_add(1, Ordering::SeqCst);
     if tx.try_send(line).is_err() {
-        WAITING.fetch_sub(1, Ordering::SeqCst);
+        QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
         dropped.fetch_add(1, Ordering::Relaxed);
     }
 }
@@ -94,7 +94,7 @@
 fn write_all(rx: &Receiver<String>, dropped: &AtomicU64) {
     let mut out = std::io::stdout();
     while let Ok(first) = rx.recv() {
-        thread::sleep(WRITE_PAUSE);
+        thread::sleep(WRITE_INTERVAL);
         let mut text = first;
         text.push('\n');
         let mut lines = 1;
@@ -103,15 +103,15 @@
             text.push_str(&line);
             text.push('\n');
         }
-        let left_out = dropped.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            LEFT_OUT.fetch_add(left_out, Ordering::Relaxed);
-            text.push_str(&format!("{{\"event\":\"lines_left_out\",\"count\":{left_out}}}\n"));
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            DROPPED_LINES.fetch_add(dropped_lines, Ordering::Relaxed);
+            text.push_str(&format!("{{\"event\":\"lines_left_out\",\"count\":{dropped_lines}}}\n"));
         }
         if out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err() {
             // Nobody reads the output; requests go on without it.
-            dropped.fetch_add(left_out, Ordering::Relaxed);
+            dropped.fetch_add(dropped_lines, Ordering::Relaxed);
         }
-        WAITING.fetch_sub(lines, Ordering::SeqCst);
+        QUEUED_LINES.fetch_sub(lines, Ordering::SeqCst);
     }
 }
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -101,7 +101,7 @@
     if gateway.cluster_state.with_servers(|roster| roster.lacks_version_of(&servers)) {
         read_orders_first(gateway);
     }
-    lock(&gateway.skipped_log).tell(&skipped);
+    lock(&gateway.skipped_log).log_new(&skipped);
     gateway.cluster_state.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
     take(gateway, servers, as_of, era, "store");
     if let Some(list) = lock(&gateway.server_list_cache).as_mut() {
--- a/tests/suite/cold_servers.rs
+++ b/tests/suite/cold_servers.rs
@@ -100,7 +100,7 @@
             bad.is_empty(),
             "{bad:?} of {}{}",
             answers.len(),
-            log_lines::with(&["refused", "attempt"])
+            log_lines::matching(&["refused", "attempt"])
         );
         assert!(answers.len() > 100, "{} answers", answers.len());
         assert!(took <= most(time), "round {round}: {took} in {time:?}");
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -124,7 +124,7 @@
             testbed.servers[0].faults.clear();
             testbed.servers[0].faults.push([fault]);
             let answer = call(path, &id).send(instance.callers());
-            let led_to = || log_lines::with(&[&format!("request={id} ")]);
+            let led_to = || log_lines::matching(&[&format!("request={id} ")]);
             assert_eq!(answer.status, status, "{fault:?} {path}{}", led_to());
             assert_eq!(testbed.runs(&id), runs, "{fault:?} {path}{}", led_to());
             if status == 200 {
@@ -173,7 +173,7 @@
         for number in 0..4 {
             let id = format!("r{number}");
             let answer = testbed.send(&call("/stream-resumable/x", &id));
-            let led_to = || log_lines::with(&[&format!("request={id} ")]);
+            let led_to = || log_lines::matching(&[&format!("request={id} ")]);
             assert_eq!((answer.status, answer.whole), (200, true), "{fault:?}{}", led_to());
             assert_eq!(answer.text(), events(1), "{fault:?}{}", led_to());
         }
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -257,9 +257,9 @@
     let mut log = SkippedLog::default();
     let first = skipped(&[row("a", 1), row("b", 2)]);
     assert!(first.iter().all(|entry| entry.reason.len() < 1000));
-    assert_eq!(log.news(&first).len(), 2);
-    assert_eq!(log.news(&first).len(), 0);
-    assert_eq!(log.news(&skipped(&[row("a", 1), row("b", 3)])).len(), 1);
+    assert_eq!(log.take_unlogged(&first).len(), 2);
+    assert_eq!(log.take_unlogged(&first).len(), 0);
+    assert_eq!(log.take_unlogged(&skipped(&[row("a", 1), row("b", 3)])).len(), 1);
 }
 
 fn odd_value() -> impl Strategy<Value = Value> {
--- a/tests/suite/large_intent.rs
+++ b/tests/suite/large_intent.rs
@@ -91,7 +91,8 @@
     let served = |i: &GatewayHandle| call("/more-2799/", "a").send(i.callers()).status == 200;
     eventually("all serve the route added last", || all.iter().all(served));
     let copies = (store.row_bytes("op") - before) as f64 / row as f64;
-    let led_to = || log_lines::with(&["intent", "reads_for_others", "history_gone", "peer_silent"]);
+    let led_to =
+        || log_lines::matching(&["intent", "reads_for_others", "history_gone", "peer_silent"]);
     assert!(copies < 1.5, "{copies:.1} copies{}", led_to());
 }
 
--- a/tests/suite/log_lines.rs
+++ b/tests/suite/log_lines.rs
@@ -39,7 +39,7 @@
 }
 
 /// Returns the lines with one of these words, of all tests that ran meanwhile, with the milliseconds since the first start.
-pub(crate) fn with(words: &[&str]) -> String {
+pub(crate) fn matching(words: &[&str]) -> String {
     let lines: Vec<(Duration, String)> = {
         let kept = KEPT.lock().unwrap_or_else(PoisonError::into_inner);
         kept.iter().flat_map(|kept| kept.lines.iter().cloned()).collect()
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -170,7 +170,7 @@
         versions.state(),
         "succeeded",
         "{}",
-        log_lines::with(&["rollout", "version_is_bad", "version_not_taken"])
+        log_lines::matching(&["rollout", "version_is_bad", "version_not_taken"])
     );
     assert!(ordered.elapsed() < GOOD_LASTS);
     // As the platform does: the old servers stop without a word.
--- a/tests/suite/server_notices.rs
+++ b/tests/suite/server_notices.rs
@@ -66,7 +66,7 @@
             assert_eq!(served, MANY, "{what}: {target}");
         }
         let first = &self.servers[0].id;
-        let led_to = || log_lines::with(&[first.as_str(), "hedge", "repeat"]);
+        let led_to = || log_lines::matching(&[first.as_str(), "hedge", "repeat"]);
         let reached = self.arrivals(0);
         assert_eq!(reached, before, "{what}: requests that reached the first server{}", led_to());
         // Where a machine stands still, requests go to another one of the servers in use as well.
