--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -111,7 +111,7 @@
     pub fn offer_intent(&self, intent: Intent, confirmed: Confirmed) -> bool {
         let version = intent.version;
         let old = self.intent();
-        let new = self.put_in_force(intent);
+        let new = self.activate(intent);
         self.confirm(version, confirmed);
         // Callers are served by it already; what follows takes tens of milliseconds with thousands of routes.
         if let (Some(old), Some(new)) = (&old, &new) {
@@ -143,7 +143,7 @@
                 }
             }
         }
-        let newer = !used.is_empty() && self.put_in_force(intent).is_some();
+        let newer = !used.is_empty() && self.activate(intent).is_some();
         if newer {
             let mut history = lock(&self.changes);
             used.into_iter().for_each(|change| history.push(Arc::clone(change)));
@@ -152,7 +152,7 @@
     }
 
     /// Puts an intent in force unless one as new already is; returns it if it now is.
-    fn put_in_force(&self, intent: impl Into<Arc<Intent>>) -> Option<Arc<Intent>> {
+    fn activate(&self, intent: impl Into<Arc<Intent>>) -> Option<Arc<Intent>> {
         let intent = intent.into();
         {
             let mut in_force = lock(&self.in_force);
@@ -225,7 +225,7 @@
     }
 
     /// Returns what other instances are told of operators' orders.
-    pub fn orders_snapshot(&self) -> ToldOrders {
+    pub fn orders(&self) -> ToldOrders {
         lock(&self.orders).newest().clone()
     }
 
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -164,7 +164,7 @@
         Ok(decoded) => {
             let is_newer = gateway.cluster_state.offer_intent(decoded, confirmed);
             if is_newer {
-                log_in_force(gateway, "store", row.value.len(), began);
+                log_activation(gateway, "store", row.value.len(), began);
             }
             is_newer
         }
@@ -185,14 +185,14 @@
     match gateway.cluster_state.offer_changes(changes) {
         Ok(true) => {
             let bytes = changes.iter().map(|change| change.len()).sum();
-            log_in_force(gateway, "peer", bytes, began);
+            log_activation(gateway, "peer", bytes, began);
         }
         Ok(false) => {}
         Err(fault) => log::info!("event=intent_skipped source=peer reason={:?}", fault.to_string()),
     }
 }
 
-fn log_in_force(gateway: &Gateway, source: &str, bytes: usize, began: Instant) {
+fn log_activation(gateway: &Gateway, source: &str, bytes: usize, began: Instant) {
     let Some(intent) = gateway.cluster_state.intent() else { return };
     gateway.metrics.revision(intent.version);
     let took = gateway.clock.now().saturating_duration_since(began);
--- a/src/gateway/intent_relay.rs
+++ b/src/gateway/intent_relay.rs
@@ -118,7 +118,7 @@
     changes: Vec<Arc<PackedChange>>,
     relay_to: &[SocketAddr],
 ) -> Result<u64, String> {
-    let orders = gateway.cluster_state.orders_snapshot();
+    let orders = gateway.cluster_state.orders();
     let offer = Offer { version, orders, changes, relay_to: relay_to.to_vec() };
     let reply: OfferReply = gateway.peers.offer(to, &offer)?;
     Ok(reply.version)
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -103,7 +103,7 @@
                 store: confirmed.store,
             }
         }),
-        orders: cluster_state.orders_snapshot(),
+        orders: cluster_state.orders(),
         rollout_states: gateway.rollouts.told(now),
         list: told.news,
         list_age_ms: told.age.map(millis),
