--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -1,8 +1,10 @@
-//! What instances tell each other in an exchange. They share no clock, so times are told as ages.
+//! Messages of the periodic exchange between instances.
 //!
-//! While operators replace one build by the next, instances of both are there. Messages are lists of values without names,
-//! which would double their bytes. A field that is added is the last one of its type and has a default for messages that lack
-//! it (`serde(default)`): what the build before writes is understood, though not the other way round.
+//! Instances share no clock, so a message carries the age of a value instead of its time.
+//!
+//! During an upgrade, instances of two builds run side by side. Messages are encoded as lists without field names, which
+//! would double their size. A new field must be the last one of its type and carry `serde(default)`: this build then reads
+//! messages of the previous one. The previous build cannot read messages of this one.
 
 use std::sync::Arc;
 
@@ -18,90 +20,90 @@
     },
 };
 
-/// What an instance wants of the one that it asks.
+/// What an instance requests of the instance that it sends a report to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExchangePurpose {
-    /// What it knows, this once.
+    /// A single reply with the receiver's current state.
     #[serde(rename = "Once")]
     Query,
-    /// That it collects its counts, and reads the store for it.
+    /// The receiver is the aggregator: it sums up the reports of all instances, and reads the store for them.
     #[serde(rename = "InTurn")]
     Aggregate,
-    /// That it reads the store for it, since the store turns it away.
+    /// The receiver reads the store first, since the store rejects the sender's requests.
     #[serde(rename = "ToRead")]
     ReadStore,
 }
 
-/// What an instance tells.
+/// What an instance reports in an exchange.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ExchangeReport {
-    /// Who tells.
+    /// The sender.
     pub from: InstanceInfo,
-    /// Its requests in flight, by server.
+    /// The sender's requests in flight, by server.
     pub counts: Vec<Count>,
-    /// Servers that it finds silent, or that want no requests of it.
+    /// Servers that do not respond to the sender, or that asked it to send no more requests.
     pub unresponsive: Vec<Tag>,
-    /// The run of its process.
+    /// Run id of the sender's process.
     pub run: RunId,
-    /// Repeats that it has spent.
+    /// Retries that the sender has spent.
     pub spending: Vec<Spending>,
-    /// What it has seen of roll-outs.
+    /// What the sender has observed of roll-outs.
     pub rollouts: Vec<RolloutReport>,
-    /// How far roll-outs have come, as it knows it.
+    /// Progress of roll-outs, as the sender last received it.
     pub rollout_states: Vec<ToldRollout>,
-    /// What it had at servers that ended, and what it knows of requests that end them.
+    /// Requests that the sender had in flight at servers that crashed, and verdicts on requests that crash servers.
     pub suspicion: SuspicionReport,
-    /// Version of the intent that it has in force.
-    pub version: u64,
-    /// Whether it wants a newer intent however large.
+    /// Version of the intent that is active at the sender.
+    pub intent_version: u64,
+    /// Whether the sender requests changes of the intent of any size.
     pub wants_intent: bool,
-    /// What the other is to it.
+    /// What the sender requests.
     pub purpose: ExchangePurpose,
-    /// Its newest list of servers.
-    pub list: Option<ListVersion>,
-    /// Hash of the instances that it knows.
-    pub instances: u64,
+    /// Version of the sender's list of servers.
+    pub list_version: Option<ListVersion>,
+    /// Hash of the sender's list of instances.
+    pub instances_hash: u64,
 }
 
-/// What it is told.
+/// The reply to an [`ExchangeReport`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ExchangeReply {
-    /// What all instances have in flight.
+    /// Load of each service, over all instances.
     pub loads: Vec<ServiceLoad>,
-    /// Servers that several instances find silent, or that want no requests of several.
+    /// Servers that several instances have reported as unresponsive, or as accepting no requests.
     pub unresponsive: Vec<Tag>,
-    /// Repeats that all instances have spent.
+    /// Retries that all instances have spent.
     pub budgets: Vec<BudgetSum>,
-    /// The run of the process that tells.
+    /// Run id of the replying process.
     pub run: RunId,
-    /// Whether servers have ended lately.
+    /// Whether servers have crashed recently.
     pub crash_alert: bool,
-    /// Requests that are held back or watched.
+    /// Requests that are held or watched.
     pub verdicts: Vec<ToldVerdict>,
-    /// Version of the intent that the other has in force.
-    pub version: u64,
-    /// What has changed in the operator's intent, if that is small or wanted.
+    /// Version of the intent that is active at the replying instance.
+    pub intent_version: u64,
+    /// Changes of the intent since the reported version, if they are small or were requested.
     pub changes: Vec<Arc<PackedChange>>,
-    /// When the other's version was known to be the newest.
+    /// When the replying instance last confirmed its intent to be the newest.
     pub confirmed: Option<ConfirmedAgo>,
-    /// Operators' orders, as the other knows them.
+    /// Operators' orders, as the replying instance last received them.
     pub orders: ToldOrders,
-    /// How far roll-outs have come, as the other knows it.
+    /// Progress of roll-outs, as the replying instance last received it.
     pub rollout_states: Vec<ToldRollout>,
-    /// What is new in the list of servers.
+    /// Update of the list of servers since the reported version.
     pub list: ListNews,
     /// Milliseconds since the list was current.
     pub list_age_ms: Option<u64>,
-    /// Era of the store that the list is from.
+    /// Era of the store that the list was read from.
     pub list_era: StoreEra,
-    /// What is new in the list of instances, if the asker knows another one.
+    /// Update of the list of instances, if its hash differs from the reported one.
     pub instances: Option<InstanceNews>,
 }
 
-/// That a version of the intent was the newest in the store.
+/// Confirmation that a version of the intent was the newest in the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConfirmedAgo {
-    /// Milliseconds since then.
+    /// Milliseconds since the confirmation.
     pub age_ms: u64,
     /// Version of the store at that moment.
     pub store: StoreVersion,
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -46,11 +46,11 @@
     let cluster_state = &gateway.cluster_state;
     let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     let purpose = report.purpose;
-    cluster_state.note_version(now, report.version);
+    cluster_state.note_version(now, report.intent_version);
     let changes = if report.wants_intent {
-        cluster_state.changes_since(report.version)
+        cluster_state.changes_since(report.intent_version)
     } else {
-        cluster_state.small_changes_since(report.version, UNREQUESTED_CHANGES_MAX_BYTES)
+        cluster_state.small_changes_since(report.intent_version, UNREQUESTED_CHANGES_MAX_BYTES)
     };
     let (instances, is_news) = {
         let mut candidates = lock(&gateway.peers.candidates);
@@ -58,8 +58,8 @@
         candidates.add(report.from.clone());
         let after = candidates.version();
         // One that knows a few only would have them taken for all.
-        let tells = after != report.instances && gateway.peers.has_joined(now);
-        (tells.then(|| candidates.since(report.instances)), after != before)
+        let tells = after != report.instances_hash && gateway.peers.has_joined(now);
+        (tells.then(|| candidates.since(report.instances_hash)), after != before)
     };
     if is_news {
         gateway.instances_changed();
@@ -83,7 +83,7 @@
         gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
     }
     let sums = fleet_sums(gateway, now);
-    let told = cluster_state.server_list_reply(now, report.list);
+    let told = cluster_state.server_list_reply(now, report.list_version);
     ExchangeReply {
         loads: sums.loads.clone(),
         unresponsive: sums.silent.clone(),
@@ -95,7 +95,7 @@
         run: gateway.peers.run,
         crash_alert: gateway.suspicion.is_alert(now),
         verdicts: verdicts(gateway, now, purpose),
-        version: cluster_state.version(),
+        intent_version: cluster_state.version(),
         changes,
         confirmed: cluster_state.with_watch(|watch| watch.confirmed()).map(|confirmed| {
             ConfirmedAgo {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -364,12 +364,12 @@
         spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
         rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
         rollout_states: gateway.rollouts.told(asked),
-        version,
+        intent_version: version,
         // An instance that starts takes what it can get, and so does one that asks.
         wants_intent: !in_turn || version == 0,
         purpose,
-        list,
-        instances,
+        list_version: list,
+        instances_hash: instances,
     };
     let mut news: ExchangeReply = peers
         .links
@@ -433,9 +433,9 @@
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.cluster_state.confirm(news.version, Confirmed { at, store });
+        gateway.cluster_state.confirm(news.intent_version, Confirmed { at, store });
     }
-    gateway.cluster_state.note_version(gateway.clock.now(), news.version);
+    gateway.cluster_state.note_version(gateway.clock.now(), news.intent_version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
         apply_list(gateway, list, news.list, as_of, news.list_era);
     }
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -59,11 +59,11 @@
         rollouts: Vec::new(),
         rollout_states: Vec::new(),
         suspicion: Default::default(),
-        version: 12,
+        intent_version: 12,
         wants_intent: false,
         purpose: ExchangePurpose::Aggregate,
-        list: Some(ListVersion(77)),
-        instances: 8,
+        list_version: Some(ListVersion(77)),
+        instances_hash: 8,
     }
 }
 
@@ -76,7 +76,7 @@
         run: RunId(6),
         crash_alert: false,
         verdicts: Vec::new(),
-        version: 12,
+        intent_version: 12,
         changes: Vec::new(),
         confirmed: Some(ConfirmedAgo { age_ms: 40, store: store() }),
         orders: orders(),
@@ -164,7 +164,7 @@
     same(encode(&decode::<ExchangeReport>(&report_bytes).expect("a report")), encode(&report()));
     let without = ToldOrders { unread: IndexSet::new(), ..orders() };
     let read = decode::<ExchangeReply>(&news_bytes).expect("news");
-    assert_eq!((read.version, &read.orders), (12, &without));
+    assert_eq!((read.intent_version, &read.orders), (12, &without));
     assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
     assert_eq!(decode::<ToldOrders>(&orders_bytes).expect("orders"), without);
 }
