--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct ServerListReply {
     /// What is new in it.
-    pub news: ListNews,
+    pub update: ListNews,
     /// How long ago it was current.
     pub age: Option<Duration>,
     /// Era of the store that it is from.
@@ -204,7 +204,7 @@
     }
 
     /// Takes changes of operators' orders, up to the store's version `as_of`.
-    pub fn follow_orders(
+    pub fn apply_order_changes(
         &self,
         now: Instant,
         as_of: StoreVersion,
@@ -230,7 +230,7 @@
     }
 
     /// Takes a list of backend servers that was current at `as_of`, in an era of the store.
-    pub fn observe_servers(
+    pub fn apply_server_list(
         &self,
         now: Instant,
         as_of: Instant,
@@ -327,22 +327,22 @@
     /// as current and keep the next news out.
     pub fn server_list_reply(&self, now: Instant, version: Option<ListVersion>) -> ServerListReply {
         let roster = lock(&self.roster);
-        let news = lock(&self.lists).since(version);
+        let update = lock(&self.lists).since(version);
         let age = roster.as_of().map(|at| now.saturating_duration_since(at));
-        ServerListReply { news, age, era: roster.era() }
+        ServerListReply { update, age, era: roster.era() }
     }
 
-    /// Returns the list that the newest one becomes by `news`, which is of `version`.
+    /// Returns the list that the newest one becomes by `update`, which is of `version`.
     pub fn apply_list_update(
         &self,
         version: Option<ListVersion>,
-        news: ListNews,
+        update: ListNews,
     ) -> Option<Vec<BackendServer>> {
         let lists = lock(&self.lists);
         let list = match lists.newest() {
-            Some((known, list)) if Some(*known) == version => news.apply(list),
+            Some((known, list)) if Some(*known) == version => update.apply(list),
             // The news are of another list than the newest by now.
-            _ if matches!(news, ListNews::Whole(_)) => news.apply(&[]),
+            _ if matches!(update, ListNews::Whole(_)) => update.apply(&[]),
             _ => return None,
         };
         list.inspect_err(|fault| log::info!("event=list_skipped source=peer reason={fault}")).ok()
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -122,7 +122,7 @@
     };
     let rows = gateway.store.changes(INTENT_TABLE, confirmed.store, Duration::ZERO)?;
     let changes = orders::decode(&rows.rows);
-    gateway.cluster_state.follow_orders(gateway.clock.now(), rows.version, changes);
+    gateway.cluster_state.apply_order_changes(gateway.clock.now(), rows.version, changes);
     gateway.refresh_orders();
     Ok(())
 }
@@ -132,7 +132,7 @@
     let rows = gateway.store.changes(INTENT_TABLE, after, wait)?;
     // A reply without changes came when the wait was over, so nothing had changed until then.
     let changes = orders::decode(&rows.rows);
-    gateway.cluster_state.follow_orders(began, rows.version, changes);
+    gateway.cluster_state.apply_order_changes(began, rows.version, changes);
     let unchanged = rows.rows.is_empty() && gateway.clock.now() >= began + wait;
     take(gateway, &rows, if unchanged { began + wait } else { began });
     Ok(())
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -105,7 +105,7 @@
         }),
         orders: cluster_state.orders(),
         rollout_states: gateway.rollouts.told(now),
-        list: told.news,
+        list: told.update,
         list_age_ms: told.age.map(millis),
         list_era: told.era,
         instances,
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -146,7 +146,7 @@
     era: StoreEra,
     source: &str,
 ) {
-    let change = gateway.cluster_state.observe_servers(gateway.clock.now(), as_of, era, list);
+    let change = gateway.cluster_state.apply_server_list(gateway.clock.now(), as_of, era, list);
     log_change(&change, source, gateway.clock.now().saturating_duration_since(as_of));
     if change != RosterChange::default() {
         gateway.servers_changed();
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -62,12 +62,12 @@
     let (now, era) = (Instant::now(), StoreEra::default());
     let cluster_state = ClusterState::new(Duration::from_secs(1));
     let list: Vec<BackendServer> = servers.iter().map(|server| (**server).clone()).collect();
-    cluster_state.observe_servers(now, now, era, list);
+    cluster_state.apply_server_list(now, now, era, list);
     let version = cluster_state.list_version();
     let at = |round: u32| now + Duration::from_millis(1) * round;
     let look = |round| {
         let same = cluster_state.apply_list_update(version, ListNews::Same);
-        same.map(|list| cluster_state.observe_servers(at(round), at(round), era, list))
+        same.map(|list| cluster_state.apply_server_list(at(round), at(round), era, list))
     };
     let looked: Vec<Duration> = (1..20).map(|round| timed(|| drop(look(round)))).collect();
     let confirm = |round| cluster_state.confirm_list(at(round), version, at(round), era);
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -130,14 +130,14 @@
         let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
         let era = StoreEra::default();
-        let first = cluster_state.observe_servers(now, now, era, servers(count));
+        let first = cluster_state.apply_server_list(now, now, era, servers(count));
         assert_eq!(first.added.len(), count);
         let version = cluster_state.list_version();
         let later = now + Duration::from_millis(900);
         assert!(cluster_state.confirm_list(later, version, later, era), "{count} servers");
         assert_eq!(cluster_state.servers_age(later), Some(Duration::ZERO));
         let told = cluster_state.server_list_reply(later, version);
-        assert!(encode(&told.news).len() < 16, "{count} servers");
+        assert!(encode(&told.update).len() < 16, "{count} servers");
     }
 }
 
@@ -253,7 +253,7 @@
         let mut list = ServerListCache::new(now, version(1));
         list.take(rows(1));
         assert_eq!(list.unchanged_version(), None, "all is new");
-        cluster_state.observe_servers(now, now, StoreEra::default(), list.servers());
+        cluster_state.apply_server_list(now, now, StoreEra::default(), list.servers());
         list.mark_applied(cluster_state.list_version());
         list.take(rows(2));
         assert_eq!(
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -396,19 +396,19 @@
             .cloned(),
         _ => None,
     };
-    cluster_state.observe_servers(start, as_of(1), StoreEra(0), list(1));
+    cluster_state.apply_server_list(start, as_of(1), StoreEra(0), list(1));
     let end = as_of(READS);
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for read in 2..=READS {
-                cluster_state.observe_servers(end, as_of(read), StoreEra(0), list(read));
+                cluster_state.apply_server_list(end, as_of(read), StoreEra(0), list(read));
             }
         });
         for _ in 0..3 {
             scope.spawn(|| {
                 loop {
                     let list = cluster_state.server_list_reply(end, None);
-                    let told = marked(list.news).expect("a whole list").address.port();
+                    let told = marked(list.update).expect("a whole list").address.port();
                     let age = list.age.expect("a list has an age");
                     assert_eq!(end - age, as_of(told), "the age is of another list");
                     if told == READS {
