--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -1,5 +1,5 @@
-//! What an instance believes of the operator's intent and of the backend servers, and how old that
-//! is.
+//! The state of the cluster as an instance last received it: the operator's intent, operators' orders and the list of
+//! backend servers, with their ages.
 
 use std::{
     sync::{Arc, Condvar, Mutex, PoisonError},
@@ -20,44 +20,43 @@
     utils::sync::lock,
 };
 
-/// A list of backend servers as another instance is told of it.
+/// The part of an exchange reply that concerns the list of backend servers.
 #[derive(Debug)]
 pub struct ServerListReply {
-    /// What is new in it.
+    /// Update from the version that the requester has.
     pub update: ListNews,
-    /// How long ago it was current.
+    /// Time since the list was current.
     pub age: Option<Duration>,
-    /// Era of the store that it is from.
+    /// Era of the store that the list was read from.
     pub era: StoreEra,
 }
 
-/// An instance's beliefs.
+/// The newest intent, orders and servers that an instance has received, from the store or from other instances.
 pub struct ClusterState {
     current: ArcSwapOption<Intent>,
-    in_force: Mutex<IntentInForce>,
+    active: Mutex<IntentInForce>,
     roster: Mutex<Roster>,
-    /// How sure it is that the intent in force is the newest.
+    /// When the active intent was last confirmed as the newest, and what to read next.
     watch: Mutex<IntentWatch>,
-    /// Is told when the watch has something new to do.
+    /// Notified when another instance has reported a newer intent.
     newer_intent: Condvar,
-    /// What operators order beside the intent.
+    /// Operators' orders: evacuations and roll-outs, which are separate from the intent.
     orders: Mutex<OperatorOrders>,
-    /// Changes of the intent, for other instances.
+    /// Recent changes of the intent, for replies to other instances.
     changes: Mutex<IntentHistory>,
-    /// Lists of servers, for other instances.
+    /// Recent lists of servers, for replies to other instances.
     lists: Mutex<ListHistory>,
-    /// Whether there is an intent and a list of servers.
+    /// Whether an intent and a list of servers have been received.
     complete: Mutex<bool>,
     became_complete: Condvar,
 }
 
 impl ClusterState {
-    /// Returns the beliefs of an instance that knows nothing; changes of the intent are to be in force
-    /// within `bound`.
+    /// Returns an empty state; changes of the intent are to become active within `bound`.
     pub fn new(bound: Duration) -> ClusterState {
         ClusterState {
             current: ArcSwapOption::empty(),
-            in_force: Mutex::default(),
+            active: Mutex::default(),
             roster: Mutex::default(),
             watch: Mutex::new(IntentWatch::new(bound)),
             newer_intent: Condvar::new(),
@@ -69,22 +68,22 @@
         }
     }
 
-    /// Returns whether there is an intent and a list of servers; waits up to `patience` for that.
-    pub fn wait_complete(&self, patience: Duration) -> bool {
+    /// Waits until an intent and a list of servers have been received, up to `timeout`; returns whether they have.
+    pub fn wait_complete(&self, timeout: Duration) -> bool {
         let complete = lock(&self.complete);
         if *complete {
             return true;
         }
-        let waited = self.became_complete.wait_timeout_while(complete, patience, |done| !*done);
+        let waited = self.became_complete.wait_timeout_while(complete, timeout, |done| !*done);
         *waited.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// Returns whether there is an intent and a list of servers.
+    /// Returns whether an intent and a list of servers have been received.
     pub fn is_complete(&self) -> bool {
         *lock(&self.complete)
     }
 
-    fn note_progress(&self) {
+    fn update_complete(&self) {
         let listed = lock(&self.roster).servers().next().is_some();
         if listed && self.current.load().is_some() {
             *lock(&self.complete) = true;
@@ -92,28 +91,28 @@
         }
     }
 
-    /// Returns the intent in force.
+    /// Returns the active intent.
     pub fn intent(&self) -> Option<Arc<Intent>> {
         self.current.load_full()
     }
 
-    /// Returns the version in force; 0 before the first.
+    /// Returns the version of the active intent; 0 before the first one.
     pub fn version(&self) -> u64 {
-        lock(&self.in_force).version()
+        lock(&self.active).version()
     }
 
-    /// Returns how long an idle connection of a caller stays open.
+    /// Returns the idle timeout of callers' connections.
     pub fn idle_time(&self) -> Duration {
-        lock(&self.in_force).idle_time()
+        lock(&self.active).idle_time()
     }
 
-    /// Takes an intent that was the newest in the store; returns whether it is now in force.
+    /// Activates an intent that was the newest in the store; returns whether it is newer than the active one was.
     pub fn offer_intent(&self, intent: Intent, confirmed: Confirmed) -> bool {
         let version = intent.version;
         let old = self.intent();
         let new = self.activate(intent);
         self.confirm(version, confirmed);
-        // Callers are served by it already; what follows takes tens of milliseconds with thousands of routes.
+        // The new intent already serves callers: computing the change takes tens of milliseconds with thousands of routes.
         if let (Some(old), Some(new)) = (&old, &new) {
             let change = PackedChange::pack(&IntentChange::between(old, new));
             lock(&self.changes).push(Arc::new(change));
@@ -121,11 +120,11 @@
         new.is_some()
     }
 
-    /// Takes changes that lead to a later version, one after the other; returns whether one is now in force.
+    /// Applies consecutive changes of the intent and activates the result; returns whether a newer version is active.
     ///
     /// # Errors
     ///
-    /// A change cannot be used; those before it are in force.
+    /// A change cannot be applied. The changes before it have been applied.
     pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, ChangeFault> {
         let mut intent = self.intent().unwrap_or_else(|| Arc::new(Intent::empty()));
         let before = intent.version;
@@ -151,59 +150,59 @@
         result.map(|()| newer)
     }
 
-    /// Puts an intent in force unless one as new already is; returns it if it now is.
+    /// Activates an intent, unless the active one is as new; returns it if it was activated.
     fn activate(&self, intent: impl Into<Arc<Intent>>) -> Option<Arc<Intent>> {
         let intent = intent.into();
         {
-            let mut in_force = lock(&self.in_force);
-            if !in_force.offer(Arc::clone(&intent)) {
+            let mut active = lock(&self.active);
+            if !active.offer(Arc::clone(&intent)) {
                 return None;
             }
             self.current.store(Some(Arc::clone(&intent)));
             lock(&self.watch).in_force(intent.version);
         }
-        self.note_progress();
+        self.update_complete();
         Some(intent)
     }
 
-    /// Notes that `version` was the newest, which says something of an intent in force that is no older: one that is
-    /// behind would count as sure, and deny what the newer one allows.
+    /// Notes that `version` was confirmed as the newest. Ignored if the active intent is older than `version`: it would
+    /// count as up to date, and requests that the newer intent allows would be denied.
     pub fn confirm(&self, version: u64, confirmed: Confirmed) {
         if version <= self.version() {
             lock(&self.watch).confirm(confirmed);
         }
     }
 
-    /// Notes that there is `version` of the intent.
+    /// Notes that `version` of the intent exists, and wakes the reader of the intent if it is newer than the active one.
     pub fn note_version(&self, now: Instant, version: u64) {
         if lock(&self.watch).told(now, version) {
             self.newer_intent.notify_all();
         }
     }
 
-    /// Runs `f` with the watch.
+    /// Runs `f` with the watch over the intent.
     pub fn with_watch<T>(&self, f: impl FnOnce(&mut IntentWatch) -> T) -> T {
         f(&mut lock(&self.watch))
     }
 
-    /// Waits until a newer intent is told of, `longest` at most.
-    pub fn wait_for_newer(&self, longest: Duration) {
+    /// Waits until another instance has reported a newer intent, up to `timeout`.
+    pub fn wait_for_newer(&self, timeout: Duration) {
         let watch = lock(&self.watch);
-        // Whatever ended the wait, the watch says what is next.
-        drop(self.newer_intent.wait_timeout_while(watch, longest, |watch| !watch.is_behind()));
+        // The result is not needed: the watch decides the next step, whatever ended the wait.
+        drop(self.newer_intent.wait_timeout_while(watch, timeout, |watch| !watch.is_behind()));
     }
 
-    /// Returns how long ago the intent in force was known to be the newest.
+    /// Returns the time since the active intent was last confirmed as the newest.
     pub fn intent_age(&self, now: Instant) -> Option<Duration> {
         lock(&self.watch).age(now)
     }
 
-    /// Takes what was told of operators' orders; returns whether it is news.
-    pub fn offer_orders(&self, now: Instant, told: ToldOrders) -> bool {
-        lock(&self.orders).take(now, told)
+    /// Takes a snapshot of operators' orders that was read or received; returns whether it is newer than the last.
+    pub fn offer_orders(&self, now: Instant, snapshot: ToldOrders) -> bool {
+        lock(&self.orders).take(now, snapshot)
     }
 
-    /// Takes changes of operators' orders, up to the store's version `as_of`.
+    /// Applies changes of operators' orders up to the store's version `as_of`; returns whether they were taken over.
     pub fn apply_order_changes(
         &self,
         now: Instant,
@@ -213,23 +212,23 @@
         lock(&self.orders).follow(now, as_of, changes)
     }
 
-    /// Returns the zones that get nothing new.
+    /// Returns the evacuated zones, which receive no new requests.
     pub fn evacuated_zones(&self, now: Instant) -> IndexSet<ZoneName> {
         lock(&self.orders).in_force(now).zones
     }
 
-    /// Runs `apply` with the orders in force; no other thread puts older ones in force meanwhile.
+    /// Runs `apply` with the active orders, under the lock: no other thread can apply older ones at the same time.
     pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(ToldOrders) -> T) -> T {
         let orders = lock(&self.orders);
         apply(orders.in_force(now))
     }
 
-    /// Returns what other instances are told of operators' orders.
+    /// Returns the newest snapshot of operators' orders, for other instances.
     pub fn orders(&self) -> ToldOrders {
         lock(&self.orders).newest().clone()
     }
 
-    /// Takes a list of backend servers that was current at `as_of`, in an era of the store.
+    /// Applies a list of backend servers that was current at `as_of`, in `era` of the store, if it is newer than the last.
     pub fn apply_server_list(
         &self,
         now: Instant,
@@ -243,15 +242,15 @@
             return RosterChange::default();
         }
         let change = roster.observe(now, as_of, list);
-        // Others are told what is believed, which is more than the list after an outage of the store.
+        // Other instances receive the merged list: after an outage of the store it keeps servers that the list lacks.
         lock(&self.lists).push(roster.servers().map(|server| (**server).clone()).collect());
         drop(roster);
-        self.note_progress();
+        self.update_complete();
         change
     }
 
-    /// Notes that the list of `version` was current at `as_of`, in an era of the store, without looking at its servers; returns
-    /// whether that is enough, as it is while this is the newest list.
+    /// Notes that the list of `version` was current at `as_of`, in `era` of the store, without comparing its servers.
+    /// Returns whether that suffices, which it does only if `version` is the newest list.
     pub fn confirm_list(
         &self,
         now: Instant,
@@ -264,18 +263,18 @@
         newest.is_some() && newest == version && roster.confirm(now, as_of, era)
     }
 
-    /// Notes that the entries of servers have been overwritten by something that is not understood.
+    /// Marks servers whose entries in the store have been overwritten by ones that cannot be parsed.
     pub fn overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
         let mut roster = lock(&self.roster);
         keys.for_each(|key| roster.overwritten(key));
     }
 
-    /// Runs `f` with the servers in force.
+    /// Runs `f` with the current list of servers.
     pub fn with_servers<T>(&self, f: impl FnOnce(&Roster) -> T) -> T {
         f(&lock(&self.roster))
     }
 
-    /// Has the servers of a zone count as cold for what `lasts` says of their service.
+    /// Treats the servers of a zone as cold for the time that `lasts` returns for their service.
     pub fn suspect_cold(
         &self,
         now: Instant,
@@ -285,27 +284,28 @@
         lock(&self.roster).suspect_cold(now, zone, lasts);
     }
 
-    /// Forgets a server whose address answered as another one.
+    /// Removes a server whose address now belongs to another one.
     pub fn remove_server(&self, id: &Incarnation) {
         lock(&self.roster).forget(id);
     }
 
-    /// Returns how old the servers' list is.
+    /// Returns the age of the list of servers.
     pub fn servers_age(&self, now: Instant) -> Option<Duration> {
         lock(&self.roster).as_of().map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns what turns `version` into the intent in force; nothing for an instance that has it.
+    /// Returns the changes that lead from `version` to the active intent; none if `version` is active.
     pub fn changes_since(&self, version: u64) -> Vec<Arc<PackedChange>> {
         let Some(newest) = self.intent() else { return Vec::new() };
         lock(&self.changes).since(version, &newest)
     }
 
-    /// Returns the changes since `version`, if that is not too long ago and they have at most `most` bytes.
-    pub fn small_changes_since(&self, version: u64, most: usize) -> Vec<Arc<PackedChange>> {
+    /// Returns the changes since `version`, or none if the history does not reach back that far or they exceed
+    /// `max_bytes`.
+    pub fn small_changes_since(&self, version: u64, max_bytes: usize) -> Vec<Arc<PackedChange>> {
         let Some(newest) = self.intent() else { return Vec::new() };
         let mut kept = lock(&self.changes).kept_since(version, &newest);
-        if kept.iter().map(|change| change.len()).sum::<usize>() > most {
+        if kept.iter().map(|change| change.len()).sum::<usize>() > max_bytes {
             kept.clear();
         }
         kept
@@ -316,15 +316,15 @@
         lock(&self.changes).last().cloned()
     }
 
-    /// Returns the version of the newest list.
+    /// Returns the version of the newest list of servers.
     pub fn list_version(&self) -> Option<ListVersion> {
         lock(&self.lists).newest().map(|(version, _)| *version)
     }
 
-    /// Returns what has changed in the list since `version`, and how old the list is.
+    /// Returns the update of the list since `version`, and the age of the list.
     ///
-    /// Both are of one moment: a list from just before a read, told with the age from just after it, would count
-    /// as current and keep the next news out.
+    /// Both are taken under one lock: a list from just before a read with the age from just after it would count as
+    /// current, and the receiver would reject the next update.
     pub fn server_list_reply(&self, now: Instant, version: Option<ListVersion>) -> ServerListReply {
         let roster = lock(&self.roster);
         let update = lock(&self.lists).since(version);
@@ -332,7 +332,7 @@
         ServerListReply { update, age, era: roster.era() }
     }
 
-    /// Returns the list that the newest one becomes by `update`, which is of `version`.
+    /// Returns the result of applying `update`, which starts from `version`, to the newest list.
     pub fn apply_list_update(
         &self,
         version: Option<ListVersion>,
@@ -341,7 +341,7 @@
         let lists = lock(&self.lists);
         let list = match lists.newest() {
             Some((known, list)) if Some(*known) == version => update.apply(list),
-            // The news are of another list than the newest by now.
+            // The newest list is no longer the one that the update starts from; a whole list needs none.
             _ if matches!(update, ListNews::Whole(_)) => update.apply(&[]),
             _ => return None,
         };
