--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -112,7 +112,8 @@
         let old = self.intent();
         let new = self.activate(intent);
         self.confirm(version, confirmed);
-        // The new intent already serves callers: computing the change takes tens of milliseconds with thousands of routes.
+        // The new intent already serves callers: computing the change takes tens of milliseconds with thousands of
+        // routes.
         if let (Some(old), Some(new)) = (&old, &new) {
             let change = PackedChange::pack(&IntentChange::between(old, new));
             lock(&self.changes).push(Arc::new(change));
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Notes that `version` of the intent exists, and wakes the reader of the intent if it is newer than the active one.
+    /// Notes that `version` of the intent exists, and wakes the reader of the intent if it is newer than the active
+    /// one.
     pub fn note_version(&self, now: Instant, version: u64) {
         if lock(&self.watch).told(now, version) {
             self.newer_intent.notify_all();
@@ -228,7 +230,8 @@
         lock(&self.orders).newest().clone()
     }
 
-    /// Applies a list of backend servers that was current at `as_of`, in `era` of the store, if it is newer than the last.
+    /// Applies a list of backend servers that was current at `as_of`, in `era` of the store, if it is newer than the
+    /// last.
     pub fn apply_server_list(
         &self,
         now: Instant,
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -2,9 +2,9 @@
 //!
 //! Instances share no clock, so a message carries the age of a value instead of its time.
 //!
-//! During an upgrade, instances of two builds run side by side. Messages are encoded as lists without field names, which
-//! would double their size. A new field must be the last one of its type and carry `serde(default)`: this build then reads
-//! messages of the previous one. The previous build cannot read messages of this one.
+//! During an upgrade, instances of two builds run side by side. Messages are encoded as lists without field names,
+//! which would double their size. A new field must be the last one of its type and carry `serde(default)`: this build
+//! then reads messages of the previous one. The previous build cannot read messages of this one.
 
 use std::sync::Arc;
 
