--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -46,7 +46,7 @@
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Least pause between two exchanges: several within the time that a stream takes.
-const PERIOD_MIN: Duration = Duration::from_millis(250);
+const EXCHANGE_PERIOD_MIN: Duration = Duration::from_millis(250);
 
 /// Time that the instance asked has for each exchange: four hundred a second, a few hundredths of a
 /// processor.
@@ -54,7 +54,7 @@
 
 /// Longest pause between two exchanges: with it and the pause between two reads of the servers'
 /// list, news are younger than the age at which an instance reads for itself.
-const PERIOD_MAX: Duration = Duration::from_millis(900);
+const EXCHANGE_PERIOD_MAX: Duration = Duration::from_millis(900);
 
 /// Instances asked when the store cannot be read.
 const PEERS_PER_ROUND: usize = 2;
@@ -192,10 +192,10 @@
     }
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
-    pub fn access_rollouts_by_fallback(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
+    pub fn forward_rollout_request(&self, now: Instant, request: &TableAsk) -> Option<TableReply> {
         for _ in 0..helper::ASKED {
             let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
-            match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, ask) {
+            match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, request) {
                 Ok(TableReply::Failed(reason)) => {
                     log::info!("event=no_help peer={} reason={reason:?}", helper.node);
                 }
@@ -214,8 +214,12 @@
     /// # Errors
     ///
     /// Why it did not answer, for logs.
-    pub fn request_permit(&self, of: SocketAddr, ask: &PermitAsk) -> Result<PermitReply, String> {
-        let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, ask);
+    pub fn request_permit(
+        &self,
+        of: SocketAddr,
+        request: &PermitAsk,
+    ) -> Result<PermitReply, String> {
+        let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, request);
         reply.map_err(|fault| fault.to_string())
     }
 
@@ -227,7 +231,9 @@
     /// Returns the pause between two exchanges.
     pub(super) fn period(&self) -> Duration {
         let instances = u32::try_from(self.instances()).unwrap_or(u32::MAX);
-        PERIOD_PER_INSTANCE.saturating_mul(instances).clamp(PERIOD_MIN, PERIOD_MAX)
+        PERIOD_PER_INSTANCE
+            .saturating_mul(instances)
+            .clamp(EXCHANGE_PERIOD_MIN, EXCHANGE_PERIOD_MAX)
     }
 
     /// Returns up to `count` other addresses, drawn anew each time.
@@ -268,7 +274,7 @@
             take_own_crash_report(gateway, now);
             return;
         };
-        match ask(gateway, first.address, ExchangePurpose::Aggregate) {
+        match exchange_with(gateway, first.address, ExchangePurpose::Aggregate) {
             Ok(()) => {
                 lock(&peers.candidates).note_heard(&first.node);
                 return;
@@ -310,7 +316,7 @@
         return request_store_read(gateway, now);
     }
     for address in gateway.peers.random_peers(&gateway.settings.seeds, PEERS_PER_ROUND) {
-        if let Err(fault) = ask(gateway, address, ExchangePurpose::Query) {
+        if let Err(fault) = exchange_with(gateway, address, ExchangePurpose::Query) {
             log::info!("event=peer_silent peer={address} reason={fault:?}");
         }
     }
@@ -322,7 +328,9 @@
     for _ in 0..helper::ASKED {
         let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
         let Some(helper) = helper else { return };
-        let Err(fault) = ask(gateway, helper.address, ExchangePurpose::ReadStore) else { return };
+        let Err(fault) = exchange_with(gateway, helper.address, ExchangePurpose::ReadStore) else {
+            return;
+        };
         log::info!("event=no_help peer={} reason={fault:?}", helper.node);
         lock(&peers.helper).failed();
     }
@@ -336,13 +344,19 @@
         return false;
     }
     fastrand::shuffle(&mut seeds);
-    seeds.into_iter().any(|seed| ask(gateway, seed, ExchangePurpose::Query).is_ok() && is_enough())
+    seeds
+        .into_iter()
+        .any(|seed| exchange_with(gateway, seed, ExchangePurpose::Query).is_ok() && is_enough())
 }
 
 /// Makes one exchange.
-fn ask(gateway: &Gateway, address: SocketAddr, purpose: ExchangePurpose) -> Result<(), String> {
+fn exchange_with(
+    gateway: &Gateway,
+    address: SocketAddr,
+    purpose: ExchangePurpose,
+) -> Result<(), String> {
     let peers = &gateway.peers;
-    let asked = gateway.clock.now();
+    let sent_at = gateway.clock.now();
     let (list, version) = (gateway.cluster_state.list_version(), gateway.cluster_state.version());
     let (from, instances) = {
         let candidates = lock(&peers.candidates);
@@ -350,46 +364,47 @@
     };
     let (counts, silent) = {
         let picker = lock(&gateway.picker);
-        (picker.own_counts(), picker.own_silent(asked))
+        (picker.own_counts(), picker.own_silent(sent_at))
     };
     // Others than the one that all turn to know only a part.
-    let in_turn = purpose == ExchangePurpose::Aggregate;
-    let suspicion = if in_turn { gateway.suspicion.report(asked) } else { Default::default() };
+    let to_aggregator = purpose == ExchangePurpose::Aggregate;
+    let suspicion =
+        if to_aggregator { gateway.suspicion.report(sent_at) } else { Default::default() };
     let report = ExchangeReport {
         from,
         counts: counts.clone(),
         unresponsive: silent,
         run: peers.run,
         suspicion,
-        spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
-        rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
-        rollout_states: gateway.rollouts.told(asked),
+        spending: if to_aggregator { gateway.spending(sent_at) } else { Vec::new() },
+        rollouts: if to_aggregator { gateway.rollouts.reports(gateway) } else { Vec::new() },
+        rollout_states: gateway.rollouts.told(sent_at),
         intent_version: version,
         // An instance that starts takes what it can get, and so does one that asks.
-        wants_intent: !in_turn || version == 0,
+        wants_intent: !to_aggregator || version == 0,
         purpose,
         list_version: list,
         instances_hash: instances,
     };
-    let mut news: ExchangeReply = peers
+    let mut reply: ExchangeReply = peers
         .links
         .call(Purpose::Loads, address, EXCHANGE_PATH, &report)
         .map_err(|e| e.to_string())?;
     let told = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
-        news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
+        reply.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
     gateway.suspicion.take_verdicts(told, &lasting, "peer");
-    if in_turn {
-        gateway.suspicion.note_told(news.run, &report.suspicion);
+    if to_aggregator {
+        gateway.suspicion.note_told(reply.run, &report.suspicion);
         gateway.suspicion.watch(told, &watched);
-        if news.crash_alert {
+        if reply.crash_alert {
             gateway.suspicion.alert(told);
         }
-        apply_loads(gateway, told, &news.loads, Some(counts));
-        lock(&gateway.picker).told_silent(told, &news.unresponsive);
-        gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
+        apply_loads(gateway, told, &reply.loads, Some(counts));
+        lock(&gateway.picker).told_silent(told, &reply.unresponsive);
+        gateway.set_budget_sums(told, std::mem::take(&mut reply.budgets));
     }
-    take(gateway, news, list, asked);
+    apply_reply(gateway, reply, list, sent_at);
     Ok(())
 }
 
@@ -410,36 +425,41 @@
 fn apply_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    news: ListNews,
+    reply: ListNews,
     as_of: Instant,
     era: StoreEra,
 ) {
     let cluster_state = &gateway.cluster_state;
-    let is_same = matches!(news, ListNews::Same);
+    let is_same = matches!(reply, ListNews::Same);
     if is_same && cluster_state.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
-    if let Some(servers) = cluster_state.apply_list_update(version, news) {
+    if let Some(servers) = cluster_state.apply_list_update(version, reply) {
         roster_reader::take(gateway, servers, as_of, era, "peer");
     }
 }
 
-fn take(gateway: &Gateway, news: ExchangeReply, list: Option<ListVersion>, asked: Instant) {
+fn apply_reply(
+    gateway: &Gateway,
+    reply: ExchangeReply,
+    list: Option<ListVersion>,
+    sent_at: Instant,
+) {
     // Before an intent or a list by which the instance may become ready.
-    gateway.accept_orders(news.orders, "peer");
-    gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
-    intent_reader::apply_changes(gateway, &news.changes);
-    let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
-    if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
+    gateway.accept_orders(reply.orders, "peer");
+    gateway.rollouts.take_told(gateway, &reply.rollout_states, "peer");
+    intent_reader::apply_changes(gateway, &reply.changes);
+    let then = |age_ms: u64| sent_at.checked_sub(Duration::from_millis(age_ms));
+    if let Some(ConfirmedAgo { age_ms, store }) = reply.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.cluster_state.confirm(news.intent_version, Confirmed { at, store });
+        gateway.cluster_state.confirm(reply.intent_version, Confirmed { at, store });
     }
-    gateway.cluster_state.note_version(gateway.clock.now(), news.intent_version);
-    if let Some(as_of) = news.list_age_ms.and_then(then) {
-        apply_list(gateway, list, news.list, as_of, news.list_era);
+    gateway.cluster_state.note_version(gateway.clock.now(), reply.intent_version);
+    if let Some(as_of) = reply.list_age_ms.and_then(then) {
+        apply_list(gateway, list, reply.list, as_of, reply.list_era);
     }
-    if let Some(instances) = news.instances {
+    if let Some(instances) = reply.instances {
         lock(&gateway.peers.candidates).take(instances);
         gateway.instances_changed();
     }
--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -62,7 +62,7 @@
     match perform_here(gateway, ask) {
         Err(fault @ StoreFault::NotDone(_)) => {
             gateway.store_failed("rollouts", &fault);
-            let helped = gateway.peers.access_rollouts_by_fallback(gateway.clock.now(), ask);
+            let helped = gateway.peers.forward_rollout_request(gateway.clock.now(), ask);
             helped.unwrap_or_else(|| TableReply::Failed(fault.to_string()))
         }
         Ok(reply) => reply,
