--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,8 +1,8 @@
-//! The exchange between instances: each tells one of them what it has in flight, and is told what
-//! the others have and what is new in the store.
+//! The periodic exchange between instances: each reports its requests in flight to one of them, the aggregator, which
+//! replies with the sums over all instances and the updates read from the store.
 //!
-//! The one that is told (see `routing::candidates`) reads the store for the others. Every reply
-//! carries ages, and an instance whose knowledge grows too old reads the store itself.
+//! The aggregator (see `routing::candidates`) reads the store for all instances. Every reply carries the ages of its
+//! values, and an instance whose state gets too old reads the store itself.
 
 use std::{
     net::SocketAddr,
@@ -42,59 +42,60 @@
 /// Path of the exchange.
 pub(super) const EXCHANGE_PATH: &str = "/exchange";
 
-/// Longest pause in an exchange with another instance: many round trips, and less than the news may age.
+/// Timeout of a call to another instance while no byte arrives: many round trips, and less than the age that updates
+/// may reach.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Least pause between two exchanges: several within the time that a stream takes.
+/// Minimum time between two exchanges. Several exchanges take place within the duration of a stream.
 const EXCHANGE_PERIOD_MIN: Duration = Duration::from_millis(250);
 
-/// Time that the instance asked has for each exchange: four hundred a second, a few hundredths of a
-/// processor.
+/// Time between two exchanges at the aggregator: it serves 400 a second, which takes a few hundredths of a processor
+/// core.
 const PERIOD_PER_INSTANCE: Duration = Duration::from_micros(2500);
 
-/// Longest pause between two exchanges: with it and the pause between two reads of the servers'
-/// list, news are younger than the age at which an instance reads for itself.
+/// Maximum time between two exchanges. Together with the time between two reads of the list of servers it is less than
+/// the age at which an instance reads the store itself.
 const EXCHANGE_PERIOD_MAX: Duration = Duration::from_millis(900);
 
-/// Instances asked when the store cannot be read.
+/// Instances queried in one round, when the store cannot be read.
 const PEERS_PER_ROUND: usize = 2;
 
-/// Least pause between two rounds of questions.
+/// Minimum time between two rounds of queries.
 const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(300);
 
-/// Time after its start from which an instance that knows no other counts as alone, whether it could learn of
-/// others or not: what it read at its start is still young then.
+/// Time after the start at which an instance without known peers counts as the only one, even if it could not read the
+/// table of instances. The state that it read at its start is still recent then.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long an instance that others turn to goes on to read the store for them.
+/// Time after the last report from another instance during which an instance still acts as the aggregator.
 const AGGREGATOR_TTL: Duration = Duration::from_millis(3000);
 
-/// Other instances, and what they tell.
+/// Connections to the other instances, and what they have reported.
 pub struct Peers {
     pub(super) traffic: Traffic,
     links: PeerLinks,
-    /// Connections on which nothing waits for an exchange.
+    /// Separate connections, so that permits do not wait for exchanges.
     permit_links: PeerLinks,
-    /// Instances known, in the order in which all turn to them.
+    /// Known instances, in the order in which they become the aggregator.
     pub(super) candidates: Mutex<Candidates>,
-    /// Requests in flight, as the instances told them to this one.
+    /// Requests in flight, as the instances reported them to this one.
     pub(super) aggregate: Mutex<Aggregate>,
-    /// Repeats spent, as the instances told them to this one.
+    /// Retries spent, as the instances reported them to this one.
     pub(super) budget: Mutex<FleetBudget>,
     pub(super) run: RunId,
-    /// Whether the other instances are known.
+    /// Whether the other instances have been discovered.
     joined: AtomicBool,
     started: Instant,
-    /// Whether this instance waits for others as it starts.
+    /// How long this instance waits for seeds at its start.
     pub(super) start: StartWatch,
     pub(super) fleet_sums: Recent<FleetSums>,
     last_round: Mutex<Option<Instant>>,
-    /// The one that reads for this one while the store turns it away.
+    /// Chooses an instance that reads the store while it rejects this one.
     helper: Mutex<Helper>,
 }
 
 impl Peers {
-    /// Returns the peers of an instance that knows none yet.
+    /// Creates the state of an instance that knows no other one yet.
     pub fn new(settings: &GatewaySettings, clock: &Clock, traffic: &Traffic) -> Peers {
         let own = InstanceInfo {
             node: settings.node.clone(),
@@ -121,58 +122,57 @@
         }
     }
 
-    /// Sets the address at which this instance listens for others.
+    /// Sets the address that this instance advertises to the others.
     pub fn advertise(&self, address: SocketAddr) {
         lock(&self.candidates).set_own_address(address);
     }
 
-    /// Returns how many instances are known, this one included.
+    /// Returns the number of known instances, including this one.
     pub fn instances(&self) -> usize {
         lock(&self.candidates).all().len()
     }
 
-    /// Returns which of all known instances this one is.
+    /// Returns the position of this instance among all known ones.
     pub fn position(&self) -> FleetPosition {
         lock(&self.candidates).position()
     }
 
-    /// Returns whether this instance reads the store at a pace: it has nobody to turn to, or others
-    /// turn to it.
+    /// Returns whether this instance reads the store periodically: it is the aggregator, or no other instance responds.
     pub fn is_reader(&self, now: Instant) -> bool {
         let alone = self.has_joined(now) && lock(&self.candidates).first(now).is_none();
         alone || self.is_aggregator(now)
     }
 
-    /// Returns whether the settings name this instance among `seeds`.
+    /// Returns whether this instance is one of `seeds`.
     pub fn is_seed(&self, seeds: &[SocketAddr]) -> bool {
         seeds.contains(&lock(&self.candidates).own().address)
     }
 
-    /// Notes that the other instances are known, as far as there are any.
+    /// Notes that the other instances, if any, have been discovered.
     pub fn note_joined(&self) {
         self.joined.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether an instance that knows nobody has nobody to rely on: one that has just started has not
-    /// learnt of the others yet.
+    /// Returns whether the list of instances counts as complete: they have been discovered, or the time for that is
+    /// over. Before, an instance that knows no other one may not be the only one.
     pub(super) fn has_joined(&self, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.started) >= JOIN_TIMEOUT;
         waited || self.joined.load(Ordering::Relaxed)
     }
 
-    /// Returns whether others have turned to this instance lately.
+    /// Returns whether other instances have reported to this one within [`AGGREGATOR_TTL`].
     pub(super) fn is_aggregator(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
-        let heard = lock(&self.aggregate).last_heard(&own);
-        heard.is_some_and(|at| now.saturating_duration_since(at) < AGGREGATOR_TTL)
+        let last = lock(&self.aggregate).last_heard(&own);
+        last.is_some_and(|at| now.saturating_duration_since(at) < AGGREGATOR_TTL)
     }
 
-    /// Returns what this instance is to the others in the watch over the list of servers.
+    /// Returns the role of this instance in reading the list of servers.
     pub fn roster_role(&self, now: Instant) -> RosterRole {
         RosterRole { reader: self.is_reader(now), position: self.position() }
     }
 
-    /// Returns what this instance is to the others in the watch over the intent.
+    /// Returns the role of this instance in reading the intent.
     pub fn watch_role(&self, now: Instant) -> WatchRole {
         WatchRole {
             reader: self.is_reader(now),
@@ -185,13 +185,13 @@
     ///
     /// # Errors
     ///
-    /// Why it did not answer, for logs.
+    /// The reason why it did not reply, for logs.
     pub fn offer(&self, to: SocketAddr, offer: &Offer) -> Result<OfferReply, String> {
         let reply = self.links.call(Purpose::Config, to, OFFER_PATH, offer);
         reply.map_err(|fault| fault.to_string())
     }
 
-    /// Has another instance do something in the store's table of roll-outs; `None` where none could.
+    /// Has another instance access the store's table of roll-outs; `None` if none could.
     pub fn forward_rollout_request(&self, now: Instant, request: &TableAsk) -> Option<TableReply> {
         for _ in 0..helper::ASKED {
             let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
@@ -209,11 +209,11 @@
         None
     }
 
-    /// Asks another instance for a permit.
+    /// Requests a permit from another instance.
     ///
     /// # Errors
     ///
-    /// Why it did not answer, for logs.
+    /// The reason why it did not reply, for logs.
     pub fn request_permit(
         &self,
         of: SocketAddr,
@@ -228,7 +228,7 @@
         lock(&self.candidates).own().node == instance.node
     }
 
-    /// Returns the pause between two exchanges.
+    /// Returns the time between two exchanges, which grows with the number of instances.
     pub(super) fn period(&self) -> Duration {
         let instances = u32::try_from(self.instances()).unwrap_or(u32::MAX);
         PERIOD_PER_INSTANCE
@@ -236,7 +236,7 @@
             .clamp(EXCHANGE_PERIOD_MIN, EXCHANGE_PERIOD_MAX)
     }
 
-    /// Returns up to `count` other addresses, drawn anew each time.
+    /// Returns the addresses of up to `count` other instances, chosen at random.
     fn random_peers(&self, seeds: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
         let candidates = lock(&self.candidates);
         let own = candidates.own().address;
@@ -251,7 +251,7 @@
     }
 }
 
-/// Exchanges news until the process ends.
+/// Makes an exchange in each period, until the process ends.
 pub fn run(gateway: &Arc<Gateway>) {
     loop {
         exchange(gateway);
@@ -260,13 +260,14 @@
     }
 }
 
-/// Tells the first instance that answers, and takes what it tells.
+/// Reports to the aggregator and applies its reply. If it does not respond, the next candidate is tried, once. The
+/// aggregator itself applies its own sums.
 fn exchange(gateway: &Gateway) {
     let peers = &gateway.peers;
     for _ in 0..2 {
         let now = gateway.clock.now();
-        let first = lock(&peers.candidates).first(now).cloned();
-        let Some(first) = first else {
+        let aggregator = lock(&peers.candidates).first(now).cloned();
+        let Some(aggregator) = aggregator else {
             let sums = fleet_sums(gateway, now);
             apply_loads(gateway, now, &sums.loads, None);
             lock(&gateway.picker).told_silent(now, &sums.silent);
@@ -274,20 +275,20 @@
             take_own_crash_report(gateway, now);
             return;
         };
-        match exchange_with(gateway, first.address, ExchangePurpose::Aggregate) {
+        match exchange_with(gateway, aggregator.address, ExchangePurpose::Aggregate) {
             Ok(()) => {
-                lock(&peers.candidates).note_heard(&first.node);
+                lock(&peers.candidates).note_heard(&aggregator.node);
                 return;
             }
             Err(fault) => {
-                log::info!("event=peer_silent peer={} reason={fault:?}", first.node);
-                lock(&peers.candidates).note_silent(gateway.clock.now(), &first.node);
+                log::info!("event=peer_silent peer={} reason={fault:?}", aggregator.node);
+                lock(&peers.candidates).note_silent(gateway.clock.now(), &aggregator.node);
             }
         }
     }
 }
 
-/// Takes this instance's own word on servers that ended, as the one to which all turn.
+/// Applies the aggregator's own report on servers that crashed.
 fn take_own_crash_report(gateway: &Gateway, now: Instant) {
     let suspicion = &gateway.suspicion;
     if !gateway.settings.first_start && gateway.peers.has_joined(now) {
@@ -302,7 +303,7 @@
     }
 }
 
-/// Learns from other instances what the store does not tell.
+/// Fetches from other instances what could not be read from the store, at most once in [`ROUND_INTERVAL_MIN`].
 pub fn catch_up(gateway: &Gateway) {
     let now = gateway.clock.now();
     {
@@ -322,7 +323,7 @@
     }
 }
 
-/// Has another instance read the store, for those that turn to this one.
+/// Has another instance read the store for the aggregator, which the store rejects.
 fn request_store_read(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
     for _ in 0..helper::ASKED {
@@ -336,8 +337,8 @@
     }
 }
 
-/// Asks the instances that the settings name, one after the other, for all, until what one tells is enough; returns
-/// whether it is. One that has just started itself answers, and tells of nobody and nothing.
+/// Queries the seeds one after the other, in random order, until `is_enough` holds; returns whether it does. A seed
+/// that has just started itself replies with an empty state.
 pub fn query_seeds(gateway: &Gateway, is_enough: impl Fn() -> bool) -> bool {
     let mut seeds = gateway.settings.seeds.clone();
     if gateway.peers.is_seed(&seeds) {
@@ -349,7 +350,7 @@
         .any(|seed| exchange_with(gateway, seed, ExchangePurpose::Query).is_ok() && is_enough())
 }
 
-/// Makes one exchange.
+/// Sends a report to another instance and applies its reply.
 fn exchange_with(
     gateway: &Gateway,
     address: SocketAddr,
@@ -362,25 +363,25 @@
         let candidates = lock(&peers.candidates);
         (candidates.own().clone(), candidates.version())
     };
-    let (counts, silent) = {
+    let (counts, unresponsive) = {
         let picker = lock(&gateway.picker);
         (picker.own_counts(), picker.own_silent(sent_at))
     };
-    // Others than the one that all turn to know only a part.
+    // Only the aggregator receives the reports of all instances; the sums of another one would be incomplete.
     let to_aggregator = purpose == ExchangePurpose::Aggregate;
     let suspicion =
         if to_aggregator { gateway.suspicion.report(sent_at) } else { Default::default() };
     let report = ExchangeReport {
         from,
         counts: counts.clone(),
-        unresponsive: silent,
+        unresponsive,
         run: peers.run,
         suspicion,
         spending: if to_aggregator { gateway.spending(sent_at) } else { Vec::new() },
         rollouts: if to_aggregator { gateway.rollouts.reports(gateway) } else { Vec::new() },
         rollout_states: gateway.rollouts.told(sent_at),
         intent_version: version,
-        // An instance that starts takes what it can get, and so does one that asks.
+        // An instance that starts, or that could not read the store, accepts changes of any size.
         wants_intent: !to_aggregator || version == 0,
         purpose,
         list_version: list,
@@ -390,30 +391,35 @@
         .links
         .call(Purpose::Loads, address, EXCHANGE_PATH, &report)
         .map_err(|e| e.to_string())?;
-    let told = gateway.clock.now();
+    let received_at = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
-        reply.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
-    gateway.suspicion.take_verdicts(told, &lasting, "peer");
+        reply.verdicts.iter().partition(|verdict| verdict.judgement == Judgement::Watched);
+    gateway.suspicion.take_verdicts(received_at, &lasting, "peer");
     if to_aggregator {
         gateway.suspicion.note_told(reply.run, &report.suspicion);
-        gateway.suspicion.watch(told, &watched);
+        gateway.suspicion.watch(received_at, &watched);
         if reply.crash_alert {
-            gateway.suspicion.alert(told);
+            gateway.suspicion.alert(received_at);
         }
-        apply_loads(gateway, told, &reply.loads, Some(counts));
-        lock(&gateway.picker).told_silent(told, &reply.unresponsive);
-        gateway.set_budget_sums(told, std::mem::take(&mut reply.budgets));
+        apply_loads(gateway, received_at, &reply.loads, Some(counts));
+        lock(&gateway.picker).told_silent(received_at, &reply.unresponsive);
+        gateway.set_budget_sums(received_at, std::mem::take(&mut reply.budgets));
     }
     apply_reply(gateway, reply, list, sent_at);
     Ok(())
 }
 
-/// Takes what all instances have in flight; `told` is what this one had told of its own, where that is
-/// not what it has now.
-fn apply_loads(gateway: &Gateway, now: Instant, loads: &[ServiceLoad], told: Option<Vec<Count>>) {
+/// Applies the loads over all instances. `reported` are the counts of this instance that they contain, if those differ
+/// from the current ones.
+fn apply_loads(
+    gateway: &Gateway,
+    now: Instant,
+    loads: &[ServiceLoad],
+    reported: Option<Vec<Count>>,
+) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
-        let own = told.unwrap_or_else(|| picker.own_counts());
+        let own = reported.unwrap_or_else(|| picker.own_counts());
         picker.set_fleet_loads(now, loads, &own)
     };
     for Crowded { server, load, limit } in crowded {
@@ -421,20 +427,20 @@
     }
 }
 
-/// Takes what is new in the list that was of `version`, and current at `as_of`.
+/// Applies an update of the list of servers that starts from `version` and was current at `as_of`.
 fn apply_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    reply: ListNews,
+    update: ListNews,
     as_of: Instant,
     era: StoreEra,
 ) {
     let cluster_state = &gateway.cluster_state;
-    let is_same = matches!(reply, ListNews::Same);
+    let is_same = matches!(update, ListNews::Same);
     if is_same && cluster_state.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
-    if let Some(servers) = cluster_state.apply_list_update(version, reply) {
+    if let Some(servers) = cluster_state.apply_list_update(version, update) {
         roster_reader::take(gateway, servers, as_of, era, "peer");
     }
 }
@@ -445,7 +451,7 @@
     list: Option<ListVersion>,
     sent_at: Instant,
 ) {
-    // Before an intent or a list by which the instance may become ready.
+    // Orders come first: the intent or the list may make this instance ready.
     gateway.accept_orders(reply.orders, "peer");
     gateway.rollouts.take_told(gateway, &reply.rollout_states, "peer");
     intent_reader::apply_changes(gateway, &reply.changes);
