--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -1,4 +1,4 @@
-//! What other instances are answered, and what the one that collects their reports tells them.
+//! Serves other instances: replies to their reports and, as the aggregator, sums up the reports of all.
 
 use std::{
     sync::Arc,
@@ -28,20 +28,20 @@
     utils::sync::lock,
 };
 
-/// Age up to which what is summed up of all instances is told again: a small part of the exchange's pause. Else each
-/// instance that asks would have the reports of all summed up, and the work would grow with the square of their number.
+/// Time for which the sums over all instances are cached, a small part of the exchange's period. Without the cache,
+/// each exchange would sum up the reports of all instances, and the work would grow with the square of their number.
 pub(super) const SUMS_MAX_AGE: Duration = Duration::from_millis(50);
 
-/// Largest change of the intent passed on unasked, in bytes: a whole fleet's copies of a larger one would
-/// fill the link of the one instance that sends them all.
+/// Size up to which changes of the intent are sent unrequested. Larger ones would saturate the link of the aggregator,
+/// which sends them to all instances.
 const UNREQUESTED_CHANGES_MAX_BYTES: usize = 16 << 10;
 
-/// How long a thread waits for the next message before the connection is left to the watch over idle ones: a new
-/// connection's first message comes right behind it, and the next one an exchange's period later.
+/// Time that a thread waits for the next message before it returns the connection to the idle ones. The first message
+/// follows the connection at once, the next one an exchange period later.
 const NEXT_MESSAGE_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Answers another instance.
-fn answer(gateway: &Gateway, report: ExchangeReport) -> ExchangeReply {
+/// Applies a report and returns the reply.
+fn reply_to(gateway: &Gateway, report: ExchangeReport) -> ExchangeReply {
     let now = gateway.clock.now();
     let cluster_state = &gateway.cluster_state;
     let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
@@ -52,28 +52,28 @@
     } else {
         cluster_state.small_changes_since(report.intent_version, UNREQUESTED_CHANGES_MAX_BYTES)
     };
-    let (instances, is_news) = {
+    let (instances, has_changed) = {
         let mut candidates = lock(&gateway.peers.candidates);
         let before = candidates.version();
         candidates.add(report.from.clone());
         let after = candidates.version();
-        // One that knows a few only would have them taken for all.
-        let tells = after != report.instances_hash && gateway.peers.has_joined(now);
-        (tells.then(|| candidates.since(report.instances_hash)), after != before)
+        // An incomplete list would be taken for the list of all instances.
+        let sends_update = after != report.instances_hash && gateway.peers.has_joined(now);
+        (sends_update.then(|| candidates.since(report.instances_hash)), after != before)
     };
-    if is_news {
+    if has_changed {
         gateway.instances_changed();
     }
     if report.purpose == ExchangePurpose::Aggregate {
-        let began = !gateway.peers.is_aggregator(now);
+        let was_inactive = !gateway.peers.is_aggregator(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
         aggregate.take(now, report.from.node.clone(), report.counts);
         aggregate.take_silent(now, report.from.node.clone(), report.unresponsive);
         drop(aggregate);
         lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
         gateway.suspicion.take_report(now, &report.suspicion);
-        if began {
-            log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
+        if was_inactive {
+            log::info!("event=reads_for_others servers_age_ms={}", servers_age_ms(gateway, now));
             gateway.store_read_requested.set();
         }
     }
@@ -83,10 +83,10 @@
         gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
     }
     let sums = fleet_sums(gateway, now);
-    let told = cluster_state.server_list_reply(now, report.list_version);
+    let list = cluster_state.server_list_reply(now, report.list_version);
     ExchangeReply {
         loads: sums.loads.clone(),
-        unresponsive: sums.silent.clone(),
+        unresponsive: sums.unresponsive.clone(),
         budgets: if purpose == ExchangePurpose::Aggregate {
             sums.budgets.clone()
         } else {
@@ -105,14 +105,14 @@
         }),
         orders: cluster_state.orders(),
         rollout_states: gateway.rollouts.told(now),
-        list: told.update,
-        list_age_ms: told.age.map(millis),
-        list_era: told.era,
+        list: list.update,
+        list_age_ms: list.age.map(millis),
+        list_era: list.era,
         instances,
     }
 }
 
-/// Returns what another instance is to know of requests that end servers.
+/// Returns the verdicts on requests that crash servers, for an exchange of this purpose.
 fn verdicts(gateway: &Gateway, now: Instant, purpose: ExchangePurpose) -> Vec<ToldVerdict> {
     let mut verdicts = gateway.suspicion.lasting(now);
     if purpose == ExchangePurpose::Aggregate {
@@ -121,28 +121,28 @@
     verdicts
 }
 
-/// Returns the age of the list of servers, for log lines; -1 where there is none.
-fn age_ms(gateway: &Gateway, now: Instant) -> i64 {
+/// Returns the age of the list of servers in milliseconds, or -1 if there is none, for log lines.
+fn servers_age_ms(gateway: &Gateway, now: Instant) -> i64 {
     let age = gateway.cluster_state.servers_age(now);
     age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
 }
 
-/// What all instances have told, summed up.
+/// Sums over the reports of all instances.
 #[derive(Debug)]
 pub(super) struct FleetSums {
-    /// What they have in flight.
+    /// Load of each service.
     pub(super) loads: Vec<ServiceLoad>,
-    /// Servers that several find silent.
-    pub(super) silent: Vec<Tag>,
-    /// Repeats that they have spent.
+    /// Servers that several instances have reported as unresponsive.
+    pub(super) unresponsive: Vec<Tag>,
+    /// Retries spent at each service.
     pub(super) budgets: Vec<BudgetSum>,
 }
 
-/// Returns what all instances have told, this one among them; summed up anew only now and then, whoever asks.
+/// Returns the sums over all instances including this one, from a cache that is at most [`SUMS_MAX_AGE`] old.
 pub(super) fn fleet_sums(gateway: &Gateway, now: Instant) -> Arc<FleetSums> {
     gateway.peers.fleet_sums.get(now, || FleetSums {
         loads: service_loads(gateway, now),
-        silent: unresponsive_servers(gateway, now),
+        unresponsive: unresponsive_servers(gateway, now),
         budgets: budget_sums(gateway, now),
     })
 }
@@ -170,11 +170,11 @@
     aggregate.silent()
 }
 
-/// Reads the store for an instance that it turns away.
+/// Reads the store for an instance that it rejects.
 ///
 /// # Errors
 ///
-/// The status that tells that it turns this one away too.
+/// Status 503 if the store cannot be read here either.
 fn read_store_for_peer(gateway: &Arc<Gateway>) -> Result<(), u16> {
     let servers = roster_reader::read(gateway);
     let intent = servers.and_then(|()| intent_reader::read_changes(gateway));
@@ -184,7 +184,7 @@
     })
 }
 
-/// Serves a connection of another instance as long as one message closely follows the other.
+/// Serves a connection of another instance, as long as messages follow each other within [`NEXT_MESSAGE_TIMEOUT`].
 pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> Served {
     let service = PeerService {
         accepted: None,
@@ -192,7 +192,7 @@
         traffic: &gateway.peers.traffic,
         answer: |path: &str, body: &[u8]| {
             if gateway.drain.is_draining() {
-                // The others turn to the next instance before this one is gone.
+                // The others switch to the next aggregator before this instance stops.
                 return Err(503);
             }
             match path {
@@ -201,15 +201,15 @@
                     if report.purpose == ExchangePurpose::ReadStore {
                         read_store_for_peer(gateway)?;
                     }
-                    Ok(encode(&answer(gateway, report)))
+                    Ok(encode(&reply_to(gateway, report)))
                 }
                 PERMIT_PATH => {
-                    let ask = decode(body).map_err(|_| 400_u16)?;
-                    Ok(encode(&PermitReply { granted: gateway.grant(&ask) }))
+                    let request = decode(body).map_err(|_| 400_u16)?;
+                    Ok(encode(&PermitReply { granted: gateway.grant(&request) }))
                 }
                 ROLLOUT_PATH => {
-                    let ask = decode(body).map_err(|_| 400_u16)?;
-                    Ok(encode(&perform_for_another(gateway, &ask)))
+                    let request = decode(body).map_err(|_| 400_u16)?;
+                    Ok(encode(&perform_for_another(gateway, &request)))
                 }
                 OFFER_PATH => {
                     let offer = decode(body).map_err(|_| 400_u16)?;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -270,7 +270,7 @@
         let Some(aggregator) = aggregator else {
             let sums = fleet_sums(gateway, now);
             apply_loads(gateway, now, &sums.loads, None);
-            lock(&gateway.picker).told_silent(now, &sums.silent);
+            lock(&gateway.picker).told_silent(now, &sums.unresponsive);
             gateway.set_budget_sums(now, sums.budgets.clone());
             take_own_crash_report(gateway, now);
             return;
