--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -1,4 +1,4 @@
-//! Keeps the operator's intent up to date: does what `routing::intent_watch` says is next.
+//! Reads the operator's intent: carries out the steps that `routing::intent_watch` decides on.
 
 use std::{
     sync::Arc,
@@ -18,8 +18,8 @@
     },
 };
 
-/// Keeps the intent fresh until the process ends: follows it in the store where others rely on this
-/// instance, and looks there only when their news stop where it relies on others.
+/// Keeps the intent up to date until the process ends. The aggregator polls the store for changes; the other instances
+/// read it only if the updates from the aggregator stop.
 pub fn run(gateway: &Arc<Gateway>) {
     let cluster_state = &gateway.cluster_state;
     loop {
@@ -37,7 +37,7 @@
             WatchStep::Wait(longest) => cluster_state.wait_for_newer(longest),
             WatchStep::Read => run_store_step(gateway, || read(gateway)),
             WatchStep::Follow { after, wait } => {
-                run_store_step(gateway, || follow(gateway, after, wait));
+                run_store_step(gateway, || poll_changes(gateway, after, wait));
             }
             WatchStep::Ask => {
                 peers::catch_up(gateway);
@@ -47,6 +47,7 @@
     }
 }
 
+/// Runs a step that reads the store, and reports its result to the watch.
 fn run_store_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreFault>) {
     let began = gateway.clock.now();
     match step() {
@@ -54,7 +55,7 @@
             gateway.cluster_state.with_watch(|watch| watch.store_read(gateway.clock.now()));
         }
         Err(StoreFault::HistoryGone) => {
-            // Whatever was missed is read whole.
+            // The next step reads the whole intent.
             log::info!("event=history_gone table={INTENT_TABLE}");
             gateway.cluster_state.with_watch(|watch| watch.history_gone());
         }
@@ -72,19 +73,20 @@
     }
 }
 
+/// Logs that the active intent has been outdated for longer than the bound allows.
 fn log_overdue(gateway: &Gateway, now: Instant) {
-    let (behind, newest) =
+    let (overdue, newest) =
         gateway.cluster_state.with_watch(|watch| (watch.take_overdue(now), watch.newest()));
-    if let Some(behind) = behind {
+    if let Some(overdue) = overdue {
         log::warn!(
             "event=intent_out_of_date version={} newest={newest} for_ms={}",
             gateway.cluster_state.version(),
-            behind.as_millis()
+            overdue.as_millis()
         );
     }
 }
 
-/// Reads the intent whole.
+/// Reads the whole intent and all orders.
 ///
 /// # Errors
 ///
@@ -92,32 +94,32 @@
 fn read(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
     let at = gateway.clock.now();
     let rows = gateway.store.rows(INTENT_TABLE)?;
-    let told = ToldOrders::read(rows.version, orders::decode(&rows.rows));
-    gateway.cluster_state.offer_orders(at, told);
-    take(gateway, &rows, at);
+    let snapshot = ToldOrders::read(rows.version, orders::decode(&rows.rows));
+    gateway.cluster_state.offer_orders(at, snapshot);
+    apply_rows(gateway, &rows, at);
     Ok(())
 }
 
-/// Looks once whether there is a newer intent, and takes it.
+/// Reads changes of the intent and of orders once, without waiting for them.
 ///
 /// # Errors
 ///
 /// The store cannot be read.
 pub fn read_changes(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
     match gateway.cluster_state.with_watch(|watch| watch.confirmed()) {
-        Some(confirmed) => follow(gateway, confirmed.store, Duration::ZERO),
+        Some(confirmed) => poll_changes(gateway, confirmed.store, Duration::ZERO),
         None => read(gateway),
     }
 }
 
-/// Looks once for operators' orders, and puts them in force; the intent is left to the thread that follows it.
+/// Reads and applies changes of operators' orders once. The intent is left to the thread that polls it.
 ///
 /// # Errors
 ///
 /// The store cannot be read.
 pub fn read_orders(gateway: &Gateway) -> Result<(), StoreFault> {
     let Some(confirmed) = gateway.cluster_state.with_watch(|watch| watch.confirmed()) else {
-        // One that knows nothing yet serves nobody.
+        // Without an intent, this instance serves no requests yet.
         return Ok(());
     };
     let rows = gateway.store.changes(INTENT_TABLE, confirmed.store, Duration::ZERO)?;
@@ -127,19 +129,24 @@
     Ok(())
 }
 
-fn follow(gateway: &Arc<Gateway>, after: StoreVersion, wait: Duration) -> Result<(), StoreFault> {
+/// Polls the store for changes of the intent and of orders after a version, for up to `wait`.
+fn poll_changes(
+    gateway: &Arc<Gateway>,
+    after: StoreVersion,
+    wait: Duration,
+) -> Result<(), StoreFault> {
     let began = gateway.clock.now();
     let rows = gateway.store.changes(INTENT_TABLE, after, wait)?;
-    // A reply without changes came when the wait was over, so nothing had changed until then.
+    // A reply without changes arrives when the wait is over: nothing had changed until then.
     let changes = orders::decode(&rows.rows);
     gateway.cluster_state.apply_order_changes(began, rows.version, changes);
     let unchanged = rows.rows.is_empty() && gateway.clock.now() >= began + wait;
-    take(gateway, &rows, if unchanged { began + wait } else { began });
+    apply_rows(gateway, &rows, if unchanged { began + wait } else { began });
     Ok(())
 }
 
-/// Takes the intent among rows that were current at `at`, and hands on what is new of it and of operators' orders.
-fn take(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
+/// Applies the intent among rows that were current at `at`, and relays it if it or operators' orders have changed.
+fn apply_rows(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
     let before = gateway.cluster_state.version();
     let orders_changed = gateway.refresh_orders();
     let confirmed = Confirmed { at, store: rows.version };
@@ -151,13 +158,13 @@
         }
         Some(row) => apply_row(gateway, row, confirmed),
     };
-    // At a start all instances read; there is nothing to tell.
+    // At their start all instances read the intent, and there is nothing to relay.
     if before > 0 && (orders_changed || is_newer) {
         intent_relay::publish(gateway);
     }
 }
 
-/// Decodes an intent that was the newest; returns whether it is newer than the one in force, which it then replaces.
+/// Decodes an intent that was the newest, and activates it if it is newer than the active one; returns whether it is.
 fn apply_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmed) -> bool {
     let began = gateway.clock.now();
     match intent::decode(&row.value) {
@@ -176,7 +183,7 @@
     }
 }
 
-/// Puts changes that another instance tells in force.
+/// Applies changes of the intent received from another instance.
 pub fn apply_changes(gateway: &Gateway, changes: &[Arc<PackedChange>]) {
     if changes.is_empty() {
         return;
--- a/src/gateway/intent_relay.rs
+++ b/src/gateway/intent_relay.rs
@@ -1,7 +1,8 @@
-//! Hands changes of the intent on, from the instance that read them in the store to all others.
+//! Relays changes of the intent from the instance that read them in the store to all others.
 //!
-//! Each instance hands them to a few and says to whom else they go; one that does not answer is left out, and
-//! the next of its part takes its place. Whoever is missed learns of it in the exchange, and asks.
+//! The fan-out is a tree: each instance sends an offer to a few others, with the addresses that each of them relays it
+//! to. If an instance does not respond, the next one of its part takes its place. An instance that receives no offer
+//! learns of the newer version in the exchange, and requests the changes.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -16,39 +17,40 @@
 /// Path of an offer.
 pub const OFFER_PATH: &str = "/intent";
 
-/// Largest change that is sent with the first offer, in bytes: as much as fits into a packet or two, where
-/// asking first would take longer. Nearly all changes are smaller.
+/// Size up to which a change is sent with the first offer: it fits into one or two packets, so that asking first would
+/// take longer. Nearly all changes are smaller.
 const INLINE_CHANGE_MAX_BYTES: usize = 2 << 10;
 
-/// Instances, the first in rank, that hand on what they read though nobody turns to them for news: if the one
-/// that reads for all fails, the first to look for themselves are enough.
+/// Number of instances, the first in rank, that relay what they read even if they are not the aggregator. If the
+/// aggregator fails, the first of them to read the store relays the changes.
 const BACKUP_PUBLISHERS: usize = 4;
 
-/// How long instances that do not answer are passed over in one part: ten of them, at 0.3 s each. Whoever is
-/// left then asks by itself.
+/// Time after which a part is given up: ten instances that do not respond, at 0.3 s each. The others learn of the
+/// change in the exchange.
 const PART_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What an instance hands on.
+/// An offer of the newest intent and orders to another instance.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Offer {
-    /// Version that the other is to have.
+    /// Version that is to become active at the receiver.
     pub version: u64,
-    /// Operators' orders: they are few, and told beside every version.
+    /// Operators' orders, which are few and sent with every offer.
     pub orders: ToldOrders,
-    /// Changes that lead to it, where they are small or asked for.
+    /// Changes that lead to the version, if they are small or the receiver lacks them.
     pub changes: Vec<Arc<PackedChange>>,
-    /// To whom else it is to be handed.
+    /// Addresses to which the receiver relays the offer.
     pub relay_to: Vec<SocketAddr>,
 }
 
-/// What the other says.
+/// The reply to an [`Offer`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct OfferReply {
-    /// Version that it has in force by now.
+    /// Version that is now active at the replying instance.
     pub version: u64,
 }
 
-/// Hands the intent in force and operators' orders to all others, if that is this instance's task.
+/// Sends the active intent and operators' orders to all others, if this instance is the aggregator or one of its
+/// backups.
 pub fn publish(gateway: &Arc<Gateway>) {
     let now = gateway.clock.now();
     let number = gateway.peers.position().number;
@@ -59,7 +61,7 @@
     relay(gateway, parts);
 }
 
-/// Takes an offer; passes it on as soon as its version is in force.
+/// Applies an offer, and relays it if its version is now active.
 pub fn accept_offer(gateway: &Arc<Gateway>, offer: Offer) -> OfferReply {
     gateway.accept_orders(offer.orders, "peer");
     intent_reader::apply_changes(gateway, &offer.changes);
@@ -78,37 +80,38 @@
             .name("spread".to_owned())
             .spawn(move || relay_to_part(&gateway, &part));
         if let Err(fault) = spawned {
-            // Those of the part learn of it in the exchange.
+            // The instances of the part learn of the change in the exchange.
             log::warn!("event=not_handed_on reason={:?}", fault.to_string());
         }
     }
 }
 
-/// Hands the intent to the first of `part` that takes it; that one hands it to the rest.
+/// Sends the intent to the first instance of `part` that accepts it, which relays it to the rest.
 fn relay_to_part(gateway: &Gateway, part: &[SocketAddr]) {
     let until = gateway.clock.now() + PART_TIMEOUT;
-    let mut left = part;
-    while let Some((&first, rest)) = left.split_first() {
+    let mut remaining = part;
+    while let Some((&first, rest)) = remaining.split_first() {
         match send_intent(gateway, first, rest) {
             Ok(()) => return,
             Err(reason) => log::info!("event=peer_silent peer={first} reason={reason:?}"),
         }
-        left = if gateway.clock.now() < until { rest } else { &[] };
+        remaining = if gateway.clock.now() < until { rest } else { &[] };
     }
 }
 
+/// Sends the active intent to one instance: a small change at once, else the changes that it turns out to lack.
 fn send_intent(gateway: &Gateway, to: SocketAddr, relay_to: &[SocketAddr]) -> Result<(), String> {
     let version = gateway.cluster_state.version();
     let last = gateway.cluster_state.last_change();
     let small =
         last.filter(|change| change.to == version && change.len() <= INLINE_CHANGE_MAX_BYTES);
-    let told = offer(gateway, to, version, small.into_iter().collect(), relay_to)?;
-    if told >= version {
+    let active = offer(gateway, to, version, small.into_iter().collect(), relay_to)?;
+    if active >= version {
         return Ok(());
     }
-    let changes = gateway.cluster_state.changes_since(told);
-    let told = offer(gateway, to, version, changes, relay_to)?;
-    if told >= version { Ok(()) } else { Err(format!("it has version {told} in force")) }
+    let changes = gateway.cluster_state.changes_since(active);
+    let active = offer(gateway, to, version, changes, relay_to)?;
+    if active >= version { Ok(()) } else { Err(format!("version {active} is still active there")) }
 }
 
 fn offer(
