--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -441,7 +441,7 @@
         return;
     }
     if let Some(servers) = cluster_state.apply_list_update(version, update) {
-        roster_reader::take(gateway, servers, as_of, era, "peer");
+        roster_reader::apply_list(gateway, servers, as_of, era, "peer");
     }
 }
 
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the list of backend servers, at a pace.
+//! Reads the list of backend servers periodically.
 
 use std::{
     sync::Arc,
@@ -19,13 +19,14 @@
     utils::sync::lock,
 };
 
-/// Most replies of one look at what has changed: some seconds' heartbeats of ten thousand servers.
+/// Maximum number of replies read in one poll for changes: they hold the heartbeats of 10,000 servers over some
+/// seconds.
 const CHANGE_REPLIES_MAX: usize = 16;
 
-/// Keeps the list fresh until the process ends: does what `routing::roster_watch` says is next.
+/// Keeps the list up to date until the process ends: carries out the steps that `routing::roster_watch` decides on.
 pub fn run(gateway: &Arc<Gateway>) {
     let mut watch = RosterWatch::new(gateway.settings.bounds.server_drain_time);
-    let mut lost = false;
+    let mut store_lost = false;
     loop {
         let now = gateway.clock.now();
         if start::waits(gateway, now) {
@@ -44,12 +45,12 @@
             RosterStep::Read => match read_and_log(gateway, &role) {
                 Ok(()) => {
                     watch.read(now);
-                    if std::mem::take(&mut lost) {
+                    if std::mem::take(&mut store_lost) {
                         log::warn!("event=store_back");
                     }
                 }
                 Err(fault) => {
-                    lost = true;
+                    store_lost = true;
                     watch.failed(gateway.clock.now());
                     gateway.store_failed("servers", &fault);
                 }
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads the list, and says so where the news of others should have done.
+/// Reads the list, and logs that the updates have stopped if the aggregator should have sent them.
 fn read_and_log(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
     if !role.reader
         && let Some(age) = gateway.cluster_state.servers_age(gateway.clock.now())
@@ -75,20 +76,20 @@
 /// The store cannot be read.
 pub fn read(gateway: &Gateway) -> Result<(), StoreFault> {
     let as_of = gateway.clock.now();
-    let mut kept = lock(&gateway.server_list_cache);
-    let list = match kept.as_mut().filter(|kept| kept.can_read_changes(as_of)) {
-        Some(known) => match follow(gateway, known) {
-            Err(StoreFault::HistoryGone) => kept.insert(read_whole(gateway, as_of)?),
-            followed => followed.map(|()| known)?,
+    let mut cache = lock(&gateway.server_list_cache);
+    let list = match cache.as_mut().filter(|list| list.can_read_changes(as_of)) {
+        Some(cached) => match read_changes(gateway, cached) {
+            Err(StoreFault::HistoryGone) => cache.insert(read_whole_list(gateway, as_of)?),
+            result => result.map(|()| cached)?,
         },
-        None => kept.insert(read_whole(gateway, as_of)?),
+        None => cache.insert(read_whole_list(gateway, as_of)?),
     };
     gateway.store_responded();
-    // The work of a look that brings nothing is not to grow with the servers.
-    if let Some(told) = list.unchanged_version()
+    // The work of a read without changes must not grow with the number of servers.
+    if let Some(unchanged) = list.unchanged_version()
         && gateway.cluster_state.confirm_list(
             gateway.clock.now(),
-            Some(told),
+            Some(unchanged),
             as_of,
             list.version.era,
         )
@@ -97,40 +98,40 @@
     }
     let skipped: Vec<SkippedEntry> = list.skipped().cloned().collect();
     let (servers, era) = (list.servers(), list.version.era);
-    drop(kept);
+    drop(cache);
     if gateway.cluster_state.with_servers(|roster| roster.lacks_version_of(&servers)) {
         read_orders_first(gateway);
     }
     lock(&gateway.skipped_log).log_new(&skipped);
     gateway.cluster_state.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
-    take(gateway, servers, as_of, era, "store");
+    apply_list(gateway, servers, as_of, era, "store");
     if let Some(list) = lock(&gateway.server_list_cache).as_mut() {
         list.mark_applied(gateway.cluster_state.list_version());
     }
     Ok(())
 }
 
-/// Looks for operators' orders before servers of a version that was not there are used: it may be one that is rolled out, and
-/// the list is read more often than the orders.
+/// Reads operators' orders before servers with a new version are used. A roll-out of that version may have been
+/// ordered, and the list is read more often than the orders.
 fn read_orders_first(gateway: &Gateway) {
     if let Err(fault) = intent_reader::read_orders(gateway) {
         log::info!("event=orders_unread reason={:?}", fault.to_string());
     }
 }
 
-fn read_whole(gateway: &Gateway, at: Instant) -> Result<ServerListCache, StoreFault> {
+fn read_whole_list(gateway: &Gateway, at: Instant) -> Result<ServerListCache, StoreFault> {
     let rows = gateway.store.rows(SERVER_TABLE)?;
     let mut list = ServerListCache::new(at, rows.version);
-    list.take(rows);
+    list.apply_rows(rows);
     Ok(list)
 }
 
-/// Takes what has changed in the list since it was read; a reply may hold a part of that.
-fn follow(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreFault> {
+/// Applies what has changed in the list since the last read. The changes may come in several replies.
+fn read_changes(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreFault> {
     for _ in 0..CHANGE_REPLIES_MAX {
         let rows = gateway.store.changes(SERVER_TABLE, list.version, Duration::ZERO)?;
         let is_last = rows.rows.len() < PAGE_ROWS;
-        list.take(rows);
+        list.apply_rows(rows);
         if is_last {
             break;
         }
@@ -138,8 +139,8 @@
     Ok(())
 }
 
-/// Takes a whole list that was current at `as_of`, in an era of the store.
-pub fn take(
+/// Applies a whole list that was current at `as_of`, in `era` of the store.
+pub fn apply_list(
     gateway: &Gateway,
     list: Vec<BackendServer>,
     as_of: Instant,
@@ -153,8 +154,8 @@
     }
 }
 
-/// Changes of one kind that are logged one by one; of more at once, as a start brings, only their number is: a start
-/// beside 3,000 servers wrote as many lines. What they cost was not measured.
+/// Changes of one kind up to which each is logged; of more at once only the number is logged. At a start with 3,000
+/// servers, 3,000 lines would be written.
 const SINGLE_LINES_MAX: usize = 16;
 
 fn log_change(change: &RosterChange, source: &str, age: Duration) {
--- a/src/gateway/server_list_cache.rs
+++ b/src/gateway/server_list_cache.rs
@@ -1,7 +1,7 @@
-//! The list of backend servers as this instance has read it in the store.
+//! A cache of the servers' rows in the store.
 //!
-//! Answers a list of many pages: read whole at each look, it takes one call after the other, seconds in all. One that has been
-//! read is followed by what has changed, in a call or two.
+//! A list of many pages takes one call after the other to read, some seconds in all. With the cached rows, only the
+//! changes since the last read are needed, in one or two calls.
 
 use std::time::{Duration, Instant};
 
@@ -15,30 +15,30 @@
     routing::{BackendServer, ListVersion, StoreVersion},
 };
 
-/// Rows of one reply of the store at most.
+/// Maximum number of rows in one reply of the store.
 pub const PAGE_ROWS: usize = 500;
 
-/// How long a list is followed before it is read whole again: half of the history that the users' stores keep, and whatever a
-/// reply should have left out is set right.
+/// Time after which the whole list is read again: half of the history that the users' stores keep. The whole list also
+/// corrects anything that a reply with changes has left out.
 const WHOLE_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Entries of servers, by key, as of one version of the store.
+/// Entries of the servers by key, as of one version of the store.
 #[derive(Debug)]
 pub struct ServerListCache {
     /// Version of the store.
     pub version: StoreVersion,
-    /// When it was read whole.
+    /// When the whole list was last read.
     whole_at: Instant,
-    /// Whether something new of servers was read that has not been taken over yet.
+    /// Whether rows have been read that differ from the list last applied.
     has_changes: bool,
-    /// The list that other instances were told of after the last news.
+    /// Version of the list last applied, which other instances receive.
     applied: Option<ListVersion>,
     servers: IndexMap<String, BackendServer>,
     skipped: IndexMap<String, SkippedEntry>,
 }
 
 impl ServerListCache {
-    /// Returns an empty list that is read at `at`.
+    /// Creates an empty cache for a list that is read at `at`.
     pub fn new(at: Instant, version: StoreVersion) -> ServerListCache {
         let (servers, skipped) = (IndexMap::new(), IndexMap::new());
         ServerListCache {
@@ -51,19 +51,20 @@
         }
     }
 
-    /// Returns whether what has changed costs less than the whole, and is still told.
+    /// Returns whether reading the changes is cheaper than the whole list, and the store still has their history.
     pub fn can_read_changes(&self, now: Instant) -> bool {
         let is_long = self.servers.len() + self.skipped.len() > PAGE_ROWS;
         is_long && now.saturating_duration_since(self.whole_at) < WHOLE_READ_INTERVAL
     }
 
-    /// Takes rows that are new, changed or removed: nearly all say only that a server is still there, which is no news.
-    pub fn take(&mut self, rows: StoreRows) {
-        let known = |list: &ServerListCache, key: &str| {
+    /// Applies rows that are new, changed or removed. Nearly all of them are heartbeats, which change nothing in the
+    /// list.
+    pub fn apply_rows(&mut self, rows: StoreRows) {
+        let entry = |list: &ServerListCache, key: &str| {
             (list.servers.get(key).cloned(), list.skipped.get(key).cloned())
         };
         let keys: IndexSet<&str> = rows.rows.iter().map(|row| row.key.as_str()).collect();
-        let before: Vec<_> = keys.iter().map(|key| known(self, key)).collect();
+        let before: Vec<_> = keys.iter().map(|key| entry(self, key)).collect();
         for key in &keys {
             self.servers.swap_remove(*key);
             self.skipped.swap_remove(*key);
@@ -74,16 +75,16 @@
         let skipped = entries.skipped.into_iter();
         self.skipped.extend(skipped.map(|entry| (entry.key.clone(), entry)));
         self.version = rows.version;
-        self.has_changes |= keys.iter().zip(before).any(|(key, before)| known(self, key) != before);
+        self.has_changes |= keys.iter().zip(before).any(|(key, before)| entry(self, key) != before);
     }
 
-    /// Notes that the list has been taken over, and which one other instances are told of now.
+    /// Notes that the list has been applied, as the version `applied`.
     pub fn mark_applied(&mut self, applied: Option<ListVersion>) {
         self.applied = applied;
         self.has_changes = false;
     }
 
-    /// Returns the list that other instances were told of, if nothing new was read since.
+    /// Returns the version of the list last applied, if no row read since then changes it.
     pub fn unchanged_version(&self) -> Option<ListVersion> {
         self.applied.filter(|_| !self.has_changes)
     }
@@ -93,7 +94,7 @@
         self.servers.values().cloned().collect()
     }
 
-    /// Returns the entries that name no server to use.
+    /// Returns the entries that describe no usable server.
     pub fn skipped(&self) -> impl Iterator<Item = &SkippedEntry> {
         self.skipped.values()
     }
--- a/src/gateway/skipped_log.rs
+++ b/src/gateway/skipped_log.rs
@@ -1,20 +1,21 @@
-//! Log lines of entries that name no server to use.
+//! Log lines about entries of the store's table that describe no usable server.
 
 use std::collections::HashSet;
 
 use crate::adapter::servers::SkippedEntry;
 
-/// Most lines for one reading of the list: a table full of what others wrote must not fill the log.
+/// Maximum number of lines for one read of the list: a table full of foreign entries must not flood the log.
 const LINES_MAX: usize = 8;
 
-/// Tells of each entry once, until it changes.
+/// Logs each entry once, and again only after it has changed.
 #[derive(Debug, Default)]
 pub struct SkippedLog {
     logged: HashSet<(String, u64)>,
 }
 
 impl SkippedLog {
-    /// Returns those of `skipped`, all that the list now holds, of which nothing has been told.
+    /// Returns the entries that have not been logged yet, and counts them as logged. `skipped` are all skipped entries
+    /// of the list.
     pub fn take_unlogged<'s>(&mut self, skipped: &'s [SkippedEntry]) -> Vec<&'s SkippedEntry> {
         let id = |entry: &SkippedEntry| (entry.key.clone(), entry.version);
         let former = std::mem::take(&mut self.logged);
@@ -22,7 +23,7 @@
         skipped.iter().filter(|entry| !former.contains(&id(entry))).collect()
     }
 
-    /// Logs what is new among `skipped`, a bounded number of lines.
+    /// Logs the entries of `skipped` that are new, in a bounded number of lines.
     pub fn log_new(&mut self, skipped: &[SkippedEntry]) {
         let unlogged = self.take_unlogged(skipped);
         for entry in unlogged.iter().take(LINES_MAX) {
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -251,19 +251,23 @@
         let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
         let mut list = ServerListCache::new(now, version(1));
-        list.take(rows(1));
+        list.apply_rows(rows(1));
         assert_eq!(list.unchanged_version(), None, "all is new");
         cluster_state.apply_server_list(now, now, StoreEra::default(), list.servers());
         list.mark_applied(cluster_state.list_version());
-        list.take(rows(2));
+        list.apply_rows(rows(2));
         assert_eq!(
             list.unchanged_version(),
             cluster_state.list_version(),
             "{count} heartbeats are no news"
         );
-        list.take(StoreRows { version: version(3), now_ms: 0, rows: vec![row(7, 3, "draining")] });
+        list.apply_rows(StoreRows {
+            version: version(3),
+            now_ms: 0,
+            rows: vec![row(7, 3, "draining")],
+        });
         assert_eq!(list.unchanged_version(), None, "a server that leaves is");
-        list.take(rows(4));
+        list.apply_rows(rows(4));
         assert_eq!(list.unchanged_version(), None, "as long as it has not been taken over");
     }
 }
