--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -1,4 +1,4 @@
-//! The running handle of an instance.
+//! The handle of a running instance.
 
 use std::{net::SocketAddr, sync::Arc, thread};
 
@@ -16,7 +16,7 @@
     link::{caller::Listener, idle::IdleConns},
 };
 
-/// A running instance.
+/// A running instance, with its listeners.
 pub struct GatewayHandle {
     gateway: Arc<Gateway>,
     callers: Listener,
@@ -26,15 +26,16 @@
 }
 
 impl GatewayHandle {
-    /// Starts an instance and returns its running handle.
+    /// Starts an instance.
     ///
     /// # Errors
     ///
-    /// An address cannot be listened on, or a thread cannot be started.
+    /// A listener or a thread cannot be started, or a pipe cannot be created.
     pub fn spawn(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<GatewayHandle> {
         let gateway = Arc::new(Gateway::open(settings, clock)?);
-        let closing = gateway.drain.idle_end().context("cannot make a pipe")?;
-        let idle = IdleConns::spawn(clock.clone(), closing).context("cannot watch connections")?;
+        let closing = gateway.drain.idle_end().context("cannot create a pipe")?;
+        let idle = IdleConns::spawn(clock.clone(), closing)
+            .context("cannot start the watch over idle connections")?;
         let readiness = serve_readiness(&gateway, &idle)?;
         let metrics = serve_metrics(&gateway, &idle);
         let peers = serve_peers(&gateway, &idle)?;
@@ -56,12 +57,12 @@
         Ok(GatewayHandle { gateway, callers, peers, readiness, metrics })
     }
 
-    /// Returns what the instance's parts share.
+    /// Returns the state that the instance's threads share.
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
     }
 
-    /// Returns the callers' address.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
@@ -71,20 +72,20 @@
         self.peers.address()
     }
 
-    /// Returns the address of readiness checks.
+    /// Returns the address for readiness checks.
     pub fn readiness(&self) -> SocketAddr {
         self.readiness.address()
     }
 
-    /// Returns the address of the metrics, if they are served.
+    /// Returns the address for metrics, if they are served.
     pub fn metrics(&self) -> Option<SocketAddr> {
         self.metrics.as_ref().map(Listener::address)
     }
 
-    /// Leaves: not ready at once, no request cut; returns whether every request finished.
+    /// Drains the instance: it is not ready from now on, and requests in flight finish. Returns whether all did.
     ///
-    /// The listeners stay until the process ends: a caller that comes at the last moment is better
-    /// off with a closed connection than with none.
+    /// The listeners stay open until the process ends: for a late caller, a connection that is accepted and closed is
+    /// better than a refused one.
     pub fn drain(&self) -> bool {
         let grace = self.gateway.settings.bounds.grace;
         self.gateway.drain.start(self.gateway.clock.now(), grace);
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -1,4 +1,4 @@
-//! The instances' own rows in the platform's store, by which they find each other.
+//! The table of instances in the platform's store, by which they discover each other.
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -13,42 +13,45 @@
     utils::sync::lock,
 };
 
-/// Pause between two reads of the instances' table by the one that the others turn to.
+/// Time between two reads of the table by the aggregator.
 const TABLE_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// First pause, while instances that start together write their rows.
-const FIRST_READ_DELAY: Duration = Duration::from_secs(3);
+/// Time before the first periodic read, while instances that start together write their rows. Also the time between
+/// attempts to write the row or to read the table.
+const STARTUP_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time over which instances that start together write their rows: 400 of them in what a part of the store takes
-/// (200 a second), and before the table is read again.
+/// Time over which instances that start together spread their writes. A partition of the store accepts 200 writes a
+/// second: 400 instances write within this time, before the table is read again.
 const ANNOUNCE_JITTER: Duration = Duration::from_secs(2);
 
-/// Time in which instances that start together have written their rows, and in which nobody reads the table: who
-/// reads it earlier finds some, and takes the wrong one for the first of all.
+/// Time that every instance waits before it reads the table. Earlier, it has only some of the rows of instances
+/// that start together, and the reader would take the wrong one for the aggregator.
 const ANNOUNCE_SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Time after that in which those that the settings name have read the table, and can tell the others.
+/// Further time in which the seeds read the table, before the other instances query them.
 const SEEDS_HEAD_START: Duration = Duration::from_millis(200);
 
-/// Time after its start within which an instance asks them, before it reads the table itself.
+/// Time after the start for which an instance queries the seeds, before it reads the table itself.
 const SEED_QUERY_TIMEOUT: Duration = Duration::from_millis(1400);
 
-/// Time without a sign of an instance after which its row is removed.
+/// Time without a report of an instance after which its row is removed.
 const STALE_ROW_AGE: Duration = Duration::from_secs(60);
 
-/// Keeps the instances' table until the process ends: every instance writes its row once and learns of the others;
-/// the one that the others turn to reads the table now and then and removes rows left behind.
+/// Maintains the table until the process ends. Every instance writes its row once and discovers the others; the
+/// aggregator reads the table periodically and removes stale rows.
 pub fn run(gateway: &Arc<Gateway>) {
     let mut era = join(gateway);
-    let began = gateway.clock.now();
-    let mut pause = FIRST_READ_DELAY;
+    let joined_at = gateway.clock.now();
+    let mut delay = STARTUP_INTERVAL;
     loop {
-        thread::sleep(pause);
-        // Drawn, so that instances that started together do not call together.
-        pause = TABLE_READ_INTERVAL.mul_f64(1.0 - 0.5 * fastrand::f64());
-        let known = gateway.cluster_state.with_watch(|watch| watch.confirmed());
-        if known.is_some_and(|known| known.store.era > era) && !gateway.drain.is_draining() {
-            // The store has come back from a copy, which may lack the row.
+        thread::sleep(delay);
+        // Random, so that instances that started together do not read the table together.
+        delay = TABLE_READ_INTERVAL.mul_f64(1.0 - 0.5 * fastrand::f64());
+        let confirmed = gateway.cluster_state.with_watch(|watch| watch.confirmed());
+        if confirmed.is_some_and(|confirmed| confirmed.store.era > era)
+            && !gateway.drain.is_draining()
+        {
+            // The store was restored from a copy, which may lack the row.
             era = announce_until_done(gateway);
         }
         let now = gateway.clock.now();
@@ -56,20 +59,21 @@
             continue;
         }
         if let Err(fault) =
-            prune_table(gateway, now.saturating_duration_since(began) > STALE_ROW_AGE)
+            prune_table(gateway, now.saturating_duration_since(joined_at) > STALE_ROW_AGE)
         {
             log::info!("event=instances_unread reason={:?}", fault.to_string());
         }
     }
 }
 
-/// Learns of the other instances and writes the own row; returns the era of the store that has it.
+/// Discovers the other instances and writes the row of this one; returns the era of the store that has it.
 ///
-/// The ones that all ask write first. The others need no row to be known, since whoever is asked knows who asks; they
-/// write when they have been told: with 296 rows at once a part of the table that takes 200 writes a second refused
-/// some 100, whose instances knew nobody for 3 s, and each read the whole list of servers for itself meanwhile.
+/// Seeds write first. The other instances need no row to be discovered, since a seed learns of those that query it;
+/// they write after that, spread over time. When 296 instances wrote at once, a partition of the table that accepts 200
+/// writes a second rejected about 100. Those instances knew no others for 3 s, and each read the whole list of servers
+/// itself.
 fn join(gateway: &Gateway) -> StoreEra {
-    if is_seed(gateway) {
+    if is_seed_or_alone(gateway) {
         let era = announce_until_done(gateway);
         discover_instances(gateway);
         gateway.peers.note_joined();
@@ -81,20 +85,20 @@
     announce_until_done(gateway)
 }
 
-/// Returns whether others ask this instance, or it has nobody to ask.
-fn is_seed(gateway: &Gateway) -> bool {
+/// Returns whether this instance is one of the seeds, or there are none.
+fn is_seed_or_alone(gateway: &Gateway) -> bool {
     let seeds = &gateway.settings.seeds;
     seeds.is_empty() || gateway.peers.is_seed(seeds)
 }
 
-/// Writes the instance's own row; returns the era of the store that has it.
+/// Writes the row of this instance, until that succeeds; returns the era of the store that has it.
 fn announce_until_done(gateway: &Gateway) -> StoreEra {
     loop {
         match announce(gateway) {
             Ok(version) => return version.era,
             Err(fault) => log::info!("event=instance_unwritten reason={:?}", fault.to_string()),
         }
-        thread::sleep(FIRST_READ_DELAY.mul_f64(0.5 + 0.5 * fastrand::f64()));
+        thread::sleep(STARTUP_INTERVAL.mul_f64(0.5 + 0.5 * fastrand::f64()));
     }
 }
 
@@ -104,65 +108,66 @@
     gateway.store.change(INSTANCE_TABLE, &[change])
 }
 
-/// Learns of the other instances: from one that the settings name, which learns from the table, or else from the
-/// table.
+/// Discovers the other instances: from a seed, which reads the table, or else from the table itself.
 fn discover_instances(gateway: &Gateway) {
     let until = gateway.clock.now() + SEED_QUERY_TIMEOUT;
     let knows_others = || gateway.peers.instances() > 1;
-    // One that alone starts again is told of all at once.
-    let told = !gateway.settings.first_start && peers::query_seeds(gateway, knows_others);
+    // An instance that restarts alone discovers all others from the first seed.
+    let discovered = !gateway.settings.first_start && peers::query_seeds(gateway, knows_others);
     thread::sleep(ANNOUNCE_SETTLE_TIME);
-    if !is_seed(gateway) {
+    if !is_seed_or_alone(gateway) {
         thread::sleep(SEEDS_HEAD_START);
     }
-    while !is_seed(gateway) && gateway.clock.now() < until {
+    while !is_seed_or_alone(gateway) && gateway.clock.now() < until {
         if peers::query_seeds(gateway, knows_others) {
             return;
         }
         thread::sleep(QUESTION_PAUSE);
     }
-    if told {
+    if discovered {
         return;
     }
     while let Err(fault) = read_table(gateway) {
         log::info!("event=instances_unread reason={:?}", fault.to_string());
-        thread::sleep(FIRST_READ_DELAY);
+        thread::sleep(STARTUP_INTERVAL);
     }
 }
 
+/// Reads the table, and adds its instances to the known ones.
 fn read_table(gateway: &Gateway) -> Result<(), StoreFault> {
     let rows = gateway.store.rows(INSTANCE_TABLE)?;
-    let understood = |row: StoreRow| match decode::<InstanceInfo>(&row.value) {
+    let parse = |row: StoreRow| match decode::<InstanceInfo>(&row.value) {
         Ok(instance) => Some(instance),
         Err(fault) => {
             log::warn!("event=row_skipped key={} reason={fault:?}", row.key);
             None
         }
     };
-    let listed = rows.rows.into_iter().filter_map(understood).collect();
+    let listed = rows.rows.into_iter().filter_map(parse).collect();
     lock(&gateway.peers.candidates).add_all(listed);
     gateway.instances_changed();
     Ok(())
 }
 
+/// Reads the table and, if `remove` is set, removes the rows of instances that no longer report.
 fn prune_table(gateway: &Gateway, remove: bool) -> Result<(), StoreFault> {
     read_table(gateway)?;
     if !remove {
         return Ok(());
     }
     let now = gateway.clock.now();
-    let (stay, gone): (Vec<InstanceInfo>, Vec<InstanceInfo>) = {
+    let (live, stale): (Vec<InstanceInfo>, Vec<InstanceInfo>) = {
         let aggregate = lock(&gateway.peers.aggregate);
         let candidates = lock(&gateway.peers.candidates);
-        let lives = |i: &InstanceInfo| i == candidates.own() || aggregate.hears(now, &i.node);
-        candidates.all().iter().cloned().partition(lives)
+        let is_live = |i: &InstanceInfo| i == candidates.own() || aggregate.hears(now, &i.node);
+        candidates.all().iter().cloned().partition(is_live)
     };
-    if gone.is_empty() {
+    if stale.is_empty() {
         return Ok(());
     }
     let changes: Vec<Change<'_>> =
-        gone.iter().map(|i| Change::Remove { key: i.node.as_str() }).collect();
+        stale.iter().map(|i| Change::Remove { key: i.node.as_str() }).collect();
     gateway.store.change(INSTANCE_TABLE, &changes)?;
-    lock(&gateway.peers.candidates).set(stay);
+    lock(&gateway.peers.candidates).set(live);
     Ok(())
 }
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -24,7 +24,7 @@
     let cluster_state = &gateway.cluster_state;
     loop {
         let now = gateway.clock.now();
-        if start::waits(gateway, now) {
+        if start::is_waiting(gateway, now) {
             thread::sleep(QUESTION_PAUSE);
             continue;
         }
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -1,4 +1,4 @@
-//! Where an instance listens: for callers, other instances, readiness checks and metrics.
+//! The listeners of an instance: for callers, other instances, readiness checks and metrics.
 
 use std::{
     net::SocketAddr,
@@ -18,11 +18,11 @@
     small::{self, SmallAnswer},
 };
 
-/// Connections of those who look at readiness or metrics, at once, for each: the platform's and an operator's,
-/// with room for what they leave open.
+/// Maximum number of concurrent connections for readiness checks, and for metrics: those of the platform and of an
+/// operator, with headroom for connections that they leave open.
 const STATUS_CONNECTIONS_MAX: usize = 32;
 
-/// How long such a connection may be idle: a look each five seconds, twice.
+/// Idle timeout of such a connection: twice the interval of checks each five seconds.
 const STATUS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves readiness checks at any path.
@@ -39,7 +39,7 @@
     })
 }
 
-/// Serves the metrics at any path; an address that is taken costs the metrics, not the instance.
+/// Serves the metrics at any path. If their address is in use, the instance runs without metrics.
 pub(super) fn serve_metrics(gateway: &Arc<Gateway>, idle: &IdleConns) -> Option<Listener> {
     let serving = Arc::clone(gateway);
     let address = gateway.settings.addresses.metrics;
--- a/src/gateway/log_sink.rs
+++ b/src/gateway/log_sink.rs
@@ -1,4 +1,4 @@
-//! Structured log lines on standard output, bounded, and never waited for.
+//! Structured log lines on standard output. Their number is bounded, and no thread waits for them to be written.
 
 use std::{
     io::Write,
@@ -17,33 +17,33 @@
     clock::Clock, contract::token_bucket::TokenBucket, logging, units::Rate, utils::sync::lock,
 };
 
-/// Lines that wait to be written; more are dropped and counted.
+/// Maximum number of queued lines; further ones are dropped and counted.
 const QUEUE_LINES_MAX: usize = 2000;
 
-/// Lines of routine a second; more are left out and counted, warnings and errors are not.
+/// Maximum number of lines per second below the level of warnings; further ones are dropped and counted.
 const INFO_LINE_RATE: Rate = Rate(300.0);
 
-/// Pause between two writes, so that many lines share one.
+/// Time between two writes, so that one write has many lines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for the last lines at the end of the process.
+/// Maximum wait for the last lines at the end of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause between two looks whether the last lines are written.
+/// Interval of checks whether the last lines are written.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Lines that wait to be written.
+/// Queued lines that are not written yet.
 static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines left out that no metric has counted yet.
+/// Dropped lines that the metric has not counted yet.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the lines left out since the last call.
+/// Returns the number of lines dropped since the last call.
 pub fn take_dropped() -> u64 {
     DROPPED_LINES.swap(0, Ordering::Relaxed)
 }
 
-/// Waits until all lines are written, for a quarter of a second at most.
+/// Waits until all lines are written, up to a quarter of a second.
 pub fn flush() {
     for _ in 0..FLUSH_TIMEOUT.as_millis() / FLUSH_POLL_INTERVAL.as_millis() {
         if QUEUED_LINES.load(Ordering::SeqCst) == 0 {
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 ///
-/// Logging has been started before, or the writer's thread cannot be started.
+/// A logger is already installed, or the writer's thread cannot be started.
 pub fn start(instance: &str, level: LevelFilter, clock: &Clock) -> anyhow::Result<()> {
     let (tx, rx) = sync_channel(QUEUE_LINES_MAX);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -109,7 +109,7 @@
             text.push_str(&format!("{{\"event\":\"lines_left_out\",\"count\":{dropped_lines}}}\n"));
         }
         if out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_err() {
-            // Nobody reads the output; requests go on without it.
+            // Nothing reads standard output. Requests are served without a log.
             dropped.fetch_add(dropped_lines, Ordering::Relaxed);
         }
         QUEUED_LINES.fetch_sub(lines, Ordering::SeqCst);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! A running instance on a platform that lists backend servers and keeps the operator's intent.
+//! An instance on a platform whose store has the list of backend servers and the operator's intent.
 //!
-//! `connection` reads a caller's request, `forward` finds it a backend server and answers it,
-//! `stream` passes events on; `intent_reader`, `roster_reader` and `peers` keep `cluster_state` fresh;
-//! `instance_table` tells instances of each other.
+//! `connection` reads requests of callers, `forward` sends them to a backend server and writes the response, and
+//! `stream` forwards events. `intent_reader`, `roster_reader` and `peers` keep `cluster_state` up to date. By
+//! `instance_table`, instances discover each other.
 
 pub mod cluster_state;
 pub mod cold_permits;
@@ -68,10 +68,10 @@
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
 
-/// Connections to a server of a service that no intent describes.
+/// Maximum number of connections to a server whose service is not in the intent.
 const DEFAULT_MAX_CONNECTIONS: u32 = 16;
 
-/// What the parts of an instance share.
+/// The state that the threads of an instance share.
 pub struct Gateway {
     /// Settings, as they were at the start.
     pub settings: GatewaySettings,
@@ -81,27 +81,27 @@
     pub metrics: Metrics,
     /// The platform's store.
     pub store: Store,
-    /// What is believed of intent and servers.
+    /// Newest intent, orders and servers received.
     pub cluster_state: ClusterState,
     /// Loads and health of servers.
     pub picker: Mutex<Picker>,
-    /// Kept connections to servers.
+    /// Pooled connections to servers.
     pub conns: ServerConns,
     /// Other instances.
     pub peers: Peers,
-    /// Requests that end servers.
+    /// Requests that crash servers.
     pub suspicion: Suspicion,
     /// Roll-outs of versions.
     pub rollouts: Rollouts,
-    /// Requests to cold servers.
+    /// Permits for requests to cold servers.
     cold_permits: ColdPermits,
-    /// State of leaving.
+    /// Drain before the process stops.
     pub drain: Drain,
-    /// Is set when others begin to turn to this instance, which then reads the store for them.
+    /// Set when this instance becomes the aggregator, which reads the store for the others.
     pub store_read_requested: Signal,
     /// Requests in flight and bytes of their bodies.
     pub usage: Usage,
-    /// When this process started, if the instance may have run before.
+    /// Start of this process, unless all instances start for the first time.
     restarted: Option<Instant>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
     store_share: Arc<Mutex<StoreShare>>,
@@ -111,11 +111,11 @@
 }
 
 impl Gateway {
-    /// Returns an instance that has not begun to run.
+    /// Creates the state of an instance that is not running yet.
     ///
     /// # Errors
     ///
-    /// The metrics or a pipe cannot be made.
+    /// The metrics or a pipe cannot be created.
     pub fn open(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<Gateway> {
         let metrics = Metrics::new()?;
         let share = StoreShare::new(settings.store.rates, clock.now());
@@ -132,7 +132,7 @@
             suspicion: Suspicion::default(),
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
-            drain: Drain::open().context("cannot make a pipe")?,
+            drain: Drain::open().context("cannot create a pipe")?,
             store_read_requested: Signal::default(),
             usage: Usage::default(),
             restarted: (!settings.first_start).then(|| clock.now()),
@@ -144,19 +144,19 @@
         })
     }
 
-    /// Returns how many instances share the fleet's bounds.
+    /// Returns the number of instances among which limits of the whole fleet are divided.
     pub fn instances(&self) -> usize {
         self.peers.instances().max(self.settings.seeds.len())
     }
 
-    /// Divides what all instances share by their number, after other instances became known.
+    /// Divides the limits of the whole fleet anew, after the list of instances has changed.
     pub fn instances_changed(&self) {
         self.conns.set_instances(self.instances());
         lock(&self.picker).set_position(self.peers.position());
         lock(&self.store_share).set_instances(self.instances());
     }
 
-    /// Notes a caller's request, for the retry budget and for what is learnt of its service.
+    /// Counts a request of a caller for the retry budget and for the load statistics of its service.
     pub fn note_request(&self, now: Instant, request: &Request) {
         let service = &request.service;
         let terms = &self.settings.bounds.retries;
@@ -167,12 +167,12 @@
         lock(&self.picker).note_request(now, service, request.priority, target);
     }
 
-    /// Picks a server and counts the request there at once, so that requests that come together see
-    /// each other.
+    /// Picks a server and counts the request there under the same lock, so that concurrent requests take each other
+    /// into account.
     ///
     /// # Errors
     ///
-    /// No server of the service may be used, or all have too long a queue.
+    /// No server of the service is available, or all their queues are too long.
     pub fn pick(
         &self,
         now: Instant,
@@ -185,7 +185,7 @@
         Ok((picked, Flight { gateway: self, server }))
     }
 
-    /// Returns whether the budget of `service` has a repeat.
+    /// Returns whether the budget of `service` has a retry left beyond `reserve`.
     pub fn has_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
@@ -193,14 +193,14 @@
         self.budget_of(&mut budgets, service).has(now, terms, instances, reserve)
     }
 
-    /// Returns what this instance has spent at each service, for the sums over all.
+    /// Returns the retries that this instance has spent at each service, for the sums over all instances.
     pub fn spending(&self, now: Instant) -> Vec<Spending> {
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
         budgets.iter_mut().map(|(service, budget)| budget.spending(now, terms, service)).collect()
     }
 
-    /// Takes what all instances have spent.
+    /// Sets the retries that all instances have spent.
     pub fn set_budget_sums(&self, now: Instant, sums: Vec<BudgetSum>) {
         let mut budgets = lock(&self.budgets);
         for sum in sums {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Takes one repeat from the budget of `service`.
+    /// Takes one retry from the budget of `service`, if it has one left beyond `reserve`; returns whether it had.
     pub fn take_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let mut budgets = lock(&self.budgets);
@@ -225,33 +225,33 @@
         budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(self.restarted))
     }
 
-    /// Returns how many connections a server of `service` takes from all instances.
+    /// Returns the maximum number of connections that a server of `service` accepts from all instances together.
     pub fn max_connections(&self, service: &ServiceName) -> u32 {
         let intent = self.cluster_state.intent();
         let spec = intent.as_ref().and_then(|intent| intent.services.get(service));
         spec.map_or(DEFAULT_MAX_CONNECTIONS, |spec| spec.max_connections)
     }
 
-    /// Takes over a changed list of servers.
+    /// Updates the picker and the connection pool after the list of servers has changed.
     pub fn servers_changed(&self) {
-        let known: HashSet<Incarnation> = self.cluster_state.with_servers(|roster| {
+        let listed: HashSet<Incarnation> = self.cluster_state.with_servers(|roster| {
             let mut picker = lock(&self.picker);
             picker.set_servers(self.clock.now(), roster.servers());
             picker.set_cold(roster.cold());
             roster.servers().map(|server| server.id.clone()).collect()
         });
-        self.conns.retain(|server| known.contains(server));
+        self.conns.retain(|server| listed.contains(server));
     }
 
-    /// Takes what was read or told of operators' orders.
-    pub fn accept_orders(&self, told: ToldOrders, source: &str) {
-        if self.cluster_state.offer_orders(self.clock.now(), told) && self.refresh_orders() {
+    /// Applies a snapshot of operators' orders that was read or received.
+    pub fn accept_orders(&self, snapshot: ToldOrders, source: &str) {
+        if self.cluster_state.offer_orders(self.clock.now(), snapshot) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
     }
 
-    /// Has nothing new sent to the zones that are to be empty by now, and some to those that are taken back, and takes up
-    /// roll-outs; returns whether anything has changed.
+    /// Applies the orders that are active now: evacuated zones receive no new requests, zones that are no longer
+    /// evacuated do, and roll-outs start or stop. Returns whether anything has changed.
     pub fn refresh_orders(&self) -> bool {
         let now = self.clock.now();
         let (zones, former, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
@@ -270,18 +270,18 @@
         zones != former || rollouts_changed
     }
 
-    /// Forgets a server whose address answered as another one.
+    /// Removes a server whose address now belongs to another one.
     pub fn remove_server(&self, id: &Incarnation) {
         self.cluster_state.remove_server(id);
         self.servers_changed();
     }
 
-    /// Notes that the store answered.
+    /// Notes that the store replied.
     pub fn store_responded(&self) {
         *lock(&self.store_lost) = false;
     }
 
-    /// Notes a failed call; the first of a series is logged.
+    /// Notes a failed call to the store. Only the first of consecutive failures is logged.
     pub fn store_failed(&self, what: &str, fault: &StoreFault) {
         let mut lost = lock(&self.store_lost);
         if !*lost {
@@ -290,14 +290,14 @@
         }
     }
 
-    /// Returns whether the intent in force is recent enough to deny a request by it.
+    /// Returns whether the active intent was confirmed recently enough to deny a request because of it.
     pub fn intent_is_fresh(&self, now: Instant) -> bool {
         let bound = self.settings.bounds.intent_apply_time.max(self.settings.roster_period() * 2);
-        let is_young = self.cluster_state.intent_age(now).is_some_and(|age| age <= bound);
-        is_young && self.cluster_state.with_watch(|watch| watch.is_settled(now))
+        let is_recent = self.cluster_state.intent_age(now).is_some_and(|age| age <= bound);
+        is_recent && self.cluster_state.with_watch(|watch| watch.is_settled(now))
     }
 
-    /// Brings the metrics that are looked up, not counted, up to date.
+    /// Updates the metrics that are gauges.
     fn update_gauges(&self) {
         let now = self.clock.now();
         self.metrics.revision(self.cluster_state.version());
@@ -328,18 +328,19 @@
         self.metrics.log_lines_left_out(log_sink::take_dropped());
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether the platform should send callers to this instance.
     pub fn is_ready(&self) -> bool {
-        let served = self.cluster_state.with_servers(|roster| roster.servers().next().is_some());
-        let knows = served && self.cluster_state.intent().is_some();
-        knows && !self.drain.is_draining() && !self.is_out_of_date(self.clock.now())
+        let has_servers =
+            self.cluster_state.with_servers(|roster| roster.servers().next().is_some());
+        let is_complete = has_servers && self.cluster_state.intent().is_some();
+        is_complete && !self.drain.is_draining() && !self.is_out_of_date(self.clock.now())
     }
 
-    /// Returns whether a newer intent has been known to exist for longer than changes may take: new callers
-    /// are better off with another instance.
+    /// Returns whether the active intent has been outdated for longer than a change may take to apply. New callers
+    /// should then use another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let behind = self.cluster_state.with_watch(|watch| watch.behind_for(now));
-        behind.is_some_and(|behind| behind > self.settings.bounds.intent_apply_time)
+        let outdated = self.cluster_state.with_watch(|watch| watch.behind_for(now));
+        outdated.is_some_and(|time| time > self.settings.bounds.intent_apply_time)
     }
 }
 
@@ -349,20 +350,20 @@
     picker
 }
 
-/// Opens the store; calls beyond this instance's share wait for their turn.
+/// Opens the store. Calls beyond this instance's share of the store's rate wait.
 fn open_store(
     settings: &GatewaySettings,
     clock: &Clock,
     metrics: Metrics,
     share: &Arc<Mutex<StoreShare>>,
 ) -> Store {
-    let (paced, share) = (clock.clone(), Arc::clone(share));
-    let pace = move |kind: CallKind| loop {
-        let turn = lock(&share).take(paced.now(), kind);
-        match turn {
+    let (limit_clock, share) = (clock.clone(), Arc::clone(share));
+    let limit = move |kind: CallKind| loop {
+        let admitted = lock(&share).take(limit_clock.now(), kind);
+        match admitted {
             Ok(()) => return,
             Err(wait) => thread::sleep(wait),
         }
     };
-    Store::new(settings.store.address, clock.clone(), metrics, pace)
+    Store::new(settings.store.address, clock.clone(), metrics, limit)
 }
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -184,7 +184,7 @@
     })
 }
 
-/// Serves a connection of another instance, as long as messages follow each other within [`NEXT_MESSAGE_TIMEOUT`].
+/// Serves a connection of another instance, as long as messages follow each other closely.
 pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> Served {
     let service = PeerService {
         accepted: None,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -303,7 +303,8 @@
     }
 }
 
-/// Fetches from other instances what could not be read from the store, at most once in [`ROUND_INTERVAL_MIN`].
+/// Fetches from other instances what could not be read from the store. Calls within 300 ms of the last round do
+/// nothing.
 pub fn catch_up(gateway: &Gateway) {
     let now = gateway.clock.now();
     {
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -29,7 +29,7 @@
     let mut store_lost = false;
     loop {
         let now = gateway.clock.now();
-        if start::waits(gateway, now) {
+        if start::is_waiting(gateway, now) {
             gateway.store_read_requested.wait(QUESTION_PAUSE);
             continue;
         }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -20,19 +20,19 @@
     pub regions: IndexMap<ZoneName, RegionName>,
     /// Whether all instances start for the first time, so that none can have run before.
     pub first_start: bool,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub addresses: Addresses,
-    /// Peers' addresses of some other instances; may be out of date.
+    /// Peer addresses of some other instances, which may be outdated.
     pub seeds: Vec<SocketAddr>,
     /// The platform's store.
     pub store: StoreSettings,
-    /// Its share of processors, in cores.
+    /// Its share of the processor, in cores.
     pub cores: f32,
-    /// Most connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Most connections of other instances at once.
+    /// Maximum number of concurrent connections of other instances.
     pub peer_connections: usize,
-    /// Most bytes of bodies held at once.
+    /// Maximum total size of buffered bodies.
     pub body_bytes: u64,
     /// The operator's bounds.
     pub bounds: Bounds,
@@ -47,38 +47,38 @@
     pub readiness: SocketAddr,
     /// For other instances.
     pub peers: SocketAddr,
-    /// For whoever collects metrics.
+    /// For the collection of metrics.
     pub metrics: SocketAddr,
 }
 
-/// Where backend servers and the operator's intent are read.
+/// The platform's store, which has the list of backend servers and the operator's intent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreSettings {
     /// Address of the store.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all instances together.
+    /// Calls per second that it accepts from all instances together.
     pub rates: StoreRates,
 }
 
 /// Bounds that the operator sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Time within which a leaving backend server gets no more requests.
+    /// Time after which a leaving backend server must receive no more requests.
     pub server_drain_time: Duration,
-    /// Time between the signal to end and the kill.
+    /// Time between the signal to terminate and the kill.
     pub grace: Duration,
-    /// Time within which a change of intent is in force.
+    /// Time within which a change of the intent must become active.
     pub intent_apply_time: Duration,
-    /// Most load of an engine, as a multiple of its service's mean.
+    /// Maximum load of a server, as a multiple of the mean over its service.
     pub load: f64,
-    /// What a bad version may get of its service's requests.
+    /// Share of a service's requests that a failing new version may receive.
     pub rollouts: RolloutTerms,
     /// The fleet's retry budget.
     pub retries: BudgetTerms,
 }
 
 impl GatewaySettings {
-    /// Returns the pause between two reads of the servers' list.
+    /// Returns the time between two reads of the list of servers.
     pub fn roster_period(&self) -> Duration {
         roster_watch::pause(self.bounds.server_drain_time)
     }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -1,13 +1,13 @@
-//! Asks the instances that the settings name for what there is, as this one starts.
+//! Fetches the cluster state from the seeds, the instances that the settings name, at the start of this instance.
 
 use std::{sync::Arc, thread, time::Instant};
 
 use super::{Gateway, peers};
 use crate::routing::start::QUESTION_PAUSE;
 
-/// Asks until there is an intent and a list of servers, or no more is waited for.
+/// Queries the seeds until an intent and a list of servers have been received, or the time to wait for them is over.
 pub fn run(gateway: &Arc<Gateway>) {
-    while waits(gateway, gateway.clock.now()) {
+    while is_waiting(gateway, gateway.clock.now()) {
         if peers::query_seeds(gateway, || gateway.cluster_state.is_complete()) {
             log::info!("event=told_at_start servers_age_ms={}", servers_age_ms(gateway));
             return;
@@ -16,8 +16,8 @@
     }
 }
 
-/// Returns whether this instance has just started, and waits for others to tell it what there is.
-pub fn waits(gateway: &Gateway, now: Instant) -> bool {
+/// Returns whether this instance has just started, and still waits for the seeds to send it the cluster state.
+pub fn is_waiting(gateway: &Gateway, now: Instant) -> bool {
     gateway.peers.start.waits(now) && !gateway.cluster_state.is_complete()
 }
 
