--- a/tests/suite/cluster_state.rs
+++ b/tests/suite/cluster_state.rs
@@ -1,5 +1,4 @@
-//! An instance on a platform: what it knows and where from, against stand-ins of the store, of
-//! other instances and of listed backend servers.
+//! How an instance on a platform receives intent, orders and servers, from a stand-in store and from other instances.
 
 use std::time::Duration;
 
@@ -22,7 +21,7 @@
 };
 
 #[test]
-fn a_change_of_intent_is_in_force_and_an_older_one_is_not() {
+fn a_newer_intent_becomes_active_and_an_older_one_is_ignored() {
     let testbed = start(1);
     assert_eq!(testbed.send(&call("/added/", "a")).status, 404);
     let mut next = intent(9);
@@ -36,7 +35,7 @@
 }
 
 #[test]
-fn an_intent_that_cannot_be_read_leaves_the_one_before_in_force() {
+fn an_intent_that_cannot_be_parsed_leaves_the_previous_one_active() {
     let testbed = start(1);
     testbed.store.put_raw("op", "config", b"\xff{not json".to_vec());
     testbed.store.put("op", "config", &json!({"routes": []}));
@@ -47,20 +46,20 @@
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(testbed.send(&call("/idem/", "a")).status, 200);
     testbed.store.put("op", "config", &partly);
-    eventually("the rest is in force", || testbed.send(&call("/added/", "b")).status == 200);
+    eventually("the valid part is active", || testbed.send(&call("/added/", "b")).status == 200);
 }
 
 #[test]
-fn history_that_is_gone_is_read_anew() {
+fn expired_history_leads_to_a_read_of_the_whole_intent() {
     let testbed = start(1);
     testbed.store.forget_history();
     testbed.store.put("op", "config", &intent(9));
     let version = || testbed.instance.gateway().cluster_state.version();
-    eventually("the new version is in force", || version() == 9);
+    eventually("the new version is active", || version() == 9);
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new_and_a_gone_one_neither() {
+fn leaving_and_removed_servers_receive_no_new_requests() {
     let testbed = start(2);
     let leaving = &testbed.servers[0];
     testbed.store.put("servers", &leaving.id, &leaving.entry("app", "draining"));
@@ -77,7 +76,7 @@
 }
 
 #[test]
-fn malformed_entries_are_passed_over() {
+fn malformed_entries_of_servers_are_skipped() {
     let testbed = start(1);
     testbed.store.put_raw("servers", "no-json", b"{".to_vec());
     testbed.store.put("servers", "no-address", &json!({"service": "app", "zone": "north"}));
@@ -91,7 +90,7 @@
 }
 
 #[test]
-fn whatever_the_store_does_requests_are_served_and_its_return_is_noticed() {
+fn requests_are_served_through_any_failure_of_the_store_and_its_recovery_is_noticed() {
     let modes = StoreMode::failing(120);
     let testbed = start(1);
     for (number, mode) in modes.into_iter().enumerate() {
@@ -101,13 +100,13 @@
         let version = 100 + number as u64;
         testbed.store.put("op", "config", &intent(version));
         testbed.store.set_mode(StoreMode::Up);
-        let known = || testbed.instance.gateway().cluster_state.version();
-        eventually("the change made meanwhile is in force", || known() == version);
+        let active = || testbed.instance.gateway().cluster_state.version();
+        eventually("the change made during the failure is active", || active() == version);
     }
 }
 
 #[test]
-fn an_instance_that_starts_without_the_store_is_not_ready_and_refuses_truly() {
+fn an_instance_that_starts_without_the_store_is_not_ready_and_responds_with_503() {
     let store = StoreStandIn::spawn().expect("a store");
     let server = Listed::spawn("s0").expect("a server");
     store.put("servers", "s0", &server.entry("app", "ready"));
@@ -117,9 +116,9 @@
     let ready =
         || Call { method: "GET".into(), ..call("/v1/ready", "x") }.send(instance.readiness());
     assert_eq!(ready().status, 503);
-    let answer = call("/idem/", "a").send(instance.callers());
-    assert_eq!(answer.status, 503);
-    assert!(!answer.header("retry-after").is_empty());
+    let response = call("/idem/", "a").send(instance.callers());
+    assert_eq!(response.status, 503);
+    assert!(!response.header("retry-after").is_empty());
     store.set_mode(StoreMode::Up);
     eventually("ready", || ready().status == 200);
     assert_eq!(call("/idem/", "b").send(instance.callers()).status, 200);
@@ -127,68 +126,71 @@
 }
 
 #[test]
-fn a_denial_needs_fresh_knowledge() {
+fn a_denial_requires_a_recently_confirmed_intent() {
     let testbed = start(1);
     assert_eq!(testbed.send(&call("/nothing/", "a")).status, 404);
     testbed.store.set_mode(StoreMode::Busy);
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(testbed.send(&call("/nothing/", "b")).status, 503);
-    assert_eq!(testbed.send(&call("/idem/", "c")).status, 200, "what is known to be served is");
+    assert_eq!(testbed.send(&call("/idem/", "c")).status, 200, "a known route is still served");
 }
 
 #[test]
-fn news_come_from_peers_when_the_store_turns_an_instance_away() {
+fn peers_send_updates_to_an_instance_that_the_store_rejects() {
     let testbed = start(2);
     let other_store = StoreStandIn::spawn().expect("a store");
     other_store.set_mode(StoreMode::Busy);
     let cut_off = spawn("two", other_store.address(), vec![testbed.instance.peers()]);
-    eventually("ready by its peer", || cut_off.gateway().is_ready());
+    eventually("ready through its peer", || cut_off.gateway().is_ready());
     let status = |target: &str, id: &str| call(target, id).send(cut_off.callers()).status;
     assert_eq!(status("/idem/", "a"), 200);
     let mut next = intent(9);
     next["tenants"][0]["api_keys"] = json!(["another-key"]);
     next["padding"] = "x".repeat(40_000).into();
     testbed.store.put("op", "config", &next);
-    eventually("the key is gone", || status("/idem/", "b") == 401);
+    eventually("the key is rejected", || status("/idem/", "b") == 401);
     testbed.store.remove("servers", &testbed.servers[0].id);
-    eventually("the server is gone", || {
+    eventually("the server is removed", || {
         cut_off.gateway().cluster_state.with_servers(|roster| roster.servers().count()) == 1
     });
 }
 
-// After each large change of a fleet of 302 instances dozens of them read the store for others, though nobody had
-// turned to them: they had been asked once, by instances that looked for the change. 7,065 calls to the store were
-// made on a day with four changes, where a calm one takes 2,577.
+// Guards against instances that act as the aggregator after a single query. In a fleet of 302 instances, dozens did so
+// after each large change: 7,065 calls to the store on a day with four changes, 2,577 on a day without.
 #[test]
-fn an_instance_that_is_asked_out_of_turn_does_not_read_for_others() {
+fn a_single_query_does_not_make_an_instance_the_aggregator() {
     let testbed = start(1);
     let other = spawn("two", testbed.store.address(), Vec::new());
     let both = [&testbed.instance, &other];
-    eventually("they know of each other", || both.iter().all(|i| i.gateway().instances() == 2));
-    let away = StoreStandIn::spawn().expect("a store");
-    away.set_mode(StoreMode::Busy);
+    eventually("both instances know each other", || {
+        both.iter().all(|i| i.gateway().instances() == 2)
+    });
+    let rejecting = StoreStandIn::spawn().expect("a store");
+    rejecting.set_mode(StoreMode::Busy);
     let seeds = both.iter().map(|instance| instance.peers()).collect();
-    let mut weakest = settings("three", away.address(), seeds);
+    let mut weakest = settings("three", rejecting.address(), seeds);
     weakest.cores = 0.1;
-    let asking = GatewayHandle::spawn(weakest, &Clock::system()).expect("an instance");
-    eventually("the third is ready by the others", || asking.gateway().is_ready());
+    let querying = GatewayHandle::spawn(weakest, &Clock::system()).expect("an instance");
+    eventually("the third is ready through the others", || querying.gateway().is_ready());
     let reads = |instance: &GatewayHandle| {
         let gateway = instance.gateway();
         gateway.peers.is_reader(Clock::system().now())
     };
-    eventually("one reads", || both.iter().filter(|instance| reads(instance)).count() == 1);
+    eventually("one instance reads the store", || {
+        both.iter().filter(|instance| reads(instance)).count() == 1
+    });
 }
 
 #[test]
-fn an_instance_divides_what_all_share_by_those_that_turned_to_it() {
+fn shared_limits_are_divided_among_the_instances_that_report() {
     let testbed = start(1);
     let other_store = StoreStandIn::spawn().expect("a store");
     other_store.set_mode(StoreMode::Busy);
     let cut_off = spawn("two", other_store.address(), vec![testbed.instance.peers()]);
     let position =
         |instance: &GatewayHandle| instance.gateway().picker.lock().expect("the picker").position();
-    // The other has no row in the store: it is known by what it told only.
-    eventually("both know of two", || {
+    // The other instance has no row in this store: only its reports make it known.
+    eventually("both instances know each other", || {
         position(&testbed.instance).instances == 2 && position(&cut_off).instances == 2
     });
     assert_ne!(position(&testbed.instance).number, position(&cut_off).number);
@@ -198,7 +200,7 @@
 fn instances_count_each_others_requests() {
     let testbed = start(3);
     let two = spawn("two", testbed.store.address(), Vec::new());
-    eventually("they know of each other", || {
+    eventually("both instances know each other", || {
         two.gateway().instances() == 2 && testbed.instance.gateway().instances() == 2
     });
     testbed.fault(Fault::Late(Duration::from_millis(1800)));
@@ -222,7 +224,7 @@
         let picker = two.gateway().picker.lock().expect("the picker");
         picker.pick(now, &wanted).expect("a server").load >= 2.0
     });
-    busy.into_iter().for_each(|call| assert_eq!(call.join().expect("an answer").status, 200));
+    busy.into_iter().for_each(|call| assert_eq!(call.join().expect("a response").status, 200));
 }
 
 #[test]
@@ -235,13 +237,13 @@
         let now = Clock::system().now();
         all().filter(|instance| instance.gateway().peers.is_reader(now)).count()
     };
-    eventually("all are known to all", || all().all(|i| i.gateway().instances() == 6));
-    eventually("one reads", || readers() == 1);
+    eventually("every instance knows the others", || all().all(|i| i.gateway().instances() == 6));
+    eventually("one instance reads the store", || readers() == 1);
 }
 
-// 295 instances that start together made some 2,000 calls to the store in a calm day, nearly all of them in the first
-// seconds: each read the table of instances while half of the rows were not written yet, took itself or a stranger
-// for the one that reads for all, and followed the intent for all the others.
+// Guards against calls to the store that grow when instances start together. With 295 instances there were about 2,000
+// calls on a day without changes, nearly all in the first seconds: each instance read the table before half of the rows
+// were written, took itself or a wrong one for the aggregator, and polled the intent for the others.
 #[test]
 fn instances_that_start_together_call_the_store_three_times_each() {
     const INSTANCES: usize = 20;
@@ -250,18 +252,19 @@
     let before: usize = calls(&testbed);
     let spawned: Vec<GatewayHandle> = (0..INSTANCES)
         .map(|number| {
-            let mut calm = settings(&format!("n{number}"), testbed.store.address(), seeds.clone());
-            calm.cores = 0.1;
-            calm.bounds.server_drain_time = Duration::from_secs(10);
-            calm.bounds.intent_apply_time = Duration::from_secs(10);
-            GatewayHandle::spawn(calm, &Clock::system()).expect("an instance")
+            let mut relaxed =
+                settings(&format!("n{number}"), testbed.store.address(), seeds.clone());
+            relaxed.cores = 0.1;
+            relaxed.bounds.server_drain_time = Duration::from_secs(10);
+            relaxed.bounds.intent_apply_time = Duration::from_secs(10);
+            GatewayHandle::spawn(relaxed, &Clock::system()).expect("an instance")
         })
         .collect();
-    eventually("all are ready", || spawned.iter().all(|i| i.gateway().is_ready()));
-    eventually("all know of all", || {
+    eventually("all instances are ready", || spawned.iter().all(|i| i.gateway().is_ready()));
+    eventually("every instance knows the others", || {
         spawned.iter().all(|i| i.gateway().instances() == INSTANCES + 1)
     });
-    // The first instance, with tighter bounds, reads all the time; it is counted apart.
+    // The first instance has tighter bounds and reads continuously; its calls are not counted.
     let reads =
         |i: &GatewayHandle| i.gateway().metrics.text().lines().map(store_calls).sum::<usize>();
     let each: Vec<usize> = spawned.iter().map(reads).collect();
@@ -274,17 +277,17 @@
     ["/v1/rows-get", "/v1/rows-tx", "/v1/rows-feed"].iter().map(|p| testbed.store.calls(p)).sum()
 }
 
-/// Calls to the store that a line of the metrics counts.
+/// Returns the number of calls to the store in a line of the metrics; 0 for other lines.
 fn store_calls(line: &str) -> usize {
     let counts = line.starts_with("cartvane_store_calls") && !line.starts_with('#');
     let value = line.rsplit(' ').next().and_then(|value| value.parse::<f64>().ok());
     if counts { value.unwrap_or(0.0) as usize } else { 0 }
 }
 
-// An instance that is told of a newer version, but not what it says, took the word that this one is the newest for a word
-// on its own: it counted as sure, and would have denied requests that the newer version allows.
+// Guards against a confirmation of a newer version that counts for the active one. An instance that had only received
+// the number of the newer version counted as up to date, and denied requests that the newer version allows.
 #[test]
-fn word_of_a_newer_version_says_nothing_of_the_one_in_force() {
+fn confirming_a_newer_version_does_not_confirm_the_active_one() {
     let now = Clock::system().now();
     let later = now + Duration::from_secs(1);
     let cluster_state = ClusterState::new(Duration::from_secs(2));
@@ -294,5 +297,9 @@
     cluster_state.confirm(9, Confirmed { at: later, store });
     assert_eq!(cluster_state.intent_age(later), Some(Duration::from_secs(1)));
     cluster_state.confirm(4, Confirmed { at: later, store });
-    assert_eq!(cluster_state.intent_age(later), Some(Duration::ZERO), "it was no older then");
+    assert_eq!(
+        cluster_state.intent_age(later),
+        Some(Duration::ZERO),
+        "a confirmation of an older version applies"
+    );
 }
--- a/tests/suite/starts.rs
+++ b/tests/suite/starts.rs
@@ -1,4 +1,4 @@
-//! Where an instance that starts has its knowledge from.
+//! From where an instance receives its cluster state at its start.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -24,15 +24,16 @@
     (store, server)
 }
 
-/// Starts an instance whose bounds leave it time, so that it reads the store for its start only.
-fn calm(node: &str, store: SocketAddr, seeds: &[SocketAddr]) -> GatewayHandle {
-    let mut calm = settings(node, store, seeds.to_vec());
-    calm.cores = if seeds.is_empty() { 1.0 } else { 0.1 };
-    calm.bounds.server_drain_time = Duration::from_secs(60);
-    calm.bounds.intent_apply_time = Duration::from_secs(60);
-    GatewayHandle::spawn(calm, &Clock::system()).expect("an instance")
+/// Starts an instance with bounds so long that it reads the store only at its start.
+fn spawn_relaxed(node: &str, store: SocketAddr, seeds: &[SocketAddr]) -> GatewayHandle {
+    let mut relaxed = settings(node, store, seeds.to_vec());
+    relaxed.cores = if seeds.is_empty() { 1.0 } else { 0.1 };
+    relaxed.bounds.server_drain_time = Duration::from_secs(60);
+    relaxed.bounds.intent_apply_time = Duration::from_secs(60);
+    GatewayHandle::spawn(relaxed, &Clock::system()).expect("an instance")
 }
 
+/// Returns the number of reads of whole tables that the instance has made.
 fn reads(instance: &GatewayHandle) -> usize {
     let text = instance.gateway().metrics.text();
     let counts = |line: &&str| line.starts_with("cartvane_store_calls_total{kind=\"rows\"");
@@ -40,60 +41,61 @@
     text.lines().filter(counts).filter_map(value).sum()
 }
 
-// 299 instances read the whole list of 3,000 servers from the store at each of their starts: 0.82 GB on a day on which
-// all started twice, which cost more than the day was worth.
+// Guards against a read of the whole list of servers by each instance that starts. 299 instances and 3,000 servers read
+// 0.82 GB on a day on which all instances started twice.
 #[test]
-fn instances_that_start_learn_what_there_is_from_one_that_knows() {
+fn instances_that_start_receive_the_cluster_state_from_a_seed() {
     let (store, _server) = store_with_servers();
-    let first = calm("first", store.address(), &[]);
+    let first = spawn_relaxed("first", store.address(), &[]);
     eventually("the first is ready", || first.gateway().is_ready());
     store.put("op", "evacuate/elsewhere", &json!({}));
     let seeds = [first.peers()];
     let others: Vec<GatewayHandle> =
-        (0..INSTANCES).map(|i| calm(&format!("n{i}"), store.address(), &seeds)).collect();
-    eventually("all are ready", || others.iter().all(|i| i.gateway().is_ready()));
+        (0..INSTANCES).map(|i| spawn_relaxed(&format!("n{i}"), store.address(), &seeds)).collect();
+    eventually("all instances are ready", || others.iter().all(|i| i.gateway().is_ready()));
     let read: Vec<usize> = others.iter().map(reads).collect();
     assert!(read.iter().sum::<usize>() <= 2, "{read:?}");
 }
 
 #[test]
-fn instances_that_start_with_nobody_to_ask_read_the_store() {
+fn an_instance_that_starts_without_reachable_seeds_reads_the_store() {
     let (store, _server) = store_with_servers();
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let seeds = [nobody.local_addr().expect("an address")];
-    drop(nobody);
-    let alone = calm("alone", store.address(), &seeds);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let seeds = [listener.local_addr().expect("an address")];
+    drop(listener);
+    let alone = spawn_relaxed("alone", store.address(), &seeds);
     eventually("it is ready", || alone.gateway().is_ready());
     assert!(alone.gateway().cluster_state.servers_age(Clock::system().now()).is_some());
 }
 
-// One that is named to all and knows nothing itself, since the store turns it away, keeps nobody waiting for long.
+// Guards against a long wait for a seed that has no state itself, because the store rejects it.
 #[test]
-fn instances_that_start_beside_one_that_knows_nothing_read_the_store() {
+fn an_instance_that_starts_beside_a_seed_without_state_reads_the_store() {
     let (store, server) = store_with_servers();
-    let away = StoreStandIn::spawn().expect("a store");
-    away.set_mode(StoreMode::Busy);
-    let blind = calm("blind", away.address(), &[]);
-    let second = calm("second", store.address(), &[blind.peers()]);
+    let rejecting = StoreStandIn::spawn().expect("a store");
+    rejecting.set_mode(StoreMode::Busy);
+    let stateless = spawn_relaxed("blind", rejecting.address(), &[]);
+    let second = spawn_relaxed("second", store.address(), &[stateless.peers()]);
     eventually("it is ready", || second.gateway().is_ready());
     assert_eq!(call("/idem/", "a").send(second.callers()).status, 200);
     assert_eq!(server.runs("a"), 1);
 }
 
-// 110 of 295 first writes of an instance's row were refused, since a part of the store takes 200 a second; those instances
-// knew nobody until they had written, and each read the list of servers for itself meanwhile: 0.47 GB in four seconds.
+// Guards against instances that discover no others until their own row is written. A partition of the store accepts 200
+// writes a second and rejected 110 of 295 first writes; each of those instances read the list of servers itself
+// meanwhile, 0.47 GB in four seconds.
 #[test]
-fn instances_that_cannot_write_their_rows_know_each_other_all_the_same() {
+fn instances_that_cannot_write_their_rows_discover_each_other() {
     let (store, _server) = store_with_servers();
-    let first = calm("first", store.address(), &[]);
-    // It has just started too: what it tells those that ask at once is the list, and of nobody.
+    let first = spawn_relaxed("first", store.address(), &[]);
+    // Until it has discovered others itself, the seed replies with the list of servers, but without instances.
     eventually("the first has written its row", || store.keys("cartvane-instances").len() == 1);
-    // Calls that name no table are writes.
+    // Calls without a table name are writes.
     store.set_table_mode("", StoreMode::TooMany);
     let seeds = [first.peers()];
     let others: Vec<GatewayHandle> =
-        (0..5).map(|i| calm(&format!("n{i}"), store.address(), &seeds)).collect();
-    eventually("all know of all", || {
+        (0..5).map(|i| spawn_relaxed(&format!("n{i}"), store.address(), &seeds)).collect();
+    eventually("every instance knows the others", || {
         others.iter().chain([&first]).all(|i| i.gateway().instances() == others.len() + 1)
     });
     let read: Vec<usize> = others.iter().map(reads).collect();
