--- a/tests/suite/log_lines.rs
+++ b/tests/suite/log_lines.rs
@@ -1,4 +1,4 @@
-//! Keeps what instances of this process log, so that a test that fails can say what led to it.
+//! A buffer of the log lines of all instances in this process, so that a failing test can print those that led to it.
 
 use std::{
     collections::VecDeque,
@@ -6,44 +6,45 @@
     time::{Duration, Instant},
 };
 
-/// Lines kept: those of the last seconds of all tests that run at once.
-const KEPT_MAX: usize = 50_000;
+/// Number of lines in the buffer: those of the last seconds of all tests that run concurrently.
+const BUFFER_LINES_MAX: usize = 50_000;
 
-struct Kept {
+struct Buffer {
     began: Instant,
     lines: VecDeque<(Duration, String)>,
 }
 
-static KEPT: Mutex<Option<Kept>> = Mutex::new(None);
+static BUFFER: Mutex<Option<Buffer>> = Mutex::new(None);
 static STARTED: Once = Once::new();
 
-/// Starts to keep lines; more calls change nothing.
+/// Installs the logger that fills the buffer; further calls do nothing.
 pub(crate) fn start() {
     STARTED.call_once(|| {
         let began = Instant::now();
-        *KEPT.lock().unwrap_or_else(PoisonError::into_inner) =
-            Some(Kept { began, lines: VecDeque::new() });
-        let keep = fern::Output::call(|record| {
-            // Formatted before the lock is taken, for which the instances of all tests wait.
+        *BUFFER.lock().unwrap_or_else(PoisonError::into_inner) =
+            Some(Buffer { began, lines: VecDeque::new() });
+        let output = fern::Output::call(|record| {
+            // Formatted before the lock is taken, since the instances of all tests wait for it.
             let line = record.args().to_string();
-            let mut kept = KEPT.lock().unwrap_or_else(PoisonError::into_inner);
-            let Some(kept) = kept.as_mut() else { return };
-            if kept.lines.len() >= KEPT_MAX {
-                kept.lines.pop_front();
+            let mut buffer = BUFFER.lock().unwrap_or_else(PoisonError::into_inner);
+            let Some(buffer) = buffer.as_mut() else { return };
+            if buffer.lines.len() >= BUFFER_LINES_MAX {
+                buffer.lines.pop_front();
             }
-            kept.lines.push_back((kept.began.elapsed(), line));
+            buffer.lines.push_back((buffer.began.elapsed(), line));
         });
-        let started = fern::Dispatch::new().level(log::LevelFilter::Info).chain(keep).apply();
+        let started = fern::Dispatch::new().level(log::LevelFilter::Info).chain(output).apply();
         started.expect("no other logger in this process");
     });
 }
 
-/// Returns the lines with one of these words, of all tests that ran meanwhile, with the milliseconds since the first start.
+/// Returns the lines of all concurrent tests that contain one of `words`, with the milliseconds since the logger was
+/// installed.
 pub(crate) fn matching(words: &[&str]) -> String {
     let lines: Vec<(Duration, String)> = {
-        let kept = KEPT.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.iter().flat_map(|kept| kept.lines.iter().cloned()).collect()
+        let buffer = BUFFER.lock().unwrap_or_else(PoisonError::into_inner);
+        buffer.iter().flat_map(|buffer| buffer.lines.iter().cloned()).collect()
     };
-    let wanted = lines.iter().filter(|(_, line)| words.iter().any(|word| line.contains(word)));
-    wanted.map(|(at, line)| format!("\n{} {line}", at.as_millis())).collect()
+    let matching = lines.iter().filter(|(_, line)| words.iter().any(|word| line.contains(word)));
+    matching.map(|(at, line)| format!("\n{} {line}", at.as_millis())).collect()
 }
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! All integration tests, as one crate.
+//! All integration tests, in one crate.
 
 mod answers;
 mod backoff_drawn;
--- a/tests/suite/process.rs
+++ b/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! `cartvane gateway` as a process: settings, signals, log lines.
+//! `cartvane gateway` as a process: its settings, signals and log lines.
 
 use std::{
     io::{BufRead, BufReader},
@@ -17,11 +17,13 @@
 
 pub(crate) const KEY: &str = "key-of-crew";
 
+/// A running `cartvane gateway`, and the log lines that it has written.
 pub(crate) struct Process {
     pub(crate) child: Child,
     lines: Arc<Mutex<Vec<Value>>>,
 }
 
+/// Returns the settings file of an instance.
 pub(crate) fn boot(store: SocketAddr) -> Value {
     json!({
         "node_name": "one", "zone": "north",
@@ -37,6 +39,7 @@
     })
 }
 
+/// Returns an intent with one route.
 pub(crate) fn intent() -> Value {
     json!({
         "version": 3,
@@ -77,7 +80,7 @@
 
     pub(crate) fn wait_for(&self, name: &str) -> Value {
         eventually(name, || self.event(name).is_some());
-        self.event(name).expect("it came")
+        self.event(name).expect("the event was logged")
     }
 
     fn signal(&self, signal: Signal) {
@@ -88,12 +91,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// Writes a temporary file.
 pub(crate) fn file(name: &str, text: &str) -> std::path::PathBuf {
     let path = std::env::temp_dir().join(format!("cartvane-{}-{name}.json", std::process::id()));
     std::fs::write(&path, text).expect("the file is written");
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn signals_drain_and_reload_and_nothing_else_ends_a_process() {
+fn signals_drain_and_reload_a_process() {
     let store = StoreStandIn::spawn().expect("a store");
     let server = Listed::spawn("s0").expect("a server");
     store.put("servers", "s0", &server.entry("app", "ready"));
@@ -123,17 +127,17 @@
     assert!(refused["reason"].as_str().is_some_and(|r| r.contains("zone")), "{refused}");
     assert_eq!(call("r1").send(callers).status, 200);
     server.faults.set_standing(Some(Fault::Late(Duration::from_millis(800))));
-    let under_way = thread::spawn(move || {
+    let in_flight = thread::spawn(move || {
         Call::post("/once/", KEY, "body").with("x-request-id", "r2").send(callers)
     });
-    eventually("it is under way", || server.runs("r2") == 1);
+    eventually("the request is in flight", || server.runs("r2") == 1);
     process.signal(Signal::TERM);
     process.wait_for("draining");
     process.signal(Signal::TERM);
     process.signal(Signal::HUP);
-    let answer = under_way.join().expect("an answer");
-    assert_eq!((answer.status, answer.header("connection")), (200, "close"));
-    assert!(process.child.wait().expect("it ends").success());
+    let response = in_flight.join().expect("a response");
+    assert_eq!((response.status, response.header("connection")), (200, "close"));
+    assert!(process.child.wait().expect("the process exits").success());
     process.wait_for("stopped");
     let line = {
         let lines = process.lines.lock().expect("the lines");
@@ -149,9 +153,9 @@
 }
 
 #[test]
-fn bad_settings_end_a_process_with_a_line_that_names_the_fault() {
+fn invalid_settings_end_a_process_with_an_error_that_names_the_cause() {
     let cases = [("", "line 1"), ("[", "line 1"), ("{}", "node_name"), ("\u{feff}{}", "line 1")];
-    for (number, (text, told)) in cases.into_iter().enumerate() {
+    for (number, (text, cause)) in cases.into_iter().enumerate() {
         let path = file(&format!("bad{number}"), text);
         let output = Command::new(BINARY)
             .arg("gateway")
@@ -159,8 +163,8 @@
             .output()
             .expect("the process runs");
         assert_eq!(output.status.code(), Some(1), "{text:?}");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(said.contains(told), "{said:?} does not tell of {told:?}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(stderr.contains(cause), "{stderr:?} does not name {cause:?}");
         std::fs::remove_file(path).expect("the file is removed");
     }
     let output = Command::new(BINARY)
--- a/tests/suite/support.rs
+++ b/tests/suite/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: fleets of the built binary, and requests to them.
+//! Helpers of the tests: fleets of the built binary, and requests to them.
 
 use std::{
     thread,
@@ -15,7 +15,7 @@
 /// The built `cartvane`.
 pub(crate) const BINARY: &str = env!("CARGO_BIN_EXE_cartvane");
 
-/// Returns the parts of a small fleet.
+/// Returns the specification of a small fleet.
 pub(crate) fn small() -> FleetSpec {
     let mut spec = FleetSpec::small(BINARY);
     spec.settings = "[timeouts]\nrevision_poll = \"200ms\"\nmembers_poll = \"100ms\"\nheartbeat = \"200ms\"\ndrain_grace = \"1500ms\"\n[logging]\nlevel = \"error\"\n".to_owned();
@@ -35,7 +35,7 @@
     ChatRequest { messages, stream: true, max_tokens: Some(tokens) }
 }
 
-/// Returns the call that sends a chat to the model service.
+/// Returns the call that sends a chat to the LLM service.
 pub(crate) fn chat_call(chat: &ChatRequest) -> Call {
     let body = serde_json::to_vec(chat).expect("a chat can be encoded");
     Call::post("/llm/v1/chat/completions", &team_key("crew"), body)
@@ -52,19 +52,19 @@
     call.send(fleet.routers[router].callers)
 }
 
-/// Waits until no home counts a permit.
+/// Waits until all permits have been released at their homes.
 pub(crate) fn wait_idle(fleet: &Fleet) {
     let idle = |status: &FleetStatus| {
         let shards = status.instances.iter().flat_map(|i| &i.shards);
         shards.flat_map(|s| &s.engines).all(|e| e.permits == 0)
     };
-    fleet.wait_for("every permit given back", idle).expect("permits are given back");
+    fleet.wait_for("every permit released", idle).expect("permits are released");
 }
 
-/// Waits until `wanted` holds.
-pub(crate) fn eventually(what: &str, mut wanted: impl FnMut() -> bool) {
+/// Waits until a condition holds; panics with its description after 20 s.
+pub(crate) fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(20);
-    while !wanted() {
+    while !condition() {
         assert!(Instant::now() < until, "not in time: {what}");
         thread::sleep(Duration::from_millis(20));
     }
--- a/tests/suite/testbed.rs
+++ b/tests/suite/testbed.rs
@@ -1,4 +1,4 @@
-//! A small world for tests of an instance on a platform: a store, listed backend servers, an instance.
+//! The test bed of an instance on a platform: a store, listed backend servers, and the instance.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,6 +23,7 @@
 
 pub(crate) const KEY: &str = "key-of-crew";
 
+/// Returns a port of the loopback address.
 pub(crate) fn port(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
 }
@@ -95,18 +96,19 @@
     })
 }
 
-/// A store, some servers, and an instance that knows them.
+/// A store, some servers, and an instance that has received their list.
 pub(crate) struct Testbed {
     pub(crate) store: StoreStandIn,
     pub(crate) servers: Vec<Listed>,
     pub(crate) instance: GatewayHandle,
 }
 
+/// Starts a test bed with this number of servers, and waits until the instance is ready.
 pub(crate) fn start(servers: usize) -> Testbed {
     start_with((0..servers).map(|i| Listed::spawn(&format!("s{i}")).expect("a server")).collect())
 }
 
-/// Starts a world whose servers share their faults: whichever is met first has the next one.
+/// Starts a test bed whose servers share one list of faults: the first one that receives a request has the next fault.
 pub(crate) fn start_sharing(servers: usize) -> Testbed {
     let faults: Arc<Faults> = Arc::default();
     let server = |i| Listed::spawn_sharing(&format!("s{i}"), Arc::clone(&faults));
@@ -124,11 +126,13 @@
     Testbed { store, servers, instance }
 }
 
+/// Starts an instance.
 pub(crate) fn spawn(node: &str, store: SocketAddr, seeds: Vec<SocketAddr>) -> GatewayHandle {
     log_lines::start();
     GatewayHandle::spawn(settings(node, store, seeds), &Clock::system()).expect("an instance")
 }
 
+/// Returns a call with a key, an id and a deadline of 2 s.
 pub(crate) fn call(target: &str, id: &str) -> Call {
     Call::post(target, KEY, "some body").with("x-request-id", id).with("x-deadline-ms", 2000)
 }
@@ -138,10 +142,12 @@
         call.send(self.instance.callers())
     }
 
+    /// Returns how often the servers have run a request.
     pub(crate) fn runs(&self, id: &str) -> u32 {
         self.servers.iter().map(|server| server.runs(id)).sum()
     }
 
+    /// Gives all servers a standing fault.
     pub(crate) fn fault(&self, fault: Fault) {
         self.servers.iter().for_each(|server| server.faults.set_standing(Some(fault)));
     }
