--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -12,7 +12,7 @@
         store::{Change, StoreFault, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
-    routing::{HeldRow, RequestLook, TablePlan, TableWatch, blame::digest::DigestError},
+    routing::{HeldRow, RequestLook, TablePlan, TableWatch, crash_suspects::digest::DigestError},
     utils::sync::lock,
 };
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -2,10 +2,10 @@
 //! backend server, whether to try again. No I/O; the time is passed in.
 
 pub mod aggregate;
-pub mod blame;
 pub mod budget;
 pub mod candidates;
 pub mod cold;
+pub mod crash_suspects;
 pub mod events;
 pub mod fleet_budget;
 pub mod health;
@@ -36,13 +36,13 @@
 pub mod unlisted;
 
 pub use aggregate::{Aggregate, Count, ServiceLoad};
-pub use blame::{
-    Answered, Collector, Finding, HeldRow, Judgement, RequestDigest, RequestLook, ServerEnds,
-    Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
-};
 pub use budget::RetryBudget;
 pub use candidates::{Candidates, InstanceInfo};
 pub use cold::{ColdGranters, ColdGrants, ColdTerms};
+pub use crash_suspects::{
+    Answered, Collector, Finding, HeldRow, Judgement, RequestDigest, RequestLook, ServerEnds,
+    Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
+};
 pub use events::EventSplitter;
 pub use fleet_budget::{BudgetSum, FleetBudget, RunId, Spending, ToldSpent};
 pub use health::Health;
--- a/tests/suite/blame.rs
+++ b/tests/suite/crash_suspects.rs
@@ -5,7 +5,7 @@
 use cartvane::routing::{
     Answered, Collector, HeldRow, Incarnation, Judgement, RequestDigest, RequestLook, RunId,
     ServerEnds, StoreEra, Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
-    blame::verdicts::HELD_FOR,
+    crash_suspects::verdicts::HELD_FOR,
 };
 
 fn server(name: &str) -> Incarnation {
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -2,7 +2,6 @@
 
 mod answers;
 mod backoff_drawn;
-mod blame;
 mod bodies;
 mod budget_drawn;
 mod budget_fleet;
@@ -10,6 +9,7 @@
 mod cold_drawn;
 mod cold_servers;
 mod config;
+mod crash_suspects;
 mod deadly;
 mod deadly_drawn;
 mod drain;
