--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -24,7 +24,7 @@
         traffic::Purpose,
     },
     names::Tag,
-    routing::{BudgetSum, ServiceLoad, ToldVerdict},
+    routing::{BudgetSum, ServiceLoad, VerdictUpdate},
     utils::sync::lock,
 };
 
@@ -107,7 +107,7 @@
 }
 
 /// Returns what another instance is to know of requests that end servers.
-fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<ToldVerdict> {
+fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<VerdictUpdate> {
     let mut verdicts = gateway.suspicion.lasting(now);
     if asks == Asks::InTurn {
         verdicts.extend(gateway.suspicion.watched(now));
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -14,7 +14,7 @@
     routing::{
         BudgetSum, Count, InstanceInfo, InstanceNews, ListNews, ListVersion, PackedChange,
         RolloutReport, RunId, ServiceLoad, Spending, StoreEra, StoreVersion, ToldOrders,
-        ToldRollout, ToldVerdict,
+        ToldRollout, VerdictUpdate,
     },
 };
 
@@ -74,7 +74,7 @@
     /// Whether servers have ended lately.
     pub servers_end: bool,
     /// Requests that are held back or watched.
-    pub verdicts: Vec<ToldVerdict>,
+    pub verdicts: Vec<VerdictUpdate>,
     /// Version of the intent that the other has in force.
     pub version: u64,
     /// What has changed in the operator's intent, if that is small or wanted.
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -13,8 +13,8 @@
 use crate::{
     names::ServiceName,
     routing::{
-        Answered, BackendServer, Collector, Finding, Incarnation, Judgement, Picked, RequestDigest,
-        RequestLook, RunId, ServerEnds, Suspect, ToldEnd, ToldVerdict, Verdicts,
+        Answered, BackendServer, Collector, CrashReport, Finding, Incarnation, Judgement, Picked,
+        RequestDigest, RequestLook, RunId, ServerCrashes, Suspect, VerdictUpdate, Verdicts,
     },
     utils::{signal::Signal, sync::lock},
 };
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct Suspicion {
     /// Servers that ended with requests of this instance under way.
-    ends: Mutex<ServerEnds>,
+    ends: Mutex<ServerCrashes>,
     /// What all instances told of ends, where they turn to this one.
     collector: Mutex<Collector>,
     verdicts: Mutex<Verdicts>,
@@ -43,11 +43,11 @@
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct SuspicionReport {
     /// Ends that it has not told yet.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<CrashReport>,
     /// Requests that were watched or held and have been answered.
     pub cleared: Vec<RequestDigest>,
     /// Verdicts that it knows.
-    pub verdicts: Vec<ToldVerdict>,
+    pub verdicts: Vec<VerdictUpdate>,
 }
 
 impl Suspicion {
@@ -190,7 +190,7 @@
         report.cleared.iter().for_each(|digest| collector.clear(now, *digest));
         let findings = collector.take(now, &report.ends);
         drop(collector);
-        let found: Vec<ToldVerdict> = findings.iter().map(verdict_of).collect();
+        let found: Vec<VerdictUpdate> = findings.iter().map(verdict_of).collect();
         let news = self.take_verdicts(now, &found, "own");
         for finding in findings.iter().filter(|f| news.iter().any(|n| n.digest == f.digest)) {
             let servers: Vec<String> = finding.servers.iter().map(ToString::to_string).collect();
@@ -212,9 +212,9 @@
     pub fn take_verdicts(
         &self,
         now: Instant,
-        told: &[ToldVerdict],
+        told: &[VerdictUpdate],
         source: &str,
-    ) -> Vec<ToldVerdict> {
+    ) -> Vec<VerdictUpdate> {
         let news = lock(&self.verdicts).take(now, told);
         self.clear_known(now, &news);
         for verdict in news.iter().filter(|verdict| verdict.judgement != Judgement::Watched) {
@@ -228,7 +228,7 @@
     }
 
     /// Returns what is held back, or was until lately.
-    pub fn lasting(&self, now: Instant) -> Vec<ToldVerdict> {
+    pub fn lasting(&self, now: Instant) -> Vec<VerdictUpdate> {
         lock(&self.verdicts).told(now)
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// Takes the requests that are to be watched.
-    pub fn watch(&self, now: Instant, watched: &[ToldVerdict]) {
+    pub fn watch(&self, now: Instant, watched: &[VerdictUpdate]) {
         if watched.is_empty() && lock(&self.verdicts).is_idle() {
             return;
         }
@@ -265,9 +265,9 @@
     }
 
     /// Clears those of new verdicts whose requests this instance has answered lately.
-    fn clear_known(&self, now: Instant, news: &[ToldVerdict]) {
+    fn clear_known(&self, now: Instant, news: &[VerdictUpdate]) {
         let answered = lock(&self.answered);
-        let known = |told: &&ToldVerdict| {
+        let known = |told: &&VerdictUpdate| {
             told.judgement != Judgement::Cleared && answered.has(now, told.look, told.digest)
         };
         for verdict in news.iter().filter(known) {
@@ -288,14 +288,14 @@
     }
 
     /// Returns the requests that all are to watch, where all turn to this instance.
-    pub fn watched(&self, now: Instant) -> Vec<ToldVerdict> {
+    pub fn watched(&self, now: Instant) -> Vec<VerdictUpdate> {
         lock(&self.collector).watched(now)
     }
 }
 
-fn verdict_of(finding: &Finding) -> ToldVerdict {
+fn verdict_of(finding: &Finding) -> VerdictUpdate {
     let Finding { digest, look, .. } = *finding;
-    ToldVerdict { digest, look, judgement: Judgement::Held, age_ms: 0 }
+    VerdictUpdate { digest, look, judgement: Judgement::Held, age_ms: 0 }
 }
 
 impl Request {
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -8,7 +8,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::{
-    RequestDigest, RequestLook, Suspect, ToldEnd, ToldVerdict,
+    CrashReport, RequestDigest, RequestLook, Suspect, VerdictUpdate,
     verdicts::{CLEARED_FOR, Judgement},
 };
 use crate::names::{ServiceName, Tag};
@@ -128,13 +128,13 @@
     /// Requests that will be held back unless one of them turns out to have been answered.
     pending: IndexSet<RequestDigest>,
     cleared: IndexMap<RequestDigest, Instant>,
-    watched: Vec<ToldVerdict>,
+    watched: Vec<VerdictUpdate>,
     looked: Option<Instant>,
 }
 
 impl Collector {
     /// Takes ends that an instance tells, and returns the requests that are found to end servers.
-    pub fn take(&mut self, now: Instant, told: &[ToldEnd]) -> Vec<Finding> {
+    pub fn take(&mut self, now: Instant, told: &[CrashReport]) -> Vec<Finding> {
         if told.is_empty() && self.pending.is_empty() {
             return Vec::new();
         }
@@ -166,7 +166,7 @@
     }
 
     /// Returns requests that may be found to end servers, for all to look whether they are answered.
-    pub fn watched(&mut self, now: Instant) -> Vec<ToldVerdict> {
+    pub fn watched(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         self.look_through(now);
         self.watched.clone()
     }
@@ -182,7 +182,7 @@
         self.suspects.len()
     }
 
-    fn blame(&mut self, now: Instant, end: &ToldEnd, suspect: &Suspect, at: Instant) {
+    fn blame(&mut self, now: Instant, end: &CrashReport, suspect: &Suspect, at: Instant) {
         if self.cleared.contains_key(&suspect.digest) {
             return;
         }
@@ -262,7 +262,7 @@
         let mut watched: Vec<(&RequestDigest, &Blamed)> = self.suspects.iter().collect();
         watched.retain(|(_, b)| b.blame() >= WATCHED_FROM && !is_old(b.last, WATCHED_FOR));
         watched.sort_by_key(|(_, blamed)| Reverse(blamed.rank()));
-        let told = |(digest, b): (&RequestDigest, &Blamed)| ToldVerdict {
+        let told = |(digest, b): (&RequestDigest, &Blamed)| VerdictUpdate {
             digest: *digest,
             look: b.look,
             judgement: Judgement::Watched,
--- a/src/routing/crash_suspects/mod.rs
+++ b/src/routing/crash_suspects/mod.rs
@@ -18,6 +18,6 @@
 pub use digest::RequestDigest;
 pub use fingerprint::RequestLook;
 pub use recent_successes::Answered;
-pub use server_crashes::{ServerEnds, Suspect, ToldEnd};
+pub use server_crashes::{CrashReport, ServerCrashes, Suspect};
 pub use table::{HeldRow, TablePlan, TableWatch};
-pub use verdicts::{Judgement, ToldVerdict, Verdicts};
+pub use verdicts::{Judgement, VerdictUpdate, Verdicts};
--- a/src/routing/crash_suspects/server_crashes.rs
+++ b/src/routing/crash_suspects/server_crashes.rs
@@ -39,7 +39,7 @@
 
 /// An end of a server, as instances tell each other of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldEnd {
+pub struct CrashReport {
     /// The server, in the incarnation that ended.
     pub server: Tag,
     /// Its service.
@@ -61,13 +61,13 @@
 
 /// Ends of servers, as one instance saw them.
 #[derive(Debug, Default)]
-pub struct ServerEnds {
+pub struct ServerCrashes {
     ends: IndexMap<Tag, End>,
     alive: HashMap<Tag, Instant>,
     told_to: Option<RunId>,
 }
 
-impl ServerEnds {
+impl ServerCrashes {
     /// Returns whether a server whose connection ended has ended itself, where that was found out a moment ago.
     pub fn has_ended(&self, now: Instant, server: &Incarnation) -> Option<bool> {
         let tag = server.tag();
@@ -103,7 +103,7 @@
     }
 
     /// Returns what has not been told yet, oldest first.
-    pub fn untold(&self, now: Instant) -> Vec<ToldEnd> {
+    pub fn untold(&self, now: Instant) -> Vec<CrashReport> {
         let mut left = TOLD_MAX;
         let mut news = Vec::new();
         for (server, end) in &self.ends {
@@ -113,7 +113,7 @@
             }
             left -= under.len();
             let age = now.saturating_duration_since(end.at).as_millis();
-            news.push(ToldEnd {
+            news.push(CrashReport {
                 server: *server,
                 service: end.service.clone(),
                 age_ms: u64::try_from(age).unwrap_or(u64::MAX),
@@ -124,7 +124,7 @@
     }
 
     /// Notes that `to` has taken a report; to one that has just begun to collect, all is told again.
-    pub fn note_told(&mut self, to: RunId, news: &[ToldEnd]) {
+    pub fn note_told(&mut self, to: RunId, news: &[CrashReport]) {
         if self.told_to != Some(to) {
             self.ends.values_mut().for_each(|end| end.told = 0);
             self.told_to = Some(to);
--- a/src/routing/crash_suspects/table.rs
+++ b/src/routing/crash_suspects/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::{Judgement, RequestDigest, RequestLook, ToldVerdict, verdicts::HELD_FOR};
+use super::{Judgement, RequestDigest, RequestLook, VerdictUpdate, verdicts::HELD_FOR};
 use crate::routing::StoreEra;
 
 /// A row of the table.
@@ -20,7 +20,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct TablePlan {
     /// Verdicts that the table tells.
-    pub learnt: Vec<ToldVerdict>,
+    pub learnt: Vec<VerdictUpdate>,
     /// Requests whose rows somebody has removed.
     pub lifted: Vec<RequestDigest>,
     /// Rows to write.
@@ -40,15 +40,15 @@
 }
 
 impl HeldRow {
-    fn verdict(&self, now_ms: u64) -> Option<ToldVerdict> {
+    fn verdict(&self, now_ms: u64) -> Option<VerdictUpdate> {
         let left = self.until_ms.checked_sub(now_ms).filter(|left| *left > 0)?;
         let whole = u64::try_from(HELD_FOR.as_millis()).unwrap_or(u64::MAX);
         let age_ms = whole.saturating_sub(left);
         let HeldRow { digest, look, .. } = *self;
-        Some(ToldVerdict { digest, look, judgement: Judgement::Held, age_ms })
+        Some(VerdictUpdate { digest, look, judgement: Judgement::Held, age_ms })
     }
 
-    fn of(told: &ToldVerdict, now_ms: u64) -> HeldRow {
+    fn of(told: &VerdictUpdate, now_ms: u64) -> HeldRow {
         let whole = u64::try_from(HELD_FOR.as_millis()).unwrap_or(u64::MAX);
         let until_ms = now_ms + whole.saturating_sub(told.age_ms);
         HeldRow { digest: told.digest, look: told.look, until_ms }
@@ -62,7 +62,7 @@
     }
 
     /// Returns whether the table need not be looked at: it has been read, and nothing is held back.
-    pub fn is_idle(&self, known: &[ToldVerdict]) -> bool {
+    pub fn is_idle(&self, known: &[VerdictUpdate]) -> bool {
         self.is_read && self.seen.is_empty() && known.is_empty()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Returns what is to be done where the table has those rows at `now_ms`, and those verdicts are known.
-    pub fn plan(&self, now_ms: u64, rows: &[HeldRow], known: &[ToldVerdict]) -> TablePlan {
+    pub fn plan(&self, now_ms: u64, rows: &[HeldRow], known: &[VerdictUpdate]) -> TablePlan {
         let mut plan = TablePlan::default();
         let judgement = |digest| known.iter().find(|t| t.digest == digest).map(|t| t.judgement);
         for row in rows {
--- a/src/routing/crash_suspects/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -43,7 +43,7 @@
 
 /// A verdict as instances tell it each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldVerdict {
+pub struct VerdictUpdate {
     /// The request.
     pub digest: RequestDigest,
     /// Its look.
@@ -128,7 +128,7 @@
     }
 
     /// Takes verdicts that another instance tells, or this one has found; returns those that are new here.
-    pub fn take(&mut self, now: Instant, told: &[ToldVerdict]) -> Vec<ToldVerdict> {
+    pub fn take(&mut self, now: Instant, told: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
         let mut news = Vec::new();
         for said in told {
             let age = Duration::from_millis(said.age_ms);
@@ -151,7 +151,7 @@
     /// Takes the requests that are to be watched from now on, instead of those before.
     ///
     /// Returns those that were not watched before.
-    pub fn watch(&mut self, now: Instant, watched: &[ToldVerdict]) -> Vec<ToldVerdict> {
+    pub fn watch(&mut self, now: Instant, watched: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
         let before = self.known.len();
         self.known.retain(|digest, known| {
             known.judgement != Judgement::Watched || watched.iter().any(|w| w.digest == *digest)
@@ -163,7 +163,7 @@
     }
 
     /// Returns what is held back, or was until lately, for other instances.
-    pub fn told(&mut self, now: Instant) -> Vec<ToldVerdict> {
+    pub fn told(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         let before = self.known.len();
         self.known
             .retain(|_, known| now.saturating_duration_since(known.since) < known.judgement.life());
@@ -175,7 +175,7 @@
             let age = now.saturating_duration_since(known.since).as_millis();
             let (look, judgement) = (known.look, known.judgement);
             let age_ms = u64::try_from(age).unwrap_or(u64::MAX);
-            ToldVerdict { digest: *digest, look, judgement, age_ms }
+            VerdictUpdate { digest: *digest, look, judgement, age_ms }
         };
         lasting.map(told).collect()
     }
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use cartvane::routing::{
-    Answered, Collector, HeldRow, Incarnation, Judgement, RequestDigest, RequestLook, RunId,
-    ServerEnds, StoreEra, Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
+    Answered, Collector, CrashReport, HeldRow, Incarnation, Judgement, RequestDigest, RequestLook,
+    RunId, ServerCrashes, StoreEra, Suspect, TablePlan, TableWatch, VerdictUpdate, Verdicts,
     crash_suspects::verdicts::HELD_FOR,
 };
 
@@ -20,8 +20,8 @@
     Suspect { look: look(request), digest: RequestDigest(request), ran_on }
 }
 
-fn end(name: &str, under: impl IntoIterator<Item = Suspect>) -> ToldEnd {
-    ToldEnd {
+fn end(name: &str, under: impl IntoIterator<Item = Suspect>) -> CrashReport {
+    CrashReport {
         server: server(name).tag(),
         service: "app".parse().expect("a name"),
         age_ms: 0,
@@ -29,9 +29,9 @@
     }
 }
 
-fn verdict(request: u64, judgement: Judgement, age: Duration) -> ToldVerdict {
+fn verdict(request: u64, judgement: Judgement, age: Duration) -> VerdictUpdate {
     let age_ms = age.as_millis() as u64;
-    ToldVerdict { digest: RequestDigest(request), look: look(request), judgement, age_ms }
+    VerdictUpdate { digest: RequestDigest(request), look: look(request), judgement, age_ms }
 }
 
 fn holds(verdicts: &Verdicts, now: Instant, request: u64) -> bool {
@@ -39,7 +39,7 @@
 }
 
 /// Tells of the end of a server and returns which requests are found.
-fn found(collector: &mut Collector, now: Instant, told: &ToldEnd) -> Vec<u64> {
+fn found(collector: &mut Collector, now: Instant, told: &CrashReport) -> Vec<u64> {
     let findings = collector.take(now, std::slice::from_ref(told));
     findings.iter().map(|finding| finding.digest.0).collect()
 }
@@ -153,7 +153,7 @@
 #[test]
 fn an_instance_that_has_just_begun_to_collect_is_told_all_again() {
     let now = Instant::now();
-    let mut ends = ServerEnds::default();
+    let mut ends = ServerCrashes::default();
     let service = "app".parse().expect("a name");
     ends.note(now, &server("a"), &service, suspect(1, false));
     let news = ends.untold(now);
