--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -12,7 +12,9 @@
         store::{Change, StoreFault, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
-    routing::{HeldRow, RequestLook, TablePlan, TableWatch, crash_suspects::digest::DigestError},
+    routing::{
+        HeldRow, RequestFingerprint, TablePlan, TableWatch, crash_suspects::digest::DigestError,
+    },
     utils::sync::lock,
 };
 
@@ -26,7 +28,7 @@
 /// What a row holds beside its key, the request's digest.
 #[derive(Debug, Serialize, Deserialize)]
 struct RowValue {
-    look: RequestLook,
+    fingerprint: RequestFingerprint,
     until_ms: u64,
 }
 
@@ -75,7 +77,8 @@
     if plan.write.is_empty() && plan.remove.is_empty() {
         return Ok(());
     }
-    let value = |row: &HeldRow| encode(&RowValue { look: row.look, until_ms: row.until_ms });
+    let value =
+        |row: &HeldRow| encode(&RowValue { fingerprint: row.fingerprint, until_ms: row.until_ms });
     let puts: Vec<(String, Vec<u8>)> =
         plan.write.iter().map(|row| (row.digest.to_string(), value(row))).collect();
     let gone: Vec<String> = plan.remove.iter().map(ToString::to_string).collect();
@@ -89,7 +92,9 @@
     let value = decode::<RowValue>(&row.value).map_err(|fault| fault.to_string());
     let digest = row.key.parse().map_err(|fault: DigestError| fault.to_string());
     match (digest, value) {
-        (Ok(digest), Ok(RowValue { look, until_ms })) => Some(HeldRow { digest, look, until_ms }),
+        (Ok(digest), Ok(RowValue { fingerprint, until_ms })) => {
+            Some(HeldRow { digest, fingerprint, until_ms })
+        }
         (Err(fault), _) | (_, Err(fault)) => {
             log::warn!("event=row_skipped key={} reason={fault:?}", row.key);
             None
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -14,7 +14,7 @@
     names::ServiceName,
     routing::{
         Answered, BackendServer, Collector, CrashReport, Finding, Incarnation, Judgement, Picked,
-        RequestDigest, RequestLook, RunId, ServerCrashes, Suspect, VerdictUpdate, Verdicts,
+        RequestDigest, RequestFingerprint, RunId, ServerCrashes, Suspect, VerdictUpdate, Verdicts,
     },
     utils::{signal::Signal, sync::lock},
 };
@@ -53,47 +53,47 @@
 impl Suspicion {
     /// Returns for how long the request is held back, with what it is known by.
     pub fn held(&self, now: Instant, request: &Request) -> Option<(RequestDigest, Duration)> {
-        self.held_by(now, || request.look(), || request.digest())
+        self.held_by(now, || request.fingerprint(), || request.digest())
     }
 
     /// Returns for how long a request is held back; neither look nor digest is worked out while none is sought.
     pub fn held_by(
         &self,
         now: Instant,
-        look: impl FnOnce() -> RequestLook,
+        fingerprint: impl FnOnce() -> RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<(RequestDigest, Duration)> {
         let verdicts = lock(&self.verdicts);
         if verdicts.is_idle() {
             return None;
         }
-        verdicts.held(now, look(), digest)
+        verdicts.held(now, fingerprint(), digest)
     }
 
     /// Returns whether a request that a server has just ended with goes to no other one: it is held back, or may be found
     /// to end servers. So the tries that are left until it is found end one server each, not as many as its route
     /// allows.
     pub fn ends_here(&self, request: &Request) -> bool {
-        self.ends_here_by(|| request.look(), || request.digest())
+        self.ends_here_by(|| request.fingerprint(), || request.digest())
     }
 
     /// As [`Suspicion::ends_here`]; neither look nor digest is worked out while none is sought.
     pub fn ends_here_by(
         &self,
-        look: impl FnOnce() -> RequestLook,
+        fingerprint: impl FnOnce() -> RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> bool {
         let verdicts = lock(&self.verdicts);
         if verdicts.is_idle() {
             return false;
         }
-        let judgement = verdicts.judgement(look(), digest);
+        let judgement = verdicts.judgement(fingerprint(), digest);
         matches!(judgement, Some(Judgement::Watched | Judgement::Held))
     }
 
     /// Notes that a request was answered well.
     pub fn note_answered(&self, now: Instant, request: &Request) {
-        if let Some(digest) = self.clear_answered(now, request.look(), || request.digest()) {
+        if let Some(digest) = self.clear_answered(now, request.fingerprint(), || request.digest()) {
             log::info!("event=request_cleared digest={digest} request={}", request.asked.id);
         }
     }
@@ -102,15 +102,15 @@
     pub fn clear_answered(
         &self,
         now: Instant,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl Fn() -> RequestDigest,
     ) -> Option<RequestDigest> {
-        lock(&self.answered).note(now, look, &digest);
+        lock(&self.answered).note(now, fingerprint, &digest);
         let mut verdicts = lock(&self.verdicts);
         if verdicts.is_idle() {
             return None;
         }
-        let cleared = verdicts.answered(now, look, digest)?;
+        let cleared = verdicts.answered(now, fingerprint, digest)?;
         drop(verdicts);
         lock(&self.cleared).push(cleared);
         Some(cleared)
@@ -120,7 +120,8 @@
     /// there for a while.
     pub fn note_lost(&self, gateway: &Gateway, request: &Request, picked: &Picked, ran_on: bool) {
         let now = gateway.clock.now();
-        let suspect = Suspect { look: request.look(), digest: request.digest(), ran_on };
+        let suspect =
+            Suspect { fingerprint: request.fingerprint(), digest: request.digest(), ran_on };
         if self.has_ended(gateway, &picked.server) {
             self.note_end(now, &picked.server.id, &picked.server.service, suspect);
         }
@@ -136,7 +137,7 @@
     ) {
         let mut answered = lock(&self.answered);
         answered.alert(now);
-        if !answered.has(now, suspect.look, suspect.digest) {
+        if !answered.has(now, suspect.fingerprint, suspect.digest) {
             lock(&self.ends).note(now, server, service, suspect);
         }
     }
@@ -268,10 +269,10 @@
     fn clear_known(&self, now: Instant, news: &[VerdictUpdate]) {
         let answered = lock(&self.answered);
         let known = |told: &&VerdictUpdate| {
-            told.judgement != Judgement::Cleared && answered.has(now, told.look, told.digest)
+            told.judgement != Judgement::Cleared && answered.has(now, told.fingerprint, told.digest)
         };
         for verdict in news.iter().filter(known) {
-            lock(&self.verdicts).answered(now, verdict.look, || verdict.digest);
+            lock(&self.verdicts).answered(now, verdict.fingerprint, || verdict.digest);
             lock(&self.cleared).push(verdict.digest);
             log::info!("event=request_cleared digest={}", verdict.digest);
         }
@@ -294,14 +295,14 @@
 }
 
 fn verdict_of(finding: &Finding) -> VerdictUpdate {
-    let Finding { digest, look, .. } = *finding;
-    VerdictUpdate { digest, look, judgement: Judgement::Held, age_ms: 0 }
+    let Finding { digest, fingerprint, .. } = *finding;
+    VerdictUpdate { digest, fingerprint, judgement: Judgement::Held, age_ms: 0 }
 }
 
 impl Request {
     /// Returns what is cheap to tell of the request.
-    pub fn look(&self) -> RequestLook {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         let team = self.team.as_ref().map_or("", |team| team.as_str());
-        RequestLook::of(team, &self.target, self.body.len())
+        RequestFingerprint::of(team, &self.target, self.body.len())
     }
 }
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -8,7 +8,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::{
-    CrashReport, RequestDigest, RequestLook, Suspect, VerdictUpdate,
+    CrashReport, RequestDigest, RequestFingerprint, Suspect, VerdictUpdate,
     verdicts::{CLEARED_FOR, Judgement},
 };
 use crate::names::{ServiceName, Tag};
@@ -71,7 +71,7 @@
 /// A request under blame.
 #[derive(Debug)]
 struct Blamed {
-    look: RequestLook,
+    fingerprint: RequestFingerprint,
     service: ServiceName,
     first: Instant,
     last: Instant,
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
     /// Its look.
-    pub look: RequestLook,
+    pub fingerprint: RequestFingerprint,
     /// The request.
     pub digest: RequestDigest,
     /// Servers that ended with it.
@@ -190,7 +190,7 @@
             self.forget_least();
         }
         let new = || Blamed {
-            look: suspect.look,
+            fingerprint: suspect.fingerprint,
             service: end.service.clone(),
             first: at,
             last: at,
@@ -227,7 +227,7 @@
             return None;
         }
         let servers = blamed.servers.iter().map(|at| at.server).collect();
-        Some(Finding { look: blamed.look, digest, servers, ended })
+        Some(Finding { fingerprint: blamed.fingerprint, digest, servers, ended })
     }
 
     /// Returns whether no other request was at all the servers that ended with this one.
@@ -264,7 +264,7 @@
         watched.sort_by_key(|(_, blamed)| Reverse(blamed.rank()));
         let told = |(digest, b): (&RequestDigest, &Blamed)| VerdictUpdate {
             digest: *digest,
-            look: b.look,
+            fingerprint: b.fingerprint,
             judgement: Judgement::Watched,
             age_ms: 0,
         };
--- a/src/routing/crash_suspects/fingerprint.rs
+++ b/src/routing/crash_suspects/fingerprint.rs
@@ -10,18 +10,18 @@
 /// which saves reading the bodies of nearly all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RequestLook(pub u32);
+pub struct RequestFingerprint(pub u32);
 
-impl RequestLook {
+impl RequestFingerprint {
     /// Returns the look of a request.
-    pub fn of(team: &str, target: &str, body_bytes: usize) -> RequestLook {
+    pub fn of(team: &str, target: &str, body_bytes: usize) -> RequestFingerprint {
         let length = body_bytes.to_le_bytes();
         let hash = RequestDigest::of(&[team.as_bytes(), target.as_bytes(), &length]);
-        RequestLook(hash.0 as u32)
+        RequestFingerprint(hash.0 as u32)
     }
 }
 
-impl fmt::Display for RequestLook {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}", self.0)
     }
--- a/src/routing/crash_suspects/mod.rs
+++ b/src/routing/crash_suspects/mod.rs
@@ -16,7 +16,7 @@
 
 pub use attribution::{Collector, Finding};
 pub use digest::RequestDigest;
-pub use fingerprint::RequestLook;
+pub use fingerprint::RequestFingerprint;
 pub use recent_successes::Answered;
 pub use server_crashes::{CrashReport, ServerCrashes, Suspect};
 pub use table::{HeldRow, TablePlan, TableWatch};
--- a/src/routing/crash_suspects/recent_successes.rs
+++ b/src/routing/crash_suspects/recent_successes.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{RequestDigest, RequestLook};
+use super::{RequestDigest, RequestFingerprint};
 
 /// Requests remembered: with 40 requests a second, one that comes each minute is still there (160 KB).
 const SLOTS: usize = 4096;
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Slot {
-    look: RequestLook,
+    fingerprint: RequestFingerprint,
     answered: Option<(RequestDigest, Instant)>,
 }
 
@@ -49,13 +49,13 @@
     pub fn note(
         &mut self,
         now: Instant,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) {
         let alert = self.alert_until.is_some_and(|until| now < until);
-        let place = &mut self.slots[look.0 as usize % SLOTS];
+        let place = &mut self.slots[fingerprint.0 as usize % SLOTS];
         match place {
-            Some(slot) if slot.look == look => {
+            Some(slot) if slot.fingerprint == fingerprint => {
                 let read = slot.answered.map(|(_, at)| now.saturating_duration_since(at));
                 if read.is_none_or(|age| age >= READ_PAUSE) {
                     slot.answered = Some((digest(), now));
@@ -63,14 +63,20 @@
             }
             _ => {
                 let answered = alert.then(|| (digest(), now));
-                *place = Some(Slot { look, answered });
+                *place = Some(Slot { fingerprint, answered });
             }
         }
     }
 
     /// Returns whether the request was answered well lately.
-    pub fn has(&self, now: Instant, look: RequestLook, digest: RequestDigest) -> bool {
-        let slot = self.slots[look.0 as usize % SLOTS].filter(|slot| slot.look == look);
+    pub fn has(
+        &self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+        digest: RequestDigest,
+    ) -> bool {
+        let slot = self.slots[fingerprint.0 as usize % SLOTS]
+            .filter(|slot| slot.fingerprint == fingerprint);
         let answered = slot.and_then(|slot| slot.answered);
         answered.is_some_and(|(known, at)| {
             known == digest && now.saturating_duration_since(at) <= ANSWER_LIFE
--- a/src/routing/crash_suspects/server_crashes.rs
+++ b/src/routing/crash_suspects/server_crashes.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::{RequestDigest, RequestLook};
+use super::{RequestDigest, RequestFingerprint};
 use crate::{
     names::{ServiceName, Tag},
     routing::{Incarnation, RunId},
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// Its look.
-    pub look: RequestLook,
+    pub fingerprint: RequestFingerprint,
     /// The request.
     pub digest: RequestDigest,
     /// Whether it had run there for a while: the server did not end as it began to run it.
--- a/src/routing/crash_suspects/table.rs
+++ b/src/routing/crash_suspects/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::{Judgement, RequestDigest, RequestLook, VerdictUpdate, verdicts::HELD_FOR};
+use super::{Judgement, RequestDigest, RequestFingerprint, VerdictUpdate, verdicts::HELD_FOR};
 use crate::routing::StoreEra;
 
 /// A row of the table.
@@ -11,7 +11,7 @@
     /// The request.
     pub digest: RequestDigest,
     /// Its look.
-    pub look: RequestLook,
+    pub fingerprint: RequestFingerprint,
     /// Until when it is held back, in milliseconds of the store's steady clock.
     pub until_ms: u64,
 }
@@ -44,14 +44,14 @@
         let left = self.until_ms.checked_sub(now_ms).filter(|left| *left > 0)?;
         let whole = u64::try_from(HELD_FOR.as_millis()).unwrap_or(u64::MAX);
         let age_ms = whole.saturating_sub(left);
-        let HeldRow { digest, look, .. } = *self;
-        Some(VerdictUpdate { digest, look, judgement: Judgement::Held, age_ms })
+        let HeldRow { digest, fingerprint, .. } = *self;
+        Some(VerdictUpdate { digest, fingerprint, judgement: Judgement::Held, age_ms })
     }
 
     fn of(told: &VerdictUpdate, now_ms: u64) -> HeldRow {
         let whole = u64::try_from(HELD_FOR.as_millis()).unwrap_or(u64::MAX);
         let until_ms = now_ms + whole.saturating_sub(told.age_ms);
-        HeldRow { digest: told.digest, look: told.look, until_ms }
+        HeldRow { digest: told.digest, fingerprint: told.fingerprint, until_ms }
     }
 }
 
--- a/src/routing/crash_suspects/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::{RequestDigest, RequestLook};
+use super::{RequestDigest, RequestFingerprint};
 
 /// How long a request is held back: time for operators to see it, and a bound on what a wrong verdict costs. One that
 /// still ends servers after that ends three more in ten minutes.
@@ -47,7 +47,7 @@
     /// The request.
     pub digest: RequestDigest,
     /// Its look.
-    pub look: RequestLook,
+    pub fingerprint: RequestFingerprint,
     /// What is said of it.
     pub judgement: Judgement,
     /// Milliseconds since that was first said.
@@ -56,7 +56,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Verdict {
-    look: RequestLook,
+    fingerprint: RequestFingerprint,
     judgement: Judgement,
     since: Instant,
 }
@@ -66,23 +66,23 @@
 pub struct Verdicts {
     known: IndexMap<RequestDigest, Verdict>,
     /// Looks of requests that are held or watched.
-    looks: HashSet<RequestLook>,
+    fingerprints: HashSet<RequestFingerprint>,
 }
 
 impl Verdicts {
     /// Returns whether no request is looked for, so that none needs a look.
     pub fn is_idle(&self) -> bool {
-        self.looks.is_empty()
+        self.fingerprints.is_empty()
     }
 
     /// Returns for how long a request is held back still; its body is read, by `digest`, only where its look is known.
     pub fn held(
         &self,
         now: Instant,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<(RequestDigest, Duration)> {
-        let digest = self.looks.contains(&look).then(digest)?;
+        let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         let verdict = self.known.get(&digest).filter(|known| known.judgement == Judgement::Held)?;
         let left = HELD_FOR.checked_sub(now.saturating_duration_since(verdict.since))?;
         Some((digest, left))
@@ -91,10 +91,10 @@
     /// Returns what is said of a request.
     pub fn judgement(
         &self,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<Judgement> {
-        let digest = self.looks.contains(&look).then(digest)?;
+        let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         self.known.get(&digest).map(|known| known.judgement)
     }
 
@@ -102,15 +102,15 @@
     pub fn answered(
         &mut self,
         now: Instant,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<RequestDigest> {
-        let digest = self.looks.contains(&look).then(digest)?;
+        let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         let known = self.known.get(&digest)?.judgement;
         match known {
             Judgement::Watched => {
                 self.known.shift_remove(&digest);
-                self.looks_changed();
+                self.update_fingerprints();
             }
             Judgement::Held => self.clear(now, digest),
             Judgement::Cleared => return None,
@@ -124,7 +124,7 @@
             verdict.judgement = Judgement::Cleared;
             verdict.since = now;
         }
-        self.looks_changed();
+        self.update_fingerprints();
     }
 
     /// Takes verdicts that another instance tells, or this one has found; returns those that are new here.
@@ -137,13 +137,14 @@
                 continue;
             }
             let since = now.checked_sub(age).unwrap_or(now);
-            let verdict = Verdict { look: said.look, judgement: said.judgement, since };
+            let verdict =
+                Verdict { fingerprint: said.fingerprint, judgement: said.judgement, since };
             self.known.insert(said.digest, verdict);
             news.push(*said);
         }
         if !news.is_empty() {
             self.forget_most();
-            self.looks_changed();
+            self.update_fingerprints();
         }
         news
     }
@@ -157,7 +158,7 @@
             known.judgement != Judgement::Watched || watched.iter().any(|w| w.digest == *digest)
         });
         if self.known.len() != before {
-            self.looks_changed();
+            self.update_fingerprints();
         }
         self.take(now, watched)
     }
@@ -168,14 +169,14 @@
         self.known
             .retain(|_, known| now.saturating_duration_since(known.since) < known.judgement.life());
         if self.known.len() != before {
-            self.looks_changed();
+            self.update_fingerprints();
         }
         let lasting = self.known.iter().filter(|(_, known)| known.judgement != Judgement::Watched);
         let told = |(digest, known): (&RequestDigest, &Verdict)| {
             let age = now.saturating_duration_since(known.since).as_millis();
-            let (look, judgement) = (known.look, known.judgement);
+            let (fingerprint, judgement) = (known.fingerprint, known.judgement);
             let age_ms = u64::try_from(age).unwrap_or(u64::MAX);
-            VerdictUpdate { digest: *digest, look, judgement, age_ms }
+            VerdictUpdate { digest: *digest, fingerprint, judgement, age_ms }
         };
         lasting.map(told).collect()
     }
@@ -200,8 +201,8 @@
         }
     }
 
-    fn looks_changed(&mut self) {
+    fn update_fingerprints(&mut self) {
         let sought = self.known.values().filter(|known| known.judgement != Judgement::Cleared);
-        self.looks = sought.map(|known| known.look).collect();
+        self.fingerprints = sought.map(|known| known.fingerprint).collect();
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -40,8 +40,8 @@
 pub use candidates::{Candidates, InstanceInfo};
 pub use cold::{ColdGranters, ColdGrants, ColdTerms};
 pub use crash_suspects::{
-    Answered, Collector, CrashReport, Finding, HeldRow, Judgement, RequestDigest, RequestLook,
-    ServerCrashes, Suspect, TablePlan, TableWatch, VerdictUpdate, Verdicts,
+    Answered, Collector, CrashReport, Finding, HeldRow, Judgement, RequestDigest,
+    RequestFingerprint, ServerCrashes, Suspect, TablePlan, TableWatch, VerdictUpdate, Verdicts,
 };
 pub use events::EventSplitter;
 pub use fleet_budget::{BudgetSum, FleetBudget, RunId, Spending, ToldSpent};
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -3,21 +3,21 @@
 use std::time::{Duration, Instant};
 
 use cartvane::routing::{
-    Answered, Collector, CrashReport, HeldRow, Incarnation, Judgement, RequestDigest, RequestLook,
-    RunId, ServerCrashes, StoreEra, Suspect, TablePlan, TableWatch, VerdictUpdate, Verdicts,
-    crash_suspects::verdicts::HELD_FOR,
+    Answered, Collector, CrashReport, HeldRow, Incarnation, Judgement, RequestDigest,
+    RequestFingerprint, RunId, ServerCrashes, StoreEra, Suspect, TablePlan, TableWatch,
+    VerdictUpdate, Verdicts, crash_suspects::verdicts::HELD_FOR,
 };
 
 fn server(name: &str) -> Incarnation {
     name.parse().expect("an id")
 }
 
-fn look(request: u64) -> RequestLook {
-    RequestLook(request as u32)
+fn fingerprint(request: u64) -> RequestFingerprint {
+    RequestFingerprint(request as u32)
 }
 
 fn suspect(request: u64, ran_on: bool) -> Suspect {
-    Suspect { look: look(request), digest: RequestDigest(request), ran_on }
+    Suspect { fingerprint: fingerprint(request), digest: RequestDigest(request), ran_on }
 }
 
 fn end(name: &str, under: impl IntoIterator<Item = Suspect>) -> CrashReport {
@@ -31,11 +31,16 @@
 
 fn verdict(request: u64, judgement: Judgement, age: Duration) -> VerdictUpdate {
     let age_ms = age.as_millis() as u64;
-    VerdictUpdate { digest: RequestDigest(request), look: look(request), judgement, age_ms }
+    VerdictUpdate {
+        digest: RequestDigest(request),
+        fingerprint: fingerprint(request),
+        judgement,
+        age_ms,
+    }
 }
 
 fn holds(verdicts: &Verdicts, now: Instant, request: u64) -> bool {
-    verdicts.held(now, look(request), || RequestDigest(request)).is_some()
+    verdicts.held(now, fingerprint(request), || RequestDigest(request)).is_some()
 }
 
 /// Tells of the end of a server and returns which requests are found.
@@ -115,8 +120,8 @@
     let mut verdicts = Verdicts::default();
     let later = now + Duration::from_secs(1);
     verdicts.watch(now, &collector.watched(later));
-    assert_eq!(verdicts.answered(now, look(2), || RequestDigest(2)), None);
-    assert_eq!(verdicts.answered(now, look(1), || RequestDigest(1)), Some(RequestDigest(1)));
+    assert_eq!(verdicts.answered(now, fingerprint(2), || RequestDigest(2)), None);
+    assert_eq!(verdicts.answered(now, fingerprint(1), || RequestDigest(1)), Some(RequestDigest(1)));
     collector.clear(now, RequestDigest(1));
     assert_eq!(found(&mut collector, now, &end("c", [suspect(1, false)])), Vec::<u64>::new());
     assert!(collector.watched(later).is_empty());
@@ -175,22 +180,22 @@
     let mut answered = Answered::default();
     let mut read = 0;
     let mut note = |answered: &mut Answered, at: Instant, request: u64| {
-        answered.note(at, look(request), || {
+        answered.note(at, fingerprint(request), || {
             read += 1;
             RequestDigest(request)
         });
         read
     };
     assert_eq!(note(&mut answered, now, 1), 0);
-    assert!(!answered.has(now, look(1), RequestDigest(1)));
+    assert!(!answered.has(now, fingerprint(1), RequestDigest(1)));
     assert_eq!(note(&mut answered, now, 1), 1);
     assert_eq!(note(&mut answered, now, 1), 1, "once a second");
-    assert!(answered.has(now, look(1), RequestDigest(1)));
+    assert!(answered.has(now, fingerprint(1), RequestDigest(1)));
     answered.alert(now);
     assert_eq!(note(&mut answered, now, 2), 2);
-    assert!(answered.has(now, look(2), RequestDigest(2)));
+    assert!(answered.has(now, fingerprint(2), RequestDigest(2)));
     let later = now + Duration::from_secs(150);
-    assert!(!answered.has(later, look(1), RequestDigest(1)));
+    assert!(!answered.has(later, fingerprint(1), RequestDigest(1)));
     assert_eq!(note(&mut answered, later, 3), 2);
 }
 
@@ -201,7 +206,7 @@
     let held = |request: u64| verdict(request, Judgement::Held, Duration::ZERO);
     let row = |request: u64, until_ms: u64| HeldRow {
         digest: RequestDigest(request),
-        look: look(request),
+        fingerprint: fingerprint(request),
         until_ms,
     };
     let mut watch = TableWatch::new(false);
--- a/tests/suite/deadly_drawn.rs
+++ b/tests/suite/deadly_drawn.rs
@@ -6,7 +6,7 @@
 use cartvane::{
     gateway::suspicion::Suspicion,
     names::ServiceName,
-    routing::{Incarnation, RequestDigest, RequestLook, RunId, Suspect},
+    routing::{Incarnation, RequestDigest, RequestFingerprint, RunId, Suspect},
 };
 
 const STEP: Duration = Duration::from_millis(10);
@@ -87,8 +87,8 @@
     played: Played,
 }
 
-fn digest_of(request: u64) -> (RequestLook, RequestDigest) {
-    (RequestLook(request as u32), RequestDigest(request))
+fn digest_of(request: u64) -> (RequestFingerprint, RequestDigest) {
+    (RequestFingerprint(request as u32), RequestDigest(request))
 }
 
 impl Play<'_> {
@@ -109,8 +109,8 @@
     /// Sends a request to the first server of its rank that runs; all requests have one of four ranks.
     fn send(&mut self, step: usize, mut flight: Flight) {
         let node = &self.nodes[flight.instance];
-        let (look, digest) = digest_of(flight.request);
-        if node.held_by(self.now(step), || look, || digest).is_some() {
+        let (fingerprint, digest) = digest_of(flight.request);
+        if node.held_by(self.now(step), || fingerprint, || digest).is_some() {
             let is_hot = flight.request == HOT;
             self.played.hot_held += usize::from(is_hot);
             self.played.others_held += usize::from(flight.deadly.is_none() && !is_hot);
@@ -163,9 +163,12 @@
             std::mem::take(&mut self.flights).into_iter().partition(|f| f.server == server);
         self.flights = others;
         for flight in here {
-            let (look, digest) = digest_of(flight.request);
-            let suspect =
-                Suspect { look, digest, ran_on: flight.first.saturating_add(RUN_ON) <= step };
+            let (fingerprint, digest) = digest_of(flight.request);
+            let suspect = Suspect {
+                fingerprint,
+                digest,
+                ran_on: flight.first.saturating_add(RUN_ON) <= step,
+            };
             let now = self.now(step);
             self.nodes[flight.instance].note_end(now, &id, &self.service, suspect);
             self.try_again(step, flight);
@@ -174,8 +177,8 @@
 
     fn try_again(&mut self, step: usize, flight: Flight) {
         let node = &self.nodes[flight.instance];
-        let (look, digest) = digest_of(flight.request);
-        if flight.tried < SERVERS_TRIED && !node.ends_here_by(|| look, || digest) {
+        let (fingerprint, digest) = digest_of(flight.request);
+        if flight.tried < SERVERS_TRIED && !node.ends_here_by(|| fingerprint, || digest) {
             return self.send(step, Flight { tried: flight.tried + 1, ..flight });
         }
         if !flight.again {
@@ -245,8 +248,8 @@
         let now = self.now(step);
         for flight in done {
             let Some(number) = flight.deadly else {
-                let (look, digest) = digest_of(flight.request);
-                self.nodes[flight.instance].clear_answered(now, look, || digest);
+                let (fingerprint, digest) = digest_of(flight.request);
+                self.nodes[flight.instance].clear_answered(now, fingerprint, || digest);
                 continue;
             };
             let server = flight.server;
