--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -13,8 +13,9 @@
 use crate::{
     names::ServiceName,
     routing::{
-        Answered, BackendServer, Collector, CrashReport, Finding, Incarnation, Judgement, Picked,
-        RequestDigest, RequestFingerprint, RunId, ServerCrashes, Suspect, VerdictUpdate, Verdicts,
+        BackendServer, CrashAttribution, CrashReport, Finding, Incarnation, Judgement, Picked,
+        RecentSuccesses, RequestDigest, RequestFingerprint, RunId, ServerCrashes, Suspect,
+        VerdictUpdate, Verdicts,
     },
     utils::{signal::Signal, sync::lock},
 };
@@ -29,9 +30,9 @@
     /// Servers that ended with requests of this instance under way.
     ends: Mutex<ServerCrashes>,
     /// What all instances told of ends, where they turn to this one.
-    collector: Mutex<Collector>,
+    collector: Mutex<CrashAttribution>,
     verdicts: Mutex<Verdicts>,
-    answered: Mutex<Answered>,
+    answered: Mutex<RecentSuccesses>,
     /// Requests that were watched and have been answered, to be told.
     cleared: Mutex<Vec<RequestDigest>>,
     /// Is set when the store's table is to be looked at.
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -70,26 +70,26 @@
 
 /// A request under blame.
 #[derive(Debug)]
-struct Blamed {
+struct SuspectRecord {
     fingerprint: RequestFingerprint,
     service: ServiceName,
     first: Instant,
     last: Instant,
     /// Since when it is watched.
     watched: Option<Instant>,
-    servers: Vec<BlamedAt>,
+    servers: Vec<CrashScore>,
 }
 
 /// Blame for the end of one server.
 #[derive(Debug)]
-struct BlamedAt {
+struct CrashScore {
     server: Tag,
     blame: f64,
     /// Copies of the request that were there.
     copies: u32,
 }
 
-impl Blamed {
+impl SuspectRecord {
     fn blame(&self) -> f64 {
         self.servers.iter().map(|at| at.blame).sum()
     }
@@ -122,9 +122,9 @@
 
 /// The ends that all instances have told.
 #[derive(Debug, Default)]
-pub struct Collector {
+pub struct CrashAttribution {
     ends: IndexMap<Tag, End>,
-    suspects: IndexMap<RequestDigest, Blamed>,
+    suspects: IndexMap<RequestDigest, SuspectRecord>,
     /// Requests that will be held back unless one of them turns out to have been answered.
     pending: IndexSet<RequestDigest>,
     cleared: IndexMap<RequestDigest, Instant>,
@@ -132,7 +132,7 @@
     looked: Option<Instant>,
 }
 
-impl Collector {
+impl CrashAttribution {
     /// Takes ends that an instance tells, and returns the requests that are found to end servers.
     pub fn take(&mut self, now: Instant, told: &[CrashReport]) -> Vec<Finding> {
         if told.is_empty() && self.pending.is_empty() {
@@ -189,7 +189,7 @@
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&suspect.digest) {
             self.forget_least();
         }
-        let new = || Blamed {
+        let new = || SuspectRecord {
             fingerprint: suspect.fingerprint,
             service: end.service.clone(),
             first: at,
@@ -206,7 +206,7 @@
                 known.blame = known.blame.max(blame);
                 known.copies += 1;
             }
-            None => blamed.servers.push(BlamedAt { server: end.server, blame, copies: 1 }),
+            None => blamed.servers.push(CrashScore { server: end.server, blame, copies: 1 }),
         }
         if blamed.blame() >= WATCHED_FROM {
             blamed.watched.get_or_insert(now);
@@ -231,8 +231,8 @@
     }
 
     /// Returns whether no other request was at all the servers that ended with this one.
-    fn is_alone(&self, digest: RequestDigest, blamed: &Blamed) -> bool {
-        let was_there = |other: &Blamed| {
+    fn is_alone(&self, digest: RequestDigest, blamed: &SuspectRecord) -> bool {
+        let was_there = |other: &SuspectRecord| {
             let at = |server: Tag| other.servers.iter().any(|known| known.server == server);
             blamed.servers.iter().all(|known| at(known.server))
         };
@@ -259,10 +259,10 @@
         }
         self.suspects.retain(|_, blamed| !is_old(blamed.last, END_LIFE));
         self.cleared.retain(|_, at| !is_old(*at, CLEARED_FOR));
-        let mut watched: Vec<(&RequestDigest, &Blamed)> = self.suspects.iter().collect();
+        let mut watched: Vec<(&RequestDigest, &SuspectRecord)> = self.suspects.iter().collect();
         watched.retain(|(_, b)| b.blame() >= WATCHED_FROM && !is_old(b.last, WATCHED_FOR));
         watched.sort_by_key(|(_, blamed)| Reverse(blamed.rank()));
-        let told = |(digest, b): (&RequestDigest, &Blamed)| VerdictUpdate {
+        let told = |(digest, b): (&RequestDigest, &SuspectRecord)| VerdictUpdate {
             digest: *digest,
             fingerprint: b.fingerprint,
             judgement: Judgement::Watched,
--- a/src/routing/crash_suspects/mod.rs
+++ b/src/routing/crash_suspects/mod.rs
@@ -14,10 +14,10 @@
 pub mod table;
 pub mod verdicts;
 
-pub use attribution::{Collector, Finding};
+pub use attribution::{CrashAttribution, Finding};
 pub use digest::RequestDigest;
 pub use fingerprint::RequestFingerprint;
-pub use recent_successes::Answered;
+pub use recent_successes::RecentSuccesses;
 pub use server_crashes::{CrashReport, ServerCrashes, Suspect};
 pub use table::{HeldRow, TablePlan, TableWatch};
 pub use verdicts::{Judgement, VerdictUpdate, Verdicts};
--- a/src/routing/crash_suspects/recent_successes.rs
+++ b/src/routing/crash_suspects/recent_successes.rs
@@ -27,18 +27,18 @@
 ///
 /// Prevents that a request which many send at once is blamed when many servers end at once: it was at all of them.
 #[derive(Debug)]
-pub struct Answered {
+pub struct RecentSuccesses {
     slots: Vec<Option<Slot>>,
     alert_until: Option<Instant>,
 }
 
-impl Default for Answered {
-    fn default() -> Answered {
-        Answered { slots: vec![None; SLOTS], alert_until: None }
+impl Default for RecentSuccesses {
+    fn default() -> RecentSuccesses {
+        RecentSuccesses { slots: vec![None; SLOTS], alert_until: None }
     }
 }
 
-impl Answered {
+impl RecentSuccesses {
     /// Notes that a server has ended somewhere.
     pub fn alert(&mut self, now: Instant) {
         self.alert_until = Some(now + ALERT_FOR);
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -40,7 +40,7 @@
 pub use candidates::{Candidates, InstanceInfo};
 pub use cold::{ColdGranters, ColdGrants, ColdTerms};
 pub use crash_suspects::{
-    Answered, Collector, CrashReport, Finding, HeldRow, Judgement, RequestDigest,
+    CrashAttribution, CrashReport, Finding, HeldRow, Judgement, RecentSuccesses, RequestDigest,
     RequestFingerprint, ServerCrashes, Suspect, TablePlan, TableWatch, VerdictUpdate, Verdicts,
 };
 pub use events::EventSplitter;
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use cartvane::routing::{
-    Answered, Collector, CrashReport, HeldRow, Incarnation, Judgement, RequestDigest,
+    CrashAttribution, CrashReport, HeldRow, Incarnation, Judgement, RecentSuccesses, RequestDigest,
     RequestFingerprint, RunId, ServerCrashes, StoreEra, Suspect, TablePlan, TableWatch,
     VerdictUpdate, Verdicts, crash_suspects::verdicts::HELD_FOR,
 };
@@ -44,7 +44,7 @@
 }
 
 /// Tells of the end of a server and returns which requests are found.
-fn found(collector: &mut Collector, now: Instant, told: &CrashReport) -> Vec<u64> {
+fn found(collector: &mut CrashAttribution, now: Instant, told: &CrashReport) -> Vec<u64> {
     let findings = collector.take(now, std::slice::from_ref(told));
     findings.iter().map(|finding| finding.digest.0).collect()
 }
@@ -71,7 +71,7 @@
         ),
     ];
     for (what, servers, wanted) in cases {
-        let mut collector = Collector::default();
+        let mut collector = CrashAttribution::default();
         let mut last = Vec::new();
         for (number, (begun, ran_on)) in servers.into_iter().enumerate() {
             let begun = begun.into_iter().map(|request| suspect(request, false));
@@ -86,7 +86,7 @@
 #[test]
 fn a_request_that_was_at_few_of_the_ended_servers_is_not_found() {
     let now = Instant::now();
-    let mut collector = Collector::default();
+    let mut collector = CrashAttribution::default();
     for number in 0..20 {
         let under = if number % 8 == 0 { vec![suspect(1, false)] } else { Vec::new() };
         assert_eq!(
@@ -101,7 +101,7 @@
 #[test]
 fn a_flood_of_suspects_is_bounded_and_hides_nobody() {
     let now = Instant::now();
-    let mut collector = Collector::default();
+    let mut collector = CrashAttribution::default();
     for name in ["a", "b"] {
         found(&mut collector, now, &end(name, [suspect(1, false)]));
     }
@@ -113,7 +113,7 @@
 #[test]
 fn an_answer_clears_a_request_for_all() {
     let now = Instant::now();
-    let mut collector = Collector::default();
+    let mut collector = CrashAttribution::default();
     for name in ["a", "b"] {
         found(&mut collector, now, &end(name, [suspect(1, false)]));
     }
@@ -177,9 +177,9 @@
 #[test]
 fn bodies_are_read_only_of_repeats_and_while_servers_end() {
     let now = Instant::now();
-    let mut answered = Answered::default();
+    let mut answered = RecentSuccesses::default();
     let mut read = 0;
-    let mut note = |answered: &mut Answered, at: Instant, request: u64| {
+    let mut note = |answered: &mut RecentSuccesses, at: Instant, request: u64| {
         answered.note(at, fingerprint(request), || {
             read += 1;
             RequestDigest(request)
