--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -71,7 +71,7 @@
         aggregate.take_silent(now, report.from.node.clone(), report.silent);
         drop(aggregate);
         lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
-        gateway.suspicion.take_report(now, &report.suspicion);
+        gateway.crash_suspects.take_report(now, &report.crash_suspects);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
             gateway.reader_wanted.set();
@@ -89,7 +89,7 @@
         silent: sums.silent.clone(),
         budgets: if asks == Asks::InTurn { sums.budgets.clone() } else { Vec::new() },
         run: gateway.peers.run,
-        servers_end: gateway.suspicion.is_alert(now),
+        servers_end: gateway.crash_suspects.is_alert(now),
         verdicts: verdicts(gateway, now, asks),
         version: knowledge.version(),
         changes,
@@ -108,9 +108,9 @@
 
 /// Returns what another instance is to know of requests that end servers.
 fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<VerdictUpdate> {
-    let mut verdicts = gateway.suspicion.lasting(now);
+    let mut verdicts = gateway.crash_suspects.lasting(now);
     if asks == Asks::InTurn {
-        verdicts.extend(gateway.suspicion.watched(now));
+        verdicts.extend(gateway.crash_suspects.watched(now));
     }
     verdicts
 }
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -256,7 +256,9 @@
 /// Refuses a request that ends the servers that run it: at once, at every instance alike, and with the time after
 /// which it may be tried again.
 fn refuse_held(gateway: &Gateway, request: Request, now: Instant) -> Result<Request, OwnAnswer> {
-    let Some((digest, left)) = gateway.suspicion.held(now, &request) else { return Ok(request) };
+    let Some((digest, left)) = gateway.crash_suspects.held(now, &request) else {
+        return Ok(request);
+    };
     gateway.metrics.refusal(&request.service, "ends_servers");
     log::info!("event=request_held request={} digest={digest}", request.asked.id);
     Err(OwnAnswer::not_run(
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/crash_suspects.rs
@@ -26,7 +26,7 @@
 
 /// Requests that end servers, as this instance knows them.
 #[derive(Debug, Default)]
-pub struct Suspicion {
+pub struct CrashSuspects {
     /// Servers that ended with requests of this instance under way.
     ends: Mutex<ServerCrashes>,
     /// What all instances told of ends, where they turn to this one.
@@ -42,7 +42,7 @@
 
 /// What an instance tells of servers that ended.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
-pub struct SuspicionReport {
+pub struct CrashSuspectsReport {
     /// Ends that it has not told yet.
     pub ends: Vec<CrashReport>,
     /// Requests that were watched or held and have been answered.
@@ -51,7 +51,7 @@
     pub verdicts: Vec<VerdictUpdate>,
 }
 
-impl Suspicion {
+impl CrashSuspects {
     /// Returns for how long the request is held back, with what it is known by.
     pub fn held(&self, now: Instant, request: &Request) -> Option<(RequestDigest, Duration)> {
         self.held_by(now, || request.fingerprint(), || request.digest())
@@ -172,8 +172,8 @@
     }
 
     /// Returns what this instance tells the one that collects reports.
-    pub fn report(&self, now: Instant) -> SuspicionReport {
-        SuspicionReport {
+    pub fn report(&self, now: Instant) -> CrashSuspectsReport {
+        CrashSuspectsReport {
             ends: lock(&self.ends).untold(now),
             cleared: lock(&self.cleared).clone(),
             verdicts: self.lasting(now),
@@ -181,13 +181,13 @@
     }
 
     /// Notes that the instance `to` has taken a report.
-    pub fn note_told(&self, to: RunId, report: &SuspicionReport) {
+    pub fn note_told(&self, to: RunId, report: &CrashSuspectsReport) {
         lock(&self.ends).note_told(to, &report.ends);
         lock(&self.cleared).retain(|digest| !report.cleared.contains(digest));
     }
 
     /// Takes what another instance tells, or this one has to tell itself where all turn to it.
-    pub fn take_report(&self, now: Instant, report: &SuspicionReport) {
+    pub fn take_report(&self, now: Instant, report: &CrashSuspectsReport) {
         let mut collector = lock(&self.collector);
         report.cleared.iter().for_each(|digest| collector.clear(now, *digest));
         let findings = collector.take(now, &report.ends);
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::suspicion::SuspicionReport;
+use super::crash_suspects::CrashSuspectsReport;
 use crate::{
     names::Tag,
     routing::{
@@ -47,7 +47,7 @@
     /// How far roll-outs have come, as it knows it.
     pub rollout_states: Vec<ToldRollout>,
     /// What it had at servers that ended, and what it knows of requests that end them.
-    pub suspicion: SuspicionReport,
+    pub crash_suspects: CrashSuspectsReport,
     /// Version of the intent that it has in force.
     pub version: u64,
     /// Whether it wants a newer intent however large.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 pub mod answering;
 pub mod cold_permits;
 pub mod connection;
+pub mod crash_suspects;
 pub mod drain;
 pub mod exchange;
 pub mod flight;
@@ -35,7 +36,6 @@
 pub mod spread;
 pub mod start;
 pub mod stream;
-pub mod suspicion;
 pub mod tries;
 pub mod unpicked;
 
@@ -51,10 +51,9 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cold_permits::ColdPermits, drain::Drain, flight::Flight, knowledge::Knowledge,
-    list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
+    cold_permits::ColdPermits, crash_suspects::CrashSuspects, drain::Drain, flight::Flight,
+    knowledge::Knowledge, list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, settings::GatewaySettings, skipped_log::SkippedLog,
-    suspicion::Suspicion,
 };
 use crate::{
     adapter::store::{Store, StoreFault},
@@ -90,7 +89,7 @@
     /// Other instances.
     pub peers: Peers,
     /// Requests that end servers.
-    pub suspicion: Suspicion,
+    pub crash_suspects: CrashSuspects,
     /// Roll-outs of versions.
     pub rollouts: Rollouts,
     /// Requests to cold servers.
@@ -129,7 +128,7 @@
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
-            suspicion: Suspicion::default(),
+            crash_suspects: CrashSuspects::default(),
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
             drain: Drain::open().context("cannot make a pipe")?,
@@ -324,7 +323,7 @@
             self.metrics.rollout_share(&service, share);
         }
         self.metrics.cold_servers(lock(&self.picker).cold_count(now));
-        self.metrics.held_requests(self.suspicion.held_count());
+        self.metrics.held_requests(self.crash_suspects.held_count());
         self.metrics.log_lines_left_out(log_sink::take_left_out());
     }
 
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -283,16 +283,16 @@
 
 /// Takes this instance's own word on servers that ended, as the one to which all turn.
 fn judge_own(gateway: &Gateway, now: Instant) {
-    let suspicion = &gateway.suspicion;
+    let crash_suspects = &gateway.crash_suspects;
     if !gateway.settings.first_start && gateway.peers.knows_others(now) {
-        suspicion.want_table();
+        crash_suspects.want_table();
     }
-    let report = suspicion.report(now);
-    suspicion.take_report(now, &report);
-    suspicion.note_told(gateway.peers.run, &report);
-    suspicion.watch(now, &suspicion.watched(now));
-    if suspicion.is_alert(now) {
-        suspicion.alert(now);
+    let report = crash_suspects.report(now);
+    crash_suspects.take_report(now, &report);
+    crash_suspects.note_told(gateway.peers.run, &report);
+    crash_suspects.watch(now, &crash_suspects.watched(now));
+    if crash_suspects.is_alert(now) {
+        crash_suspects.alert(now);
     }
 }
 
@@ -354,13 +354,14 @@
     };
     // Others than the one that all turn to know only a part.
     let in_turn = asks == Asks::InTurn;
-    let suspicion = if in_turn { gateway.suspicion.report(asked) } else { Default::default() };
+    let crash_suspects =
+        if in_turn { gateway.crash_suspects.report(asked) } else { Default::default() };
     let report = Report {
         from,
         counts: counts.clone(),
         silent,
         run: peers.run,
-        suspicion,
+        crash_suspects,
         spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
         rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
         rollout_states: gateway.rollouts.told(asked),
@@ -378,12 +379,12 @@
     let told = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
         news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
-    gateway.suspicion.take_verdicts(told, &lasting, "peer");
+    gateway.crash_suspects.take_verdicts(told, &lasting, "peer");
     if in_turn {
-        gateway.suspicion.note_told(news.run, &report.suspicion);
-        gateway.suspicion.watch(told, &watched);
+        gateway.crash_suspects.note_told(news.run, &report.crash_suspects);
+        gateway.crash_suspects.watch(told, &watched);
         if news.servers_end {
-            gateway.suspicion.alert(told);
+            gateway.crash_suspects.alert(told);
         }
         take_loads(gateway, told, &news.loads, Some(counts));
         lock(&gateway.picker).told_silent(told, &news.silent);
--- a/tests/suite/deadly_drawn.rs
+++ b/tests/suite/deadly_drawn.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    gateway::suspicion::Suspicion,
+    gateway::crash_suspects::CrashSuspects,
     names::ServiceName,
     routing::{Incarnation, RequestDigest, RequestFingerprint, RunId, Suspect},
 };
@@ -76,7 +76,7 @@
     day: &'d Day,
     start: Instant,
     state: u64,
-    nodes: Vec<Suspicion>,
+    nodes: Vec<CrashSuspects>,
     servers: Vec<Server>,
     flights: Vec<Flight>,
     service: ServiceName,
@@ -235,7 +235,7 @@
     /// of 0.3 s each that nobody answered.
     fn lose_collector(&mut self, step: usize) {
         if self.day.collector_lost && self.collector == 0 {
-            self.nodes[0] = Suspicion::default();
+            self.nodes[0] = CrashSuspects::default();
             self.collector = 1;
             self.silent_until = step + 60;
         }
@@ -274,7 +274,7 @@
         day,
         start: Instant::now(),
         state: day.seed,
-        nodes: (0..day.instances).map(|_| Suspicion::default()).collect(),
+        nodes: (0..day.instances).map(|_| CrashSuspects::default()).collect(),
         servers: Vec::new(),
         flights: Vec::new(),
         service: "app".parse().expect("a name"),
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -58,7 +58,7 @@
         spending: Vec::<Spending>::new(),
         rollouts: Vec::new(),
         rollout_states: Vec::new(),
-        suspicion: Default::default(),
+        crash_suspects: Default::default(),
         version: 12,
         wants_intent: false,
         asks: Asks::InTurn,
