--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -71,7 +71,7 @@
         aggregate.take_silent(now, report.from.node.clone(), report.silent);
         drop(aggregate);
         lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
-        gateway.crash_suspects.take_report(now, &report.crash_suspects);
+        gateway.crash_suspects.apply_report(now, &report.crash_suspects);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
             gateway.reader_wanted.set();
@@ -108,7 +108,7 @@
 
 /// Returns what another instance is to know of requests that end servers.
 fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<VerdictUpdate> {
-    let mut verdicts = gateway.crash_suspects.lasting(now);
+    let mut verdicts = gateway.crash_suspects.verdict_updates(now);
     if asks == Asks::InTurn {
         verdicts.extend(gateway.crash_suspects.watched(now));
     }
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -36,7 +36,7 @@
     /// Requests that were watched and have been answered, to be told.
     cleared: Mutex<Vec<RequestDigest>>,
     /// Is set when the store's table is to be looked at.
-    pub(super) judged: Signal,
+    pub(super) verdicts_changed: Signal,
     is_table_read: AtomicBool,
 }
 
@@ -74,12 +74,12 @@
     /// Returns whether a request that a server has just ended with goes to no other one: it is held back, or may be found
     /// to end servers. So the tries that are left until it is found end one server each, not as many as its route
     /// allows.
-    pub fn ends_here(&self, request: &Request) -> bool {
-        self.ends_here_by(|| request.fingerprint(), || request.digest())
+    pub fn forbids_retry(&self, request: &Request) -> bool {
+        self.forbids_retry_by(|| request.fingerprint(), || request.digest())
     }
 
     /// As [`Suspicion::ends_here`]; neither look nor digest is worked out while none is sought.
-    pub fn ends_here_by(
+    pub fn forbids_retry_by(
         &self,
         fingerprint: impl FnOnce() -> RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
@@ -93,14 +93,15 @@
     }
 
     /// Notes that a request was answered well.
-    pub fn note_answered(&self, now: Instant, request: &Request) {
-        if let Some(digest) = self.clear_answered(now, request.fingerprint(), || request.digest()) {
+    pub fn note_success(&self, now: Instant, request: &Request) {
+        if let Some(digest) = self.note_success_by(now, request.fingerprint(), || request.digest())
+        {
             log::info!("event=request_cleared digest={digest} request={}", request.asked.id);
         }
     }
 
     /// Notes a good answer to a request of that look; returns the request if it was held or watched.
-    pub fn clear_answered(
+    pub fn note_success_by(
         &self,
         now: Instant,
         fingerprint: RequestFingerprint,
@@ -119,17 +120,23 @@
 
     /// Notes that the connection to a server ended with the request under way there; `ran_on` says whether it had run
     /// there for a while.
-    pub fn note_lost(&self, gateway: &Gateway, request: &Request, picked: &Picked, ran_on: bool) {
+    pub fn note_disconnect(
+        &self,
+        gateway: &Gateway,
+        request: &Request,
+        picked: &Picked,
+        ran_on: bool,
+    ) {
         let now = gateway.clock.now();
         let suspect =
             Suspect { fingerprint: request.fingerprint(), digest: request.digest(), ran_on };
         if self.has_ended(gateway, &picked.server) {
-            self.note_end(now, &picked.server.id, &picked.server.service, suspect);
+            self.note_crash(now, &picked.server.id, &picked.server.service, suspect);
         }
     }
 
     /// Notes a request that was at a server as it ended, unless it was answered well lately.
-    pub fn note_end(
+    pub fn note_crash(
         &self,
         now: Instant,
         server: &Incarnation,
@@ -176,7 +183,7 @@
         CrashSuspectsReport {
             ends: lock(&self.ends).untold(now),
             cleared: lock(&self.cleared).clone(),
-            verdicts: self.lasting(now),
+            verdicts: self.verdict_updates(now),
         }
     }
 
@@ -187,13 +194,13 @@
     }
 
     /// Takes what another instance tells, or this one has to tell itself where all turn to it.
-    pub fn take_report(&self, now: Instant, report: &CrashSuspectsReport) {
+    pub fn apply_report(&self, now: Instant, report: &CrashSuspectsReport) {
         let mut collector = lock(&self.collector);
         report.cleared.iter().for_each(|digest| collector.clear(now, *digest));
         let findings = collector.take(now, &report.ends);
         drop(collector);
         let found: Vec<VerdictUpdate> = findings.iter().map(verdict_of).collect();
-        let news = self.take_verdicts(now, &found, "own");
+        let news = self.apply_verdicts(now, &found, "own");
         for finding in findings.iter().filter(|f| news.iter().any(|n| n.digest == f.digest)) {
             let servers: Vec<String> = finding.servers.iter().map(ToString::to_string).collect();
             log::warn!(
@@ -203,7 +210,7 @@
                 finding.ended
             );
         }
-        self.take_verdicts(now, &report.verdicts, "peer");
+        self.apply_verdicts(now, &report.verdicts, "peer");
         let mut verdicts = lock(&self.verdicts);
         for digest in &report.cleared {
             verdicts.clear(now, *digest);
@@ -211,7 +218,7 @@
     }
 
     /// Takes verdicts, and returns those that are new.
-    pub fn take_verdicts(
+    pub fn apply_verdicts(
         &self,
         now: Instant,
         told: &[VerdictUpdate],
@@ -220,7 +227,7 @@
         let news = lock(&self.verdicts).take(now, told);
         self.clear_known(now, &news);
         for verdict in news.iter().filter(|verdict| verdict.judgement != Judgement::Watched) {
-            self.judged.set();
+            self.verdicts_changed.set();
             let (digest, judgement) = (verdict.digest, verdict.judgement);
             log::warn!(
                 "event=request_judged digest={digest} judgement={judgement:?} source={source}"
@@ -230,7 +237,7 @@
     }
 
     /// Returns what is held back, or was until lately.
-    pub fn lasting(&self, now: Instant) -> Vec<VerdictUpdate> {
+    pub fn verdict_updates(&self, now: Instant) -> Vec<VerdictUpdate> {
         lock(&self.verdicts).told(now)
     }
 
@@ -246,14 +253,14 @@
     }
 
     /// Has the store's table looked at, until it has been read.
-    pub fn want_table(&self) {
+    pub fn request_table_read(&self) {
         if !self.is_table_read.load(Ordering::Relaxed) {
-            self.judged.set();
+            self.verdicts_changed.set();
         }
     }
 
     /// Notes that the store's table has been read.
-    pub fn table_is_read(&self) {
+    pub fn note_table_read(&self) {
         self.is_table_read.store(true, Ordering::Relaxed);
     }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -198,8 +198,8 @@
 
     fn note_lost(&mut self, picked: &Picked) {
         let crash_suspects = &self.gateway.crash_suspects;
-        crash_suspects.note_lost(self.gateway, self.request, picked, self.has_run_on());
-        if crash_suspects.ends_here(self.request) {
+        crash_suspects.note_disconnect(self.gateway, self.request, picked, self.has_run_on());
+        if crash_suspects.forbids_retry(self.request) {
             self.tries.hold();
         }
     }
@@ -430,7 +430,7 @@
         picker.good(now, &picked.server.id);
         picker.overload(&self.request.service).note_answer(times, !picked.wait.is_zero());
         drop(picker);
-        self.gateway.crash_suspects.note_answered(now, self.request);
+        self.gateway.crash_suspects.note_success(now, self.request);
         self.gateway.metrics.attempt(&self.request.service, None);
     }
 
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -36,7 +36,7 @@
 pub fn run(gateway: &Arc<Gateway>) {
     let mut watch = TableWatch::new(gateway.settings.first_start);
     loop {
-        gateway.crash_suspects.judged.wait(LOOK_PERIOD);
+        gateway.crash_suspects.verdicts_changed.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
         let is_first = lock(&gateway.peers.candidates).first(now).is_none();
         if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
@@ -45,7 +45,7 @@
         if let Err(fault) = keep(gateway, &mut watch) {
             log::info!("event=held_table_unread reason={:?}", fault.to_string());
             thread::sleep(RETRY_PAUSE);
-            gateway.crash_suspects.judged.set();
+            gateway.crash_suspects.verdicts_changed.set();
         }
     }
 }
@@ -53,7 +53,7 @@
 /// Brings table and verdicts in line.
 fn keep(gateway: &Gateway, watch: &mut TableWatch) -> Result<(), StoreFault> {
     let crash_suspects = &gateway.crash_suspects;
-    let known = crash_suspects.lasting(gateway.clock.now());
+    let known = crash_suspects.verdict_updates(gateway.clock.now());
     if watch.is_idle(&known) {
         return Ok(());
     }
@@ -62,14 +62,14 @@
     let rows: Vec<HeldRow> = read.rows.iter().filter_map(decode_row).collect();
     let plan = watch.plan(read.now_ms, &rows, &known);
     let now = gateway.clock.now();
-    crash_suspects.take_verdicts(now, &plan.learnt, "store");
+    crash_suspects.apply_verdicts(now, &plan.learnt, "store");
     for digest in &plan.lifted {
         log::warn!("event=request_lifted digest={digest}");
         crash_suspects.lift(now, *digest);
     }
     write(gateway, &plan)?;
     watch.carried_out(&rows, &plan);
-    crash_suspects.table_is_read();
+    crash_suspects.note_table_read();
     Ok(())
 }
 
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -285,10 +285,10 @@
 fn judge_own(gateway: &Gateway, now: Instant) {
     let crash_suspects = &gateway.crash_suspects;
     if !gateway.settings.first_start && gateway.peers.knows_others(now) {
-        crash_suspects.want_table();
+        crash_suspects.request_table_read();
     }
     let report = crash_suspects.report(now);
-    crash_suspects.take_report(now, &report);
+    crash_suspects.apply_report(now, &report);
     crash_suspects.note_told(gateway.peers.run, &report);
     crash_suspects.watch(now, &crash_suspects.watched(now));
     if crash_suspects.is_alert(now) {
@@ -379,7 +379,7 @@
     let told = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
         news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
-    gateway.crash_suspects.take_verdicts(told, &lasting, "peer");
+    gateway.crash_suspects.apply_verdicts(told, &lasting, "peer");
     if in_turn {
         gateway.crash_suspects.note_told(news.run, &report.crash_suspects);
         gateway.crash_suspects.watch(told, &watched);
--- a/tests/suite/deadly_drawn.rs
+++ b/tests/suite/deadly_drawn.rs
@@ -170,7 +170,7 @@
                 ran_on: flight.first.saturating_add(RUN_ON) <= step,
             };
             let now = self.now(step);
-            self.nodes[flight.instance].note_end(now, &id, &self.service, suspect);
+            self.nodes[flight.instance].note_crash(now, &id, &self.service, suspect);
             self.try_again(step, flight);
         }
     }
@@ -178,7 +178,7 @@
     fn try_again(&mut self, step: usize, flight: Flight) {
         let node = &self.nodes[flight.instance];
         let (fingerprint, digest) = digest_of(flight.request);
-        if flight.tried < SERVERS_TRIED && !node.ends_here_by(|| fingerprint, || digest) {
+        if flight.tried < SERVERS_TRIED && !node.forbids_retry_by(|| fingerprint, || digest) {
             return self.send(step, Flight { tried: flight.tried + 1, ..flight });
         }
         if !flight.again {
@@ -194,9 +194,9 @@
         let now = self.now(step);
         let report = self.nodes[node].report(now);
         let collector = &self.nodes[self.collector];
-        collector.take_report(now, &report);
+        collector.apply_report(now, &report);
         let (lasting, watched) = (collector.report(now).verdicts, collector.watched(now));
-        self.nodes[node].take_verdicts(now, &lasting, "peer");
+        self.nodes[node].apply_verdicts(now, &lasting, "peer");
         self.nodes[node].note_told(RunId(self.collector as u64), &report);
         self.nodes[node].watch(now, &watched);
         if self.nodes[self.collector].is_alert(now) {
@@ -249,7 +249,7 @@
         for flight in done {
             let Some(number) = flight.deadly else {
                 let (fingerprint, digest) = digest_of(flight.request);
-                self.nodes[flight.instance].clear_answered(now, fingerprint, || digest);
+                self.nodes[flight.instance].note_success_by(now, fingerprint, || digest);
                 continue;
             };
             let server = flight.server;
