--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_keeper.rs
@@ -199,8 +199,8 @@
             order.to,
             tally.answered_new,
             tally.sent,
-            tally.doubt,
-            tally.doubt_in_all
+            tally.regression_score,
+            tally.total_regression_score
         );
         // Known to all before it is written: nothing more reaches the version meanwhile.
         publish(gateway, state(held, next, 0.0, 0));
@@ -303,8 +303,8 @@
         (tally.sent, tally.sent_new) = judge.sent();
         tally.answered_new = judge.answered_new();
         tally.under_way_old = judge.under_way_old(now);
-        tally.doubt_in_all = judge.doubt_in_all();
-        (tally.doubt, tally.is_bad) = (judge.doubt(), judge.is_bad());
+        tally.total_regression_score = judge.total_regression_score();
+        (tally.regression_score, tally.is_bad) = (judge.regression_score(), judge.is_bad());
     }
     tally
 }
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -14,8 +14,8 @@
 use crate::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, BackendServer, FailureDomains, Judge, RolloutEvidence, RolloutOrder,
-        RolloutReport, RolloutState, RolloutStates, RunId, Stage, ToldRollout,
+        AnswerSeen, BackendServer, FailureDomains, RolloutEvidence, RolloutOrder, RolloutReport,
+        RolloutState, RolloutStates, RunId, Stage, ToldRollout, VersionEvaluation,
     },
     utils::{signal::Signal, sync::lock},
 };
@@ -26,7 +26,7 @@
     pub(super) states: Mutex<RolloutStates>,
     evidence: Mutex<IndexMap<ServiceName, RolloutEvidence>>,
     /// What all instances have told, where they turn to this one.
-    pub(super) judges: Mutex<IndexMap<ServiceName, Judge>>,
+    pub(super) judges: Mutex<IndexMap<ServiceName, VersionEvaluation>>,
     /// Is set when there is something new to do for the instance that takes roll-outs further.
     pub(super) due: Signal,
     is_noting: AtomicBool,
@@ -174,18 +174,19 @@
             }
             let mut judges = lock(&self.judges);
             let to = report.to.clone();
-            let judge = judges.entry(service.clone()).or_insert_with(|| Judge::new(to.clone()));
+            let judge =
+                judges.entry(service.clone()).or_insert_with(|| VersionEvaluation::new(to.clone()));
             if *judge.to() != to {
-                *judge = Judge::new(to.clone());
+                *judge = VersionEvaluation::new(to.clone());
             }
             judge.set_domains(domains(gateway, &service, &to));
             judge.take(now, node, run, report);
             if !judge.is_bad() {
                 continue;
             }
-            let doubt = judge.doubt();
+            let regression_score = judge.regression_score();
             drop(judges);
-            self.roll_back(gateway, &service, &to, doubt);
+            self.roll_back(gateway, &service, &to, regression_score);
         }
     }
 
@@ -194,7 +195,7 @@
         gateway: &Gateway,
         service: &ServiceName,
         to: &SoftwareVersion,
-        doubt: f64,
+        regression_score: f64,
     ) {
         let state = {
             let states = lock(&self.states);
@@ -208,7 +209,7 @@
                 ..known.clone()
             }
         };
-        log::warn!("event=version_is_bad service={service} to={to} doubt={doubt:.1}");
+        log::warn!("event=version_is_bad service={service} to={to} doubt={regression_score:.1}");
         self.take_told(gateway, &[ToldRollout { state, age_ms: 0 }], "own");
         self.due.set();
     }
--- a/src/routing/rollout/course.rs
+++ b/src/routing/rollout/course.rs
@@ -96,9 +96,9 @@
     /// Requests under way at other versions.
     pub under_way_old: u32,
     /// What speaks against the version, its worst failure domain left out.
-    pub doubt: f64,
+    pub regression_score: f64,
     /// What speaks against it in all.
-    pub doubt_in_all: f64,
+    pub total_regression_score: f64,
     /// Whether that is enough.
     pub is_bad: bool,
     /// Listed servers of the new version.
@@ -140,25 +140,29 @@
         }
         let earliest = lasts.mul_f64(MOVES.0).max(lasts.saturating_sub(MOVING_TIME));
         let latest = lasts.mul_f64(MOVES.1);
-        let (answers, doubt) = PROVEN;
-        let is_proven = tally.answered_new >= answers && tally.doubt_in_all < doubt;
+        let (answers, regression_score) = PROVEN;
+        let is_proven =
+            tally.answered_new >= answers && tally.total_regression_score < regression_score;
         if tally.elapsed >= earliest.min(latest) && is_proven {
             return Stage::Moving;
         }
         // One that has just taken over waits for the others' reports.
         let has_heard = tally.in_stage >= self.exchange.mul_f64(EXCHANGES);
-        let (answers, doubt) = PROVEN_FEW;
+        let (answers, regression_score) = PROVEN_FEW;
         if tally.elapsed >= latest && has_heard && self.is_little(tally) {
-            let is_proven = tally.answered_new >= answers && tally.doubt_in_all < doubt;
+            let is_proven =
+                tally.answered_new >= answers && tally.total_regression_score < regression_score;
             return if is_proven { Stage::Moving } else { Stage::RolledBack };
         }
-        let (answers, doubt) = PROVEN_LATE;
+        let (answers, regression_score) = PROVEN_LATE;
         if tally.answered_new < answers && tally.elapsed + self.moving() < lasts {
             return Stage::Trial;
         }
-        let beside = BESIDE_WORST * tally.doubt_in_all;
+        let beside = BESIDE_WORST * tally.total_regression_score;
         match tally.elapsed >= latest && has_heard {
-            true if tally.answered_new >= answers && tally.doubt < doubt.max(beside) => {
+            true if tally.answered_new >= answers
+                && tally.regression_score < regression_score.max(beside) =>
+            {
                 Stage::Moving
             }
             true => Stage::RolledBack,
--- a/src/routing/rollout/judge.rs
+++ b/src/routing/rollout/evaluation.rs
@@ -93,7 +93,7 @@
 
 /// The evidence of all instances on one roll-out.
 #[derive(Debug)]
-pub struct Judge {
+pub struct VersionEvaluation {
     to: SoftwareVersion,
     reporters: IndexMap<NodeName, Reporter>,
     sent: u64,
@@ -131,10 +131,10 @@
     }
 }
 
-impl Judge {
+impl VersionEvaluation {
     /// Returns the judge of a version of which nothing is known.
-    pub fn new(to: SoftwareVersion) -> Judge {
-        Judge {
+    pub fn new(to: SoftwareVersion) -> VersionEvaluation {
+        VersionEvaluation {
             to,
             reporters: IndexMap::new(),
             sent: 0,
@@ -212,14 +212,14 @@
 
     /// Returns how much speaks against the version on the route where most does. What speaks against the worst failure
     /// domain alone is left out: a server, machine or zone in trouble is no fault of the version.
-    pub fn doubt(&self) -> f64 {
+    pub fn regression_score(&self) -> f64 {
         let several = self.domains.count > 1;
-        let doubt = |(all, most): &(f64, f64)| if several { all - most } else { *all };
-        self.doubts().values().map(doubt).fold(0.0, f64::max)
+        let regression_score = |(all, most): &(f64, f64)| if several { all - most } else { *all };
+        self.doubts().values().map(regression_score).fold(0.0, f64::max)
     }
 
     /// Returns how much speaks against it on that route in all.
-    pub fn doubt_in_all(&self) -> f64 {
+    pub fn total_regression_score(&self) -> f64 {
         self.doubts().values().map(|(all, _)| *all).fold(0.0, f64::max)
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns whether the version is bad.
     pub fn is_bad(&self) -> bool {
-        self.doubt() >= LIMIT
+        self.regression_score() >= LIMIT
     }
 
     /// Returns the requests sent to the service, and to the new version, since the order.
--- a/src/routing/rollout/mod.rs
+++ b/src/routing/rollout/mod.rs
@@ -5,21 +5,21 @@
 //! on one route. Its servers get few requests until enough answers speak for them.
 //!
 //! `order` is what operators want. Each instance notes how both versions answer (`evidence`) and tells the one that
-//! collects reports, which judges (`judge`) and takes the roll-out through its stages (`course`), under a lease in the
+//! collects reports, which judges (`evaluation`) and takes the roll-out through its stages (`course`), under a lease in the
 //! store (`record`). What it has decided travels to all instances (`state`), and `lane` says which servers a request may
 //! go to.
 
 mod course;
+mod evaluation;
 mod evidence;
-mod judge;
 mod lane;
 mod order;
 mod record;
 mod state;
 
 pub use course::{Course, RolloutTerms, Tally};
+pub use evaluation::{FailureDomains, VersionEvaluation};
 pub use evidence::{AnswerSeen, RolloutEvidence, RolloutReport, TimeBin, ToldAnswers};
-pub use judge::{FailureDomains, Judge};
 pub use lane::Lane;
 pub use order::RolloutOrder;
 pub use record::{LEASE, RolloutRecord};
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -12,8 +12,8 @@
 use cartvane::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, Course, FailureDomains, Judge, RolloutEvidence, RolloutOrder, RolloutState,
-        RolloutStates, RolloutTerms, RunId, Stage, Tally, ToldRollout,
+        AnswerSeen, Course, FailureDomains, RolloutEvidence, RolloutOrder, RolloutState,
+        RolloutStates, RolloutTerms, RunId, Stage, Tally, ToldRollout, VersionEvaluation,
     },
 };
 use fastrand::Rng;
@@ -109,7 +109,7 @@
 
 /// What collects reports, judges and decides.
 struct Decider {
-    judge: Judge,
+    judge: VersionEvaluation,
     states: RolloutStates,
     term: u64,
     stage: Stage,
@@ -145,7 +145,7 @@
         let to = orders.values().next().expect("an order").to.clone();
         let mut states = RolloutStates::default();
         states.set_orders(orders);
-        let mut judge = Judge::new(to);
+        let mut judge = VersionEvaluation::new(to);
         let server = |number: usize| (Tag(number as u32), Tag((number % ZONES) as u32));
         judge.set_domains(FailureDomains::new((0..SERVERS).map(server)));
         Decider { judge, states, term, stage, stage_since: now }
@@ -298,8 +298,8 @@
             sent_new,
             answered_new: decider.judge.answered_new(),
             under_way_old: decider.judge.under_way_old(now),
-            doubt: decider.judge.doubt(),
-            doubt_in_all: decider.judge.doubt_in_all(),
+            regression_score: decider.judge.regression_score(),
+            total_regression_score: decider.judge.total_regression_score(),
             is_bad: decider.judge.is_bad(),
             servers_new: SERVERS,
             servers_old: SERVERS,
