--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_keeper.rs
@@ -16,7 +16,8 @@
 use crate::{
     names::{ServiceName, SoftwareVersion},
     routing::{
-        Course, LEASE, RolloutOrder, RolloutRecord, RolloutState, Stage, Tally, ToldRollout,
+        LEASE, RolloutOrder, RolloutProgress, RolloutRecord, RolloutState, Stage, StagePolicy,
+        ToldRollout,
     },
     utils::sync::lock,
 };
@@ -184,23 +185,23 @@
 fn step(gateway: &Gateway, held: &mut Held, order: &RolloutOrder) -> bool {
     let now = gateway.clock.now();
     let (terms, exchange) = (gateway.settings.bounds.rollouts, gateway.peers.period());
-    let course = Course { order, terms, exchange };
-    let tally = tally(gateway, now, held);
+    let course = StagePolicy { order, terms, exchange };
+    let progress = progress(gateway, now, held);
     let service = held.row.service.clone();
     let decided = lock(&gateway.rollouts.states).of(&service, &order.to).map(|known| known.stage);
     let stage = held.row.record.stage;
     let next = match decided.filter(|decided| decided.is_final()) {
         Some(decided) => stage.max(decided),
-        None => course.stage(stage, &tally),
+        None => course.stage(stage, &progress),
     };
     if next == Stage::RolledBack && decided != Some(next) {
         log::warn!(
             "event=version_not_taken service={service} to={} answered={} of={} doubt={:.1} doubt_in_all={:.1}",
             order.to,
-            tally.answered_new,
-            tally.sent,
-            tally.regression_score,
-            tally.total_regression_score
+            progress.answered_new,
+            progress.sent,
+            progress.regression_score,
+            progress.total_regression_score
         );
         // Known to all before it is written: nothing more reaches the version meanwhile.
         publish(gateway, state(held, next, 0.0, 0));
@@ -226,8 +227,8 @@
         );
         return false;
     }
-    let share = (course.share(next, &tally) / SHARE_STEP).round() * SHARE_STEP;
-    let servers = course.servers(share, &tally);
+    let share = (course.share(next, &progress) / SHARE_STEP).round() * SHARE_STEP;
+    let servers = course.servers(share, &progress);
     let is_fresh = gateway.clock.now().saturating_duration_since(held.renewed) < LEASE;
     if is_fresh {
         publish(gateway, state(held, next, share, servers));
@@ -278,7 +279,7 @@
     gateway.rollouts.take_told(gateway, &[ToldRollout { state, age_ms: 0 }], "own");
 }
 
-fn tally(gateway: &Gateway, now: Instant, held: &Held) -> Tally {
+fn progress(gateway: &Gateway, now: Instant, held: &Held) -> RolloutProgress {
     let record = &held.row.record;
     let (at, ms) = held.clock;
     let before = Duration::from_millis(ms.saturating_sub(record.since_ms));
@@ -290,21 +291,21 @@
         let (new, old): (Vec<_>, Vec<_>) = usable.partition(|s| s.version.as_ref() == Some(to));
         (new.len(), old.len())
     });
-    let mut tally = Tally {
+    let mut progress = RolloutProgress {
         elapsed: before + now.saturating_duration_since(at),
         in_stage: now.saturating_duration_since(held.stage_since),
         servers_new,
         servers_old,
-        ..Tally::default()
+        ..RolloutProgress::default()
     };
     if let Some(judge) = lock(&gateway.rollouts.judges).get(&held.row.service)
         && judge.to() == to
     {
-        (tally.sent, tally.sent_new) = judge.sent();
-        tally.answered_new = judge.answered_new();
-        tally.under_way_old = judge.under_way_old(now);
-        tally.total_regression_score = judge.total_regression_score();
-        (tally.regression_score, tally.is_bad) = (judge.regression_score(), judge.is_bad());
+        (progress.sent, progress.sent_new) = judge.sent();
+        progress.answered_new = judge.answered_new();
+        progress.under_way_old = judge.under_way_old(now);
+        progress.total_regression_score = judge.total_regression_score();
+        (progress.regression_score, progress.is_bad) = (judge.regression_score(), judge.is_bad());
     }
-    tally
+    progress
 }
--- a/src/routing/rollout/course.rs
+++ b/src/routing/rollout/stage_policy.rs
@@ -82,7 +82,7 @@
 
 /// What is known of a roll-out at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Tally {
+pub struct RolloutProgress {
     /// Time since the order.
     pub elapsed: Duration,
     /// Time in the present stage, at the instance that takes the roll-out further.
@@ -109,7 +109,7 @@
 
 /// The rules by which one roll-out goes on.
 #[derive(Debug, Clone, Copy)]
-pub struct Course<'o> {
+pub struct StagePolicy<'o> {
     /// The order.
     pub order: &'o RolloutOrder,
     /// What operators allow.
@@ -118,23 +118,23 @@
     pub exchange: Duration,
 }
 
-impl Course<'_> {
+impl StagePolicy<'_> {
     /// Returns the stage in which the roll-out should be, where it is in `stage`.
-    pub fn stage(&self, stage: Stage, tally: &Tally) -> Stage {
+    pub fn stage(&self, stage: Stage, progress: &RolloutProgress) -> Stage {
         match stage {
-            Stage::Trial | Stage::Moving if tally.is_bad => Stage::RolledBack,
-            Stage::Trial => self.after_trial(tally),
-            Stage::Moving if self.has_moved(tally) => Stage::Succeeded,
+            Stage::Trial | Stage::Moving if progress.is_bad => Stage::RolledBack,
+            Stage::Trial => self.after_trial(progress),
+            Stage::Moving if self.has_moved(progress) => Stage::Succeeded,
             stage => stage,
         }
     }
 
-    fn after_trial(&self, tally: &Tally) -> Stage {
+    fn after_trial(&self, progress: &RolloutProgress) -> Stage {
         let lasts = self.order.lasts;
-        if tally.servers_new == 0 {
-            return if tally.elapsed < lasts { Stage::Trial } else { Stage::RolledBack };
+        if progress.servers_new == 0 {
+            return if progress.elapsed < lasts { Stage::Trial } else { Stage::RolledBack };
         }
-        if tally.servers_old == 0 {
+        if progress.servers_old == 0 {
             // Whatever runs is of the version that is wanted.
             return Stage::Moving;
         }
@@ -142,26 +142,26 @@
         let latest = lasts.mul_f64(MOVES.1);
         let (answers, regression_score) = PROVEN;
         let is_proven =
-            tally.answered_new >= answers && tally.total_regression_score < regression_score;
-        if tally.elapsed >= earliest.min(latest) && is_proven {
+            progress.answered_new >= answers && progress.total_regression_score < regression_score;
+        if progress.elapsed >= earliest.min(latest) && is_proven {
             return Stage::Moving;
         }
         // One that has just taken over waits for the others' reports.
-        let has_heard = tally.in_stage >= self.exchange.mul_f64(EXCHANGES);
+        let has_heard = progress.in_stage >= self.exchange.mul_f64(EXCHANGES);
         let (answers, regression_score) = PROVEN_FEW;
-        if tally.elapsed >= latest && has_heard && self.is_little(tally) {
-            let is_proven =
-                tally.answered_new >= answers && tally.total_regression_score < regression_score;
+        if progress.elapsed >= latest && has_heard && self.is_little(progress) {
+            let is_proven = progress.answered_new >= answers
+                && progress.total_regression_score < regression_score;
             return if is_proven { Stage::Moving } else { Stage::RolledBack };
         }
         let (answers, regression_score) = PROVEN_LATE;
-        if tally.answered_new < answers && tally.elapsed + self.moving() < lasts {
+        if progress.answered_new < answers && progress.elapsed + self.moving() < lasts {
             return Stage::Trial;
         }
-        let beside = BESIDE_WORST * tally.total_regression_score;
-        match tally.elapsed >= latest && has_heard {
-            true if tally.answered_new >= answers
-                && tally.regression_score < regression_score.max(beside) =>
+        let beside = BESIDE_WORST * progress.total_regression_score;
+        match progress.elapsed >= latest && has_heard {
+            true if progress.answered_new >= answers
+                && progress.regression_score < regression_score.max(beside) =>
             {
                 Stage::Moving
             }
@@ -171,20 +171,20 @@
     }
 
     /// Returns whether so few requests come that the version could have all of them from now on.
-    fn is_little(&self, tally: &Tally) -> bool {
-        let all = self.expected(tally, self.order.lasts);
-        let left = (all - tally.sent as f64).max(0.0);
+    fn is_little(&self, progress: &RolloutProgress) -> bool {
+        let all = self.expected(progress, self.order.lasts);
+        let left = (all - progress.sent as f64).max(0.0);
         let RolloutTerms { share, slack } = self.terms;
-        tally.sent_new as f64 + LEFT_MARGIN * left <= EXPOSURE_FEW * (share * all + slack)
+        progress.sent_new as f64 + LEFT_MARGIN * left <= EXPOSURE_FEW * (share * all + slack)
     }
 
     /// Returns how many requests will have come when `until` is over.
-    fn expected(&self, tally: &Tally, until: Duration) -> f64 {
-        let elapsed = tally.elapsed.as_secs_f64();
+    fn expected(&self, progress: &RolloutProgress, until: Duration) -> f64 {
+        let elapsed = progress.elapsed.as_secs_f64();
         if elapsed <= 0.0 {
             return 0.0;
         }
-        tally.sent as f64 / elapsed * until.as_secs_f64()
+        progress.sent as f64 / elapsed * until.as_secs_f64()
     }
 
     /// Returns how long moving takes at least.
@@ -194,9 +194,9 @@
 
     /// Returns how many requests the version may get in a trial after which it gets all that are left: none where these are
     /// too many.
-    fn before_few(&self, tally: &Tally) -> f64 {
-        let all = self.expected(tally, self.order.lasts);
-        let left = self.expected(tally, self.moving());
+    fn before_few(&self, progress: &RolloutProgress) -> f64 {
+        let all = self.expected(progress, self.order.lasts);
+        let left = self.expected(progress, self.moving());
         EXPOSURE_FEW * (self.terms.share * all + self.terms.slack) - LEFT_MARGIN_TRIAL * left
     }
 
@@ -205,53 +205,53 @@
         self.exchange.mul_f64(EXCHANGES).max(STEP_MIN)
     }
 
-    fn has_moved(&self, tally: &Tally) -> bool {
+    fn has_moved(&self, progress: &RolloutProgress) -> bool {
         // Until then some send requests to servers that would stop.
-        let all_told = tally.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES / 2.0);
-        let all_counted = tally.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES);
-        let is_late = tally.elapsed >= self.order.lasts.mul_f64(WAITS);
-        let has_ended = all_counted && tally.under_way_old == 0;
-        tally.servers_new > 0 && all_told && (is_late || has_ended)
+        let all_told = progress.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES / 2.0);
+        let all_counted = progress.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES);
+        let is_late = progress.elapsed >= self.order.lasts.mul_f64(WAITS);
+        let has_ended = all_counted && progress.under_way_old == 0;
+        progress.servers_new > 0 && all_told && (is_late || has_ended)
     }
 
     /// Returns the share of the service's requests that go to the new version.
-    pub fn share(&self, stage: Stage, tally: &Tally) -> f64 {
+    pub fn share(&self, stage: Stage, progress: &RolloutProgress) -> f64 {
         match stage {
-            Stage::Trial => self.trial_share(tally),
-            Stage::Moving if tally.in_stage < self.step() => STEP_SHARE,
+            Stage::Trial => self.trial_share(progress),
+            Stage::Moving if progress.in_stage < self.step() => STEP_SHARE,
             Stage::Moving => 1.0,
             Stage::RolledBack => 0.0,
             Stage::Succeeded => 1.0,
         }
     }
 
-    fn trial_share(&self, tally: &Tally) -> f64 {
+    fn trial_share(&self, progress: &RolloutProgress) -> f64 {
         let RolloutTerms { share, slack } = self.terms;
-        let allowed = EXPOSURE_USED * (share * tally.sent as f64 + slack);
-        if tally.sent_new as f64 >= allowed {
+        let allowed = EXPOSURE_USED * (share * progress.sent as f64 + slack);
+        if progress.sent_new as f64 >= allowed {
             return 0.0;
         }
-        if tally.in_stage < RATE_KNOWN.0.max(self.exchange.mul_f64(RATE_KNOWN.1)) {
+        if progress.in_stage < RATE_KNOWN.0.max(self.exchange.mul_f64(RATE_KNOWN.1)) {
             return share * TRIAL_FIRST;
         }
         // What the trial may use, spread over the requests until it is decided one way or the other.
-        let all = self.expected(tally, self.order.lasts.mul_f64(MOVES.1)).max(1.0);
+        let all = self.expected(progress, self.order.lasts.mul_f64(MOVES.1)).max(1.0);
         let used = EXPOSURE_USED * (share * all + slack);
-        let few = self.before_few(tally);
+        let few = self.before_few(progress);
         let is_few = few >= TRIAL_FEW;
         let used = if is_few { used.min(few) } else { used };
-        if is_few && tally.sent_new as f64 >= used {
+        if is_few && progress.sent_new as f64 >= used {
             return 0.0;
         }
-        let left = (all - tally.sent as f64).max(1.0);
+        let left = (all - progress.sent as f64).max(1.0);
         let even = (used / all).clamp(share * TRIAL_FIRST, TRIAL_MAX);
-        ((used - tally.sent_new as f64) / left).clamp(even / TRIAL_SWING, even * TRIAL_SWING)
+        ((used - progress.sent_new as f64) / left).clamp(even / TRIAL_SWING, even * TRIAL_SWING)
     }
 
     /// Returns how many servers of the new version are used: as many as carry the requests at the load that the others
     /// have, so that a version that fails under load does so while few requests go there.
-    pub fn servers(&self, share: f64, tally: &Tally) -> usize {
-        let needed = (share * tally.servers_old as f64).ceil() as usize;
-        needed.max(SERVERS_MIN).min(tally.servers_new)
+    pub fn servers(&self, share: f64, progress: &RolloutProgress) -> usize {
+        let needed = (share * progress.servers_old as f64).ceil() as usize;
+        needed.max(SERVERS_MIN).min(progress.servers_new)
     }
 }
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -12,8 +12,8 @@
 use cartvane::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, Course, FailureDomains, RolloutEvidence, RolloutOrder, RolloutState,
-        RolloutStates, RolloutTerms, RunId, Stage, Tally, ToldRollout, VersionEvaluation,
+        AnswerSeen, FailureDomains, RolloutEvidence, RolloutOrder, RolloutProgress, RolloutState,
+        RolloutStates, RolloutTerms, RunId, Stage, StagePolicy, ToldRollout, VersionEvaluation,
     },
 };
 use fastrand::Rng;
@@ -289,9 +289,9 @@
     fn decide(&mut self, now: Instant) {
         let decider = &mut self.decider;
         let exchange = period(self.instances.len());
-        let course = Course { order: &self.order, terms: TERMS, exchange };
+        let course = StagePolicy { order: &self.order, terms: TERMS, exchange };
         let (sent, sent_new) = decider.judge.sent();
-        let tally = Tally {
+        let progress = RolloutProgress {
             elapsed: now - self.began,
             in_stage: now.saturating_duration_since(decider.stage_since),
             sent,
@@ -307,13 +307,13 @@
         let known = decider.states.of(&self.service, &self.to).map(|state| state.stage);
         let next = match known.filter(|stage| stage.is_final()) {
             Some(stage) => stage,
-            None => course.stage(decider.stage, &tally),
+            None => course.stage(decider.stage, &progress),
         };
         if next != decider.stage {
             (decider.stage, decider.stage_since) = (next, now);
         }
         self.recorded = self.recorded.max(next);
-        let share = course.share(next, &tally);
+        let share = course.share(next, &progress);
         let state = RolloutState {
             service: self.service.clone(),
             to: self.to.clone(),
@@ -321,7 +321,7 @@
             term: decider.term,
             step: u32::try_from((now - self.began).as_millis()).expect("a short day"),
             share,
-            servers: course.servers(share, &tally),
+            servers: course.servers(share, &progress),
             barred: Vec::new(),
             is_written: false,
         };
