--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -109,8 +109,8 @@
     }
 
     fn put_in_force(&self, gateway: &Gateway) {
-        let lanes = lock(&self.states).lanes();
-        lock(&gateway.picker).set_lanes(lanes);
+        let version_splits = lock(&self.states).version_splits();
+        lock(&gateway.picker).set_version_splits(version_splits);
     }
 
     /// Returns what other instances are told of roll-outs.
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -11,7 +11,7 @@
 use super::Picker;
 use crate::{
     names::{ServiceName, SoftwareVersion, Tag},
-    routing::{BackendServer, Lane, Wanted},
+    routing::{BackendServer, VersionSplit, Wanted},
 };
 
 /// Which servers a request may go to.
@@ -28,7 +28,7 @@
 /// The servers of a service whose version changes.
 #[derive(Debug)]
 pub(super) struct Versions {
-    lane: Lane,
+    lane: VersionSplit,
     /// Servers of the new version that are used.
     new: HashSet<Tag>,
     /// How many others there are.
@@ -37,9 +37,10 @@
 
 impl Picker {
     /// Sets which servers requests may go to, of services whose version changes.
-    pub fn set_lanes(&mut self, lanes: Vec<Lane>) {
-        let versions =
-            |lane: Lane| (lane.service.clone(), Versions { lane, new: HashSet::new(), others: 0 });
+    pub fn set_version_splits(&mut self, lanes: Vec<VersionSplit>) {
+        let versions = |lane: VersionSplit| {
+            (lane.service.clone(), Versions { lane, new: HashSet::new(), others: 0 })
+        };
         self.versions = lanes.into_iter().map(versions).collect();
         self.group_versions();
     }
--- a/src/routing/rollout/mod.rs
+++ b/src/routing/rollout/mod.rs
@@ -6,21 +6,21 @@
 //!
 //! `order` is what operators want. Each instance notes how both versions answer (`evidence`) and tells the one that
 //! collects reports, which judges (`evaluation`) and takes the roll-out through its stages (`stage_policy`), under a lease in the
-//! store (`record`). What it has decided travels to all instances (`state`), and `lane` says which servers a request may
+//! store (`record`). What it has decided travels to all instances (`state`), and `version_split` says which servers a request may
 //! go to.
 
 mod evaluation;
 mod evidence;
-mod lane;
 mod order;
 mod record;
 mod stage_policy;
 mod state;
+mod version_split;
 
 pub use evaluation::{FailureDomains, VersionEvaluation};
 pub use evidence::{AnswerSeen, RolloutEvidence, RolloutReport, TimeBin, ToldAnswers};
-pub use lane::Lane;
 pub use order::RolloutOrder;
 pub use record::{LEASE, RolloutRecord};
 pub use stage_policy::{RolloutProgress, RolloutTerms, StagePolicy};
 pub use state::{RolloutState, RolloutStates, Stage, ToldRollout};
+pub use version_split::VersionSplit;
--- a/src/routing/rollout/state.rs
+++ b/src/routing/rollout/state.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
-use super::{Lane, RolloutOrder, RolloutRecord};
+use super::{RolloutOrder, RolloutRecord, VersionSplit};
 use crate::names::{ServiceName, SoftwareVersion};
 
 /// How long the share of a trial holds after the instance that takes it further has said so: three exchanges. If that one
@@ -187,13 +187,13 @@
     }
 
     /// Returns which servers requests may go to, for each service with a roll-out.
-    pub fn lanes(&self) -> Vec<Lane> {
+    pub fn version_splits(&self) -> Vec<VersionSplit> {
         let services = self.orders.keys().chain(self.known.keys());
         let services: IndexSet<&ServiceName> = services.collect();
-        services.into_iter().map(|service| self.lane(service)).collect()
+        services.into_iter().map(|service| self.split(service)).collect()
     }
 
-    fn lane(&self, service: &ServiceName) -> Lane {
+    fn split(&self, service: &ServiceName) -> VersionSplit {
         let order = self.orders.get(service);
         let known = self.known.get(service);
         let mut barred = known.map_or_else(Vec::new, |known| known.state.barred.clone());
@@ -205,7 +205,7 @@
             // As others know it, who have seen its order.
             barred.push(former.state.to.clone());
         }
-        let mut lane = Lane {
+        let mut split = VersionSplit {
             service: service.clone(),
             to: order.map(|order| order.to.clone()),
             share: 0.0,
@@ -213,17 +213,17 @@
             servers: usize::MAX,
             barred,
         };
-        let Some(Known { state, as_of }) = current else { return lane };
-        (lane.share, lane.servers) = (state.share, state.servers);
+        let Some(Known { state, as_of }) = current else { return split };
+        (split.share, split.servers) = (state.share, state.servers);
         match state.stage {
-            Stage::Trial => lane.until = Some(*as_of + TRIAL_LIFE),
+            Stage::Trial => split.until = Some(*as_of + TRIAL_LIFE),
             Stage::Moving => {}
             Stage::RolledBack => {
-                lane.barred.push(state.to.clone());
-                lane.to = None;
+                split.barred.push(state.to.clone());
+                split.to = None;
             }
-            Stage::Succeeded => lane.to = None,
+            Stage::Succeeded => split.to = None,
         }
-        lane
+        split
     }
 }
--- a/src/routing/rollout/lane.rs
+++ b/src/routing/rollout/version_split.rs
@@ -6,7 +6,7 @@
 
 /// The rule for one service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Lane {
+pub struct VersionSplit {
     /// The service.
     pub service: ServiceName,
     /// Version whose servers get a share only; `None` where all that are not barred are equal.
@@ -21,7 +21,7 @@
     pub barred: Vec<SoftwareVersion>,
 }
 
-impl Lane {
+impl VersionSplit {
     /// Returns whether servers of a version get nothing.
     pub fn bars(&self, version: Option<&SoftwareVersion>) -> bool {
         version.is_some_and(|version| self.barred.contains(version))
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -252,10 +252,10 @@
         let number = self.rng.usize(..self.instances.len());
         let route = self.rng.usize(..ROUTES);
         let instance = &mut self.instances[number];
-        let lane = instance.states.lanes().pop().expect("a lane");
-        let share = if lane.bars(Some(&self.to)) { 0.0 } else { lane.share(now) };
+        let split = instance.states.version_splits().pop().expect("a lane");
+        let share = if split.bars(Some(&self.to)) { 0.0 } else { split.share(now) };
         let is_new = self.rng.f64() < share;
-        let server = self.rng.usize(..SERVERS.min(lane.servers.max(1)));
+        let server = self.rng.usize(..SERVERS.min(split.servers.max(1)));
         let seen =
             answer(&mut self.rng, &self.case, now - self.began, is_new.then_some(server), route);
         let version: SoftwareVersion =
