--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -77,10 +77,10 @@
             gateway.reader_wanted.set();
         }
     }
-    gateway.rollouts.take_told(gateway, &report.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &report.rollout_states, "peer");
     if asks == Asks::InTurn {
         let (node, run) = (&report.from.node, report.run);
-        gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
+        gateway.rollouts.apply_reports(gateway, node, run, report.rollouts);
     }
     let sums = sums(gateway, now);
     let told = knowledge.list_told(now, report.list);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -21,7 +21,7 @@
         answer::{AnswerNote, send_whole},
         http1::Conn,
     },
-    routing::{AnswerSeen, AnswerTimes, Incarnation, Picked, RouteKind, Wanted},
+    routing::{AnswerTimes, Incarnation, Picked, ResponseObservation, RouteKind, Wanted},
     utils::sync::lock,
 };
 
@@ -184,16 +184,16 @@
         let now = self.gateway.clock.now();
         let waited = self.sent_at.map(|at| now.saturating_duration_since(at));
         let seen = match (fault, waited) {
-            (AttemptFault::Garbage, _) => AnswerSeen::Failed,
-            (AttemptFault::HeadTimeout, Some(waited)) => AnswerSeen::Took(waited),
+            (AttemptFault::Garbage, _) => ResponseObservation::Failed,
+            (AttemptFault::HeadTimeout, Some(waited)) => ResponseObservation::Took(waited),
             _ => return,
         };
         self.note_version(picked, seen);
     }
 
     /// Notes what an answer says of the version of the server's software.
-    pub fn note_version(&self, picked: &Picked, seen: AnswerSeen) {
-        self.gateway.rollouts.note_answer(&self.request.route.name, &picked.server, seen);
+    pub fn note_version(&self, picked: &Picked, seen: ResponseObservation) {
+        self.gateway.rollouts.note_response(&self.request.route.name, &picked.server, seen);
     }
 
     fn note_lost(&mut self, picked: &Picked) {
@@ -402,7 +402,7 @@
         self.keep_connection(&picked.server.id, answer);
         if whole.status.is_server_error() {
             lock(&self.gateway.picker).bad(self.gateway.clock.now(), &picked.server.id);
-            self.note_version(&picked, AnswerSeen::Failed);
+            self.note_version(&picked, ResponseObservation::Failed);
             self.tries.answered_with_error(&picked.server.id);
             log::info!(
                 "event=server_error request={} server={} status={}",
@@ -415,7 +415,7 @@
         }
         self.note_good(&picked, times.0, times.1);
         let took = times.1.saturating_duration_since(times.0);
-        self.note_version(&picked, AnswerSeen::Took(took));
+        self.note_version(&picked, ResponseObservation::Took(took));
         Some(self.send_whole(conn, &whole, "answered"))
     }
 
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -13,8 +13,8 @@
     names::Tag,
     routing::{
         BudgetSum, Count, InstanceInfo, InstanceNews, ListNews, ListVersion, PackedChange,
-        RolloutReport, RunId, ServiceLoad, Spending, StoreEra, StoreVersion, ToldOrders,
-        ToldRollout, VerdictUpdate,
+        RolloutReport, RolloutUpdate, RunId, ServiceLoad, Spending, StoreEra, StoreVersion,
+        ToldOrders, VerdictUpdate,
     },
 };
 
@@ -45,7 +45,7 @@
     /// What it has seen of roll-outs.
     pub rollouts: Vec<RolloutReport>,
     /// How far roll-outs have come, as it knows it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// What it had at servers that ended, and what it knows of requests that end them.
     pub crash_suspects: CrashSuspectsReport,
     /// Version of the intent that it has in force.
@@ -84,7 +84,7 @@
     /// Operators' orders, as the other knows them.
     pub orders: ToldOrders,
     /// How far roll-outs have come, as the other knows it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// What is new in the list of servers.
     pub list: ListNews,
     /// Milliseconds since the list was current.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -428,7 +428,7 @@
 fn take(gateway: &Gateway, news: News, list: Option<ListVersion>, asked: Instant) {
     // Before an intent or a list by which the instance may become ready.
     gateway.take_orders(news.orders, "peer");
-    gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &news.rollout_states, "peer");
     intent_reader::take_changes(gateway, &news.changes);
     let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_keeper.rs
@@ -16,8 +16,8 @@
 use crate::{
     names::{ServiceName, SoftwareVersion},
     routing::{
-        LEASE, RolloutOrder, RolloutProgress, RolloutRecord, RolloutState, Stage, StagePolicy,
-        ToldRollout,
+        LEASE, RolloutOrder, RolloutProgress, RolloutRecord, RolloutState, RolloutUpdate, Stage,
+        StagePolicy,
     },
     utils::sync::lock,
 };
@@ -73,7 +73,7 @@
         }
         let orders = lock(&gateway.rollouts.states).orders().clone();
         let own = gateway.rollouts.reports(gateway);
-        gateway.rollouts.take_reports(gateway, &gateway.settings.node, gateway.peers.run, own);
+        gateway.rollouts.apply_reports(gateway, &gateway.settings.node, gateway.peers.run, own);
         for (service, order) in &orders {
             keep(gateway, &mut held, service, order);
         }
@@ -276,7 +276,7 @@
 }
 
 fn publish(gateway: &Gateway, state: RolloutState) {
-    gateway.rollouts.take_told(gateway, &[ToldRollout { state, age_ms: 0 }], "own");
+    gateway.rollouts.apply_updates(gateway, &[RolloutUpdate { state, age_ms: 0 }], "own");
 }
 
 fn progress(gateway: &Gateway, now: Instant, held: &Held) -> RolloutProgress {
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -14,8 +14,8 @@
 use crate::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, BackendServer, FailureDomains, RolloutEvidence, RolloutOrder, RolloutReport,
-        RolloutState, RolloutStates, RunId, Stage, ToldRollout, VersionEvaluation,
+        BackendServer, FailureDomains, ResponseObservation, RolloutEvidence, RolloutOrder,
+        RolloutReport, RolloutState, RolloutStates, RolloutUpdate, RunId, Stage, VersionEvaluation,
     },
     utils::{signal::Signal, sync::lock},
 };
@@ -79,7 +79,7 @@
     }
 
     /// Takes what another instance tells of roll-outs, or this one has decided.
-    pub fn take_told(&self, gateway: &Gateway, told: &[ToldRollout], source: &str) {
+    pub fn apply_updates(&self, gateway: &Gateway, told: &[RolloutUpdate], source: &str) {
         if told.is_empty() {
             return;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Returns what other instances are told of roll-outs.
-    pub fn told(&self, now: Instant) -> Vec<ToldRollout> {
+    pub fn told(&self, now: Instant) -> Vec<RolloutUpdate> {
         lock(&self.states).told(now)
     }
 
@@ -124,10 +124,10 @@
     }
 
     /// Notes what became of a request on a route at a server.
-    pub fn note_answer(&self, route: &str, server: &BackendServer, seen: AnswerSeen) {
+    pub fn note_response(&self, route: &str, server: &BackendServer, seen: ResponseObservation) {
         let version = server.version.as_ref();
         self.note(server, |evidence| {
-            evidence.note_answer(Tag::of(route), server.tag(), version, seen);
+            evidence.note_response(Tag::of(route), server.tag(), version, seen);
         });
     }
 
@@ -155,7 +155,7 @@
 
     /// Takes what an instance has seen; a version that is found bad gets nothing from then on, whoever holds its record in
     /// the store and whether that can be reached or not.
-    pub fn take_reports(
+    pub fn apply_reports(
         &self,
         gateway: &Gateway,
         node: &NodeName,
@@ -210,7 +210,7 @@
             }
         };
         log::warn!("event=version_is_bad service={service} to={to} doubt={regression_score:.1}");
-        self.take_told(gateway, &[ToldRollout { state, age_ms: 0 }], "own");
+        self.apply_updates(gateway, &[RolloutUpdate { state, age_ms: 0 }], "own");
         self.due.set();
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -18,7 +18,7 @@
         answer::{AnswerBody, AnswerNote, AnswerWriter},
         http1::Conn,
     },
-    routing::{AnswerSeen, EventSplitter, RouteKind},
+    routing::{EventSplitter, ResponseObservation, RouteKind},
 };
 
 /// Times the route's longest pause after which a stream that may be resumed is taken to another
@@ -154,11 +154,11 @@
     }
 
     /// Returns what the pace says of the server, whose last piece came at `end`.
-    fn seen(&self, end: Instant) -> AnswerSeen {
+    fn seen(&self, end: Instant) -> ResponseObservation {
         if self.pieces < PACE_PIECES {
-            return AnswerSeen::Untimed;
+            return ResponseObservation::Untimed;
         }
-        AnswerSeen::Took(end.saturating_duration_since(self.first) / self.pieces)
+        ResponseObservation::Took(end.saturating_duration_since(self.first) / self.pieces)
     }
 }
 
--- a/src/routing/rollout/evaluation.rs
+++ b/src/routing/rollout/evaluation.rs
@@ -12,7 +12,7 @@
 
 use indexmap::IndexMap;
 
-use super::{RolloutReport, TimeBin, ToldAnswers};
+use super::{ResponseCounts, RolloutReport, TimeBin};
 use crate::{
     names::{NodeName, SoftwareVersion, Tag},
     routing::RunId,
@@ -169,7 +169,8 @@
             |count: u64, of: fn(&RolloutReport) -> u64| count.saturating_sub(before.map_or(0, of));
         self.sent += since(report.sent, |before| before.sent);
         self.sent_new += since(report.sent_new, |before| before.sent_new);
-        let news: Vec<ToldAnswers> = report.answers.iter().map(|told| told.since(before)).collect();
+        let news: Vec<ResponseCounts> =
+            report.answers.iter().map(|told| told.since(before)).collect();
         self.reporters.insert(node.clone(), Reporter { at: now, run, report });
         for told in &news {
             self.count(now, told);
@@ -177,7 +178,7 @@
         self.judge(now);
     }
 
-    fn count(&mut self, now: Instant, told: &ToldAnswers) {
+    fn count(&mut self, now: Instant, told: &ResponseCounts) {
         let Some(server) = told.server else {
             self.old.entry(told.route).or_insert_with(|| OldAnswers::new(now)).add(&told.bins);
             return;
@@ -259,17 +260,17 @@
     }
 }
 
-impl ToldAnswers {
+impl ResponseCounts {
     /// Returns what has come since an earlier report.
-    fn since(&self, before: Option<&RolloutReport>) -> ToldAnswers {
-        let same = |told: &&ToldAnswers| told.route == self.route && told.server == self.server;
+    fn since(&self, before: Option<&RolloutReport>) -> ResponseCounts {
+        let same = |told: &&ResponseCounts| told.route == self.route && told.server == self.server;
         let known = before.and_then(|before| before.answers.iter().find(same));
         let count = |bin: TimeBin| {
             let bins = known.map_or(&[][..], |known| &known.bins);
             bins.iter().find(|(of, _)| *of == bin).map_or(0, |(_, count)| *count)
         };
         let bins = self.bins.iter().map(|&(bin, all)| (bin, all.saturating_sub(count(bin))));
-        ToldAnswers { bins: bins.filter(|(_, news)| *news > 0).collect(), ..*self }
+        ResponseCounts { bins: bins.filter(|(_, news)| *news > 0).collect(), ..*self }
     }
 }
 
--- a/src/routing/rollout/evidence.rs
+++ b/src/routing/rollout/evidence.rs
@@ -23,7 +23,7 @@
 
 /// What became of a request at a backend server, as far as it speaks for or against its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerSeen {
+pub enum ResponseObservation {
     /// It was answered well, or waited for, for so long: until the head of a plain answer, or between pieces of a stream.
     Took(Duration),
     /// It was answered well, and its time says nothing.
@@ -34,7 +34,7 @@
 
 /// Answers on one route, of one server of the new version or of all others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldAnswers {
+pub struct ResponseCounts {
     /// The route.
     pub route: Tag,
     /// The server; `None` for all of other versions.
@@ -57,7 +57,7 @@
     /// Requests under way at servers of other versions.
     pub under_way_old: u32,
     /// Answers.
-    pub answers: Vec<ToldAnswers>,
+    pub answers: Vec<ResponseCounts>,
 }
 
 /// One instance's own evidence on a roll-out.
@@ -88,12 +88,12 @@
     }
 }
 
-impl AnswerSeen {
+impl ResponseObservation {
     fn bin(self) -> TimeBin {
         match self {
-            AnswerSeen::Took(time) => TimeBin::of(time),
-            AnswerSeen::Untimed => TimeBin::UNTIMED,
-            AnswerSeen::Failed => TimeBin::FAILED,
+            ResponseObservation::Took(time) => TimeBin::of(time),
+            ResponseObservation::Untimed => TimeBin::UNTIMED,
+            ResponseObservation::Failed => TimeBin::FAILED,
         }
     }
 }
@@ -118,12 +118,12 @@
     }
 
     /// Notes what became of a request on a route at a server of that version.
-    pub fn note_answer(
+    pub fn note_response(
         &mut self,
         route: Tag,
         server: Tag,
         version: Option<&SoftwareVersion>,
-        seen: AnswerSeen,
+        seen: ResponseObservation,
     ) {
         let route = self.told_apart(route);
         let server = (version == Some(&self.to)).then_some(server);
@@ -146,7 +146,7 @@
     pub fn report(&self, service: &ServiceName, under_way_old: u32) -> RolloutReport {
         let told = |(&(route, server), bins): (&(Tag, Option<Tag>), &BTreeMap<TimeBin, u32>)| {
             let bins = bins.iter().map(|(&bin, &count)| (bin, count)).collect();
-            ToldAnswers { route, server, bins }
+            ResponseCounts { route, server, bins }
         };
         RolloutReport {
             service: service.clone(),
--- a/src/routing/rollout/mod.rs
+++ b/src/routing/rollout/mod.rs
@@ -18,9 +18,9 @@
 mod version_split;
 
 pub use evaluation::{FailureDomains, VersionEvaluation};
-pub use evidence::{AnswerSeen, RolloutEvidence, RolloutReport, TimeBin, ToldAnswers};
+pub use evidence::{ResponseCounts, ResponseObservation, RolloutEvidence, RolloutReport, TimeBin};
 pub use order::RolloutOrder;
 pub use record::{LEASE, RolloutRecord};
 pub use stage_policy::{RolloutProgress, RolloutTerms, StagePolicy};
-pub use state::{RolloutState, RolloutStates, Stage, ToldRollout};
+pub use state::{RolloutState, RolloutStates, RolloutUpdate, Stage};
 pub use version_split::VersionSplit;
--- a/src/routing/rollout/state.rs
+++ b/src/routing/rollout/state.rs
@@ -51,7 +51,7 @@
 
 /// A state as instances tell it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldRollout {
+pub struct RolloutUpdate {
     /// The state.
     pub state: RolloutState,
     /// Milliseconds since the instance that takes the roll-out further said so.
@@ -150,7 +150,7 @@
     }
 
     /// Takes what another instance tells, or this one has decided; returns the stage if that is another one.
-    pub fn take(&mut self, now: Instant, told: &ToldRollout) -> Option<Stage> {
+    pub fn take(&mut self, now: Instant, told: &RolloutUpdate) -> Option<Stage> {
         let as_of = now.checked_sub(Duration::from_millis(told.age_ms)).unwrap_or(now);
         let state = &told.state;
         let before = self.known.get(&state.service);
@@ -177,9 +177,9 @@
     }
 
     /// Returns what other instances are told.
-    pub fn told(&self, now: Instant) -> Vec<ToldRollout> {
+    pub fn told(&self, now: Instant) -> Vec<RolloutUpdate> {
         let age = |known: &Known| now.saturating_duration_since(known.as_of).as_millis();
-        let told = |known: &Known| ToldRollout {
+        let told = |known: &Known| RolloutUpdate {
             state: known.state.clone(),
             age_ms: u64::try_from(age(known)).unwrap_or(u64::MAX),
         };
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -12,8 +12,9 @@
 use cartvane::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, FailureDomains, RolloutEvidence, RolloutOrder, RolloutProgress, RolloutState,
-        RolloutStates, RolloutTerms, RunId, Stage, StagePolicy, ToldRollout, VersionEvaluation,
+        FailureDomains, ResponseObservation, RolloutEvidence, RolloutOrder, RolloutProgress,
+        RolloutState, RolloutStates, RolloutTerms, RolloutUpdate, RunId, Stage, StagePolicy,
+        VersionEvaluation,
     },
 };
 use fastrand::Rng;
@@ -261,7 +262,7 @@
         let version: SoftwareVersion =
             if is_new { self.to.clone() } else { "v1".parse().expect("a version") };
         instance.evidence.note_sent(Some(&version));
-        instance.evidence.note_answer(
+        instance.evidence.note_response(
             Tag(1 + route as u32),
             Tag(server as u32),
             Some(&version),
@@ -325,7 +326,7 @@
             barred: Vec::new(),
             is_written: false,
         };
-        decider.states.take(now, &ToldRollout { state, age_ms: 0 });
+        decider.states.take(now, &RolloutUpdate { state, age_ms: 0 });
     }
 
     fn exchange(&mut self, now: Instant) {
@@ -351,7 +352,7 @@
     elapsed: Duration,
     new: Option<usize>,
     route: usize,
-) -> (AnswerSeen, bool) {
+) -> (ResponseObservation, bool) {
     // Routes differ in time and in how often they fail whatever the version.
     let usual = Duration::from_millis(20 + 15 * route as u64);
     let fails = if route == 0 { 0.14 } else { 0.004 };
@@ -388,7 +389,7 @@
         Trouble::AllFailSuddenly(from) if is_now(from) => failed |= rng.f64() < 0.6,
         _ => {}
     }
-    (if failed { AnswerSeen::Failed } else { AnswerSeen::Took(took) }, is_bad)
+    (if failed { ResponseObservation::Failed } else { ResponseObservation::Took(took) }, is_bad)
 }
 
 /// Threads that play cases: few, as other tests of the suite run beside them and have promises in time to check.
