--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use super::{Gateway, peers, rollout_keeper, spread, start};
+use super::{Gateway, peers, rollout_controller, spread, start};
 use crate::{
     adapter::{
         calls::{INTENT_KEY, INTENT_TABLE},
@@ -30,7 +30,7 @@
         }
         tell_overdue(gateway, now);
         gateway.refresh_orders();
-        rollout_keeper::spawn_if_due(gateway);
+        rollout_controller::spawn_if_needed(gateway);
         let role = gateway.peers.watch_role(now);
         match knowledge.with_watch(|watch| watch.next(now, &role)) {
             WatchStep::Pause(time) => thread::sleep(time),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -25,7 +25,7 @@
 pub mod peers;
 pub mod reply;
 pub mod request;
-pub mod rollout_keeper;
+pub mod rollout_controller;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_controller.rs
@@ -46,15 +46,15 @@
 }
 
 /// Has roll-outs taken further as long as there are any; without one, an instance has no thread for them.
-pub fn spawn_if_due(gateway: &Arc<Gateway>) {
+pub fn spawn_if_needed(gateway: &Arc<Gateway>) {
     let rollouts = &gateway.rollouts;
-    if !rollouts.has_open() || rollouts.is_kept.swap(true, Ordering::Relaxed) {
+    if !rollouts.has_unfinished() || rollouts.is_controller_running.swap(true, Ordering::Relaxed) {
         return;
     }
     let keeping = Arc::clone(gateway);
     let spawned = thread::Builder::new().name("rollouts".to_owned()).spawn(move || run(&keeping));
     if let Err(fault) = spawned {
-        rollouts.is_kept.store(false, Ordering::Relaxed);
+        rollouts.is_controller_running.store(false, Ordering::Relaxed);
         log::error!("event=rollouts_not_kept reason={:?}", fault.to_string());
     }
 }
@@ -62,12 +62,12 @@
 /// Takes roll-outs further until all have come to their end.
 fn run(gateway: &Arc<Gateway>) {
     let mut held: IndexMap<ServiceName, Held> = IndexMap::new();
-    while gateway.rollouts.has_open() || !held.is_empty() {
-        let is_turn_yet = is_turn(gateway, gateway.clock.now());
-        gateway.rollouts.due.wait(if is_turn_yet { STEP } else { DEPUTY });
+    while gateway.rollouts.has_unfinished() || !held.is_empty() {
+        let is_turn_yet = is_controller(gateway, gateway.clock.now());
+        gateway.rollouts.wakeup.wait(if is_turn_yet { STEP } else { DEPUTY });
         let now = gateway.clock.now();
-        let is_turn = is_turn(gateway, now);
-        if !is_turn {
+        let is_controller = is_controller(gateway, now);
+        if !is_controller {
             held.clear();
             continue;
         }
@@ -75,19 +75,19 @@
         let own = gateway.rollouts.reports(gateway);
         gateway.rollouts.apply_reports(gateway, &gateway.settings.node, gateway.peers.run, own);
         for (service, order) in &orders {
-            keep(gateway, &mut held, service, order);
+            advance_service(gateway, &mut held, service, order);
         }
     }
-    gateway.rollouts.is_kept.store(false, Ordering::Relaxed);
+    gateway.rollouts.is_controller_running.store(false, Ordering::Relaxed);
 }
 
 /// Returns whether this is the instance that takes roll-outs further.
-fn is_turn(gateway: &Gateway, now: Instant) -> bool {
+fn is_controller(gateway: &Gateway, now: Instant) -> bool {
     let is_first = lock(&gateway.peers.candidates).first(now).is_none();
     is_first && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
 }
 
-fn keep(
+fn advance_service(
     gateway: &Gateway,
     held: &mut IndexMap<ServiceName, Held>,
     service: &ServiceName,
@@ -298,7 +298,7 @@
         servers_old,
         ..RolloutProgress::default()
     };
-    if let Some(judge) = lock(&gateway.rollouts.judges).get(&held.row.service)
+    if let Some(judge) = lock(&gateway.rollouts.evaluations).get(&held.row.service)
         && judge.to() == to
     {
         (progress.sent, progress.sent_new) = judge.sent();
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -26,12 +26,12 @@
     pub(super) states: Mutex<RolloutStates>,
     evidence: Mutex<IndexMap<ServiceName, RolloutEvidence>>,
     /// What all instances have told, where they turn to this one.
-    pub(super) judges: Mutex<IndexMap<ServiceName, VersionEvaluation>>,
+    pub(super) evaluations: Mutex<IndexMap<ServiceName, VersionEvaluation>>,
     /// Is set when there is something new to do for the instance that takes roll-outs further.
-    pub(super) due: Signal,
+    pub(super) wakeup: Signal,
     is_noting: AtomicBool,
     /// Whether a thread takes roll-outs further.
-    pub(super) is_kept: AtomicBool,
+    pub(super) is_controller_running: AtomicBool,
 }
 
 impl Rollouts {
@@ -50,7 +50,7 @@
         }
         self.begin_evidence(orders);
         self.put_in_force(gateway);
-        self.due.set();
+        self.wakeup.set();
         true
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Returns whether a roll-out has not come to its end, or operators cannot read yet that it has.
-    pub fn has_open(&self) -> bool {
+    pub fn has_unfinished(&self) -> bool {
         let states = lock(&self.states);
         let is_open = |(service, order): (&ServiceName, &RolloutOrder)| {
             !states.of(service, &order.to).is_some_and(RolloutState::is_done)
@@ -172,10 +172,11 @@
             if !is_ordered {
                 continue;
             }
-            let mut judges = lock(&self.judges);
+            let mut evaluations = lock(&self.evaluations);
             let to = report.to.clone();
-            let judge =
-                judges.entry(service.clone()).or_insert_with(|| VersionEvaluation::new(to.clone()));
+            let judge = evaluations
+                .entry(service.clone())
+                .or_insert_with(|| VersionEvaluation::new(to.clone()));
             if *judge.to() != to {
                 *judge = VersionEvaluation::new(to.clone());
             }
@@ -185,7 +186,7 @@
                 continue;
             }
             let regression_score = judge.regression_score();
-            drop(judges);
+            drop(evaluations);
             self.roll_back(gateway, &service, &to, regression_score);
         }
     }
@@ -211,7 +212,7 @@
         };
         log::warn!("event=version_is_bad service={service} to={to} doubt={regression_score:.1}");
         self.apply_updates(gateway, &[RolloutUpdate { state, age_ms: 0 }], "own");
-        self.due.set();
+        self.wakeup.set();
     }
 }
 
