--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -20,7 +20,7 @@
     cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
     intent_reader,
     messages::{Asks, ConfirmedAgo, News, Report},
-    rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
+    rollout_table::{ROLLOUT_PATH, RolloutTableReply, RolloutTableRequest},
     roster_reader,
     settings::GatewaySettings,
     spread::{OFFER_PATH, Offer, OfferReply},
@@ -192,11 +192,15 @@
     }
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
-    pub fn ask_helper_for_rollouts(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
+    pub fn ask_helper_for_rollouts(
+        &self,
+        now: Instant,
+        ask: &RolloutTableRequest,
+    ) -> Option<RolloutTableReply> {
         for _ in 0..helper::ASKED {
             let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
             match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, ask) {
-                Ok(TableReply::Failed(reason)) => {
+                Ok(RolloutTableReply::Failed(reason)) => {
                     log::info!("event=no_help peer={} reason={reason:?}", helper.node);
                 }
                 Ok(reply) => return Some(reply),
--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Gateway,
-    rollout_table::{RecordRow, TableAsk, TableReply, perform},
+    rollout_table::{RecordRow, RolloutTableReply, RolloutTableRequest, perform},
 };
 use crate::{
     names::{ServiceName, SoftwareVersion},
@@ -115,8 +115,8 @@
         (states.of(service, &order.to).cloned(), states.term(service))
     };
     let began = gateway.clock.now();
-    let (rows, now_ms) = match perform(gateway, &TableAsk::Read) {
-        TableReply::Read { rows, now_ms } => (rows, now_ms),
+    let (rows, now_ms) = match perform(gateway, &RolloutTableRequest::Read) {
+        RolloutTableReply::Read { rows, now_ms } => (rows, now_ms),
         other => {
             log::info!("event=rollouts_unread reason={other:?}");
             return None;
@@ -167,8 +167,8 @@
     let (at, ms) = held.clock;
     let since = began.saturating_duration_since(at).as_millis();
     held.row.record.renewed_ms = ms.saturating_add(u64::try_from(since).unwrap_or(u64::MAX));
-    match perform(gateway, &TableAsk::Write(held.row.clone())) {
-        TableReply::Written(version) => {
+    match perform(gateway, &RolloutTableRequest::Write(held.row.clone())) {
+        RolloutTableReply::Written(version) => {
             held.row.version = version;
             held.renewed = began;
             true
--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -31,7 +31,7 @@
 
 /// What is wanted of the table.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum TableAsk {
+pub enum RolloutTableRequest {
     /// All records.
     Read,
     /// That a record is written, with what operators read of it, if its row has the version that it had when it was read; 0
@@ -41,7 +41,7 @@
 
 /// What has come of it.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum TableReply {
+pub enum RolloutTableReply {
     /// The records.
     Read {
         /// Records by service.
@@ -58,34 +58,37 @@
 }
 
 /// Does what is wanted, by another instance where the store turns this one away.
-pub fn perform(gateway: &Gateway, ask: &TableAsk) -> TableReply {
-    match perform_here(gateway, ask) {
+pub fn perform(gateway: &Gateway, request: &RolloutTableRequest) -> RolloutTableReply {
+    match perform_here(gateway, request) {
         Err(fault @ StoreFault::NotDone(_)) => {
             gateway.store_failed("rollouts", &fault);
-            let helped = gateway.peers.ask_helper_for_rollouts(gateway.clock.now(), ask);
-            helped.unwrap_or_else(|| TableReply::Failed(fault.to_string()))
+            let helped = gateway.peers.ask_helper_for_rollouts(gateway.clock.now(), request);
+            helped.unwrap_or_else(|| RolloutTableReply::Failed(fault.to_string()))
         }
         Ok(reply) => reply,
-        Err(fault) => TableReply::Failed(fault.to_string()),
+        Err(fault) => RolloutTableReply::Failed(fault.to_string()),
     }
 }
 
 /// Does what another instance wants.
-pub fn perform_for_another(gateway: &Gateway, ask: &TableAsk) -> TableReply {
-    let reply = perform_here(gateway, ask);
-    reply.unwrap_or_else(|fault| TableReply::Failed(fault.to_string()))
+pub fn perform_for_another(gateway: &Gateway, request: &RolloutTableRequest) -> RolloutTableReply {
+    let reply = perform_here(gateway, request);
+    reply.unwrap_or_else(|fault| RolloutTableReply::Failed(fault.to_string()))
 }
 
-fn perform_here(gateway: &Gateway, ask: &TableAsk) -> Result<TableReply, StoreFault> {
-    match ask {
-        TableAsk::Read => {
+fn perform_here(
+    gateway: &Gateway,
+    request: &RolloutTableRequest,
+) -> Result<RolloutTableReply, StoreFault> {
+    match request {
+        RolloutTableRequest::Read => {
             let read = gateway.store.rows(ROLLOUT_TABLE)?;
             let rows = read.rows.iter().filter_map(decode_row).collect();
-            Ok(TableReply::Read { rows, now_ms: read.now_ms })
+            Ok(RolloutTableReply::Read { rows, now_ms: read.now_ms })
         }
-        TableAsk::Write(row) => match write(gateway, row) {
-            Ok(version) => Ok(TableReply::Written(version)),
-            Err(StoreFault::Conflict) => Ok(TableReply::Conflict),
+        RolloutTableRequest::Write(row) => match write(gateway, row) {
+            Ok(version) => Ok(RolloutTableReply::Written(version)),
+            Err(StoreFault::Conflict) => Ok(RolloutTableReply::Conflict),
             Err(fault) => Err(fault),
         },
     }
