--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -16,8 +16,8 @@
 use crate::{
     names::{ServiceName, SoftwareVersion},
     routing::{
-        LEASE, RolloutOrder, RolloutProgress, RolloutRecord, RolloutState, RolloutUpdate, Stage,
-        StagePolicy,
+        ROLLOUT_LEASE, RolloutOrder, RolloutProgress, RolloutRecord, RolloutState, RolloutUpdate,
+        Stage, StagePolicy,
     },
     utils::sync::lock,
 };
@@ -184,8 +184,8 @@
 /// Takes a roll-out one step further; returns whether the record is still held.
 fn step(gateway: &Gateway, held: &mut Held, order: &RolloutOrder) -> bool {
     let now = gateway.clock.now();
-    let (terms, exchange) = (gateway.settings.bounds.rollouts, gateway.peers.period());
-    let course = StagePolicy { order, terms, exchange };
+    let (exposure_limit, exchange) = (gateway.settings.bounds.rollouts, gateway.peers.period());
+    let course = StagePolicy { order, exposure_limit, exchange };
     let progress = progress(gateway, now, held);
     let service = held.row.service.clone();
     let decided = lock(&gateway.rollouts.states).of(&service, &order.to).map(|known| known.stage);
@@ -229,7 +229,7 @@
     }
     let share = (course.share(next, &progress) / SHARE_STEP).round() * SHARE_STEP;
     let servers = course.servers(share, &progress);
-    let is_fresh = gateway.clock.now().saturating_duration_since(held.renewed) < LEASE;
+    let is_fresh = gateway.clock.now().saturating_duration_since(held.renewed) < ROLLOUT_LEASE;
     if is_fresh {
         publish(gateway, state(held, next, share, servers));
     }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     names::{NodeName, RegionName, ZoneName},
-    routing::{RolloutTerms, StoreRates, budget::BudgetTerms, roster_watch},
+    routing::{ExposureLimit, StoreRates, budget::BudgetTerms, roster_watch},
 };
 
 /// Everything an instance needs to know to start.
@@ -72,7 +72,7 @@
     /// Most load of an engine, as a multiple of its service's mean.
     pub load: f64,
     /// What a bad version may get of its service's requests.
-    pub rollouts: RolloutTerms,
+    pub rollouts: ExposureLimit,
     /// The fleet's retry budget.
     pub retries: BudgetTerms,
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -61,9 +61,9 @@
 pub use pick::{Crowded, Picked, Unpicked, Wanted};
 pub use picker::Picker;
 pub use rollout::{
-    FailureDomains, LEASE, ResponseObservation, RolloutEvidence, RolloutOrder, RolloutProgress,
-    RolloutRecord, RolloutReport, RolloutState, RolloutStates, RolloutTerms, RolloutUpdate, Stage,
-    StagePolicy, VersionEvaluation, VersionSplit,
+    ExposureLimit, FailureDomains, ROLLOUT_LEASE, ResponseObservation, RolloutEvidence,
+    RolloutOrder, RolloutProgress, RolloutRecord, RolloutReport, RolloutState, RolloutStates,
+    RolloutUpdate, Stage, StagePolicy, VersionEvaluation, VersionSplit,
 };
 pub use roster::{BackendServer, Roster};
 pub use roster_watch::{RosterRole, RosterStep, RosterWatch};
--- a/src/routing/rollout/record.rs
+++ b/src/routing/rollout/record.rs
@@ -9,7 +9,7 @@
 
 /// How long the instance that takes a roll-out further holds it after it has last said so in the store; another one may
 /// take it over then. Three renewals, so that one that is lost changes nothing.
-pub const LEASE: Duration = Duration::from_millis(3000);
+pub const ROLLOUT_LEASE: Duration = Duration::from_millis(3000);
 
 /// A roll-out as the store keeps it, in a row of its service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     /// store does.
     pub fn is_held_by_another(&self, node: &NodeName, now_ms: u64) -> bool {
         let age = Duration::from_millis(now_ms.saturating_sub(self.renewed_ms));
-        self.holder != *node && self.renewed_ms <= now_ms && age < LEASE
+        self.holder != *node && self.renewed_ms <= now_ms && age < ROLLOUT_LEASE
     }
 
     /// Returns the record of a new order, which `holder` takes up, after the record of the one before.
--- a/src/routing/rollout/stage_policy.rs
+++ b/src/routing/rollout/stage_policy.rs
@@ -73,7 +73,7 @@
 
 /// What operators allow a bad version to get.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RolloutTerms {
+pub struct ExposureLimit {
     /// Part of all requests of its service from the order until its time is over.
     pub share: f64,
     /// Requests beyond that.
@@ -113,7 +113,7 @@
     /// The order.
     pub order: &'o RolloutOrder,
     /// What operators allow.
-    pub terms: RolloutTerms,
+    pub exposure_limit: ExposureLimit,
     /// Pause between two exchanges of an instance.
     pub exchange: Duration,
 }
@@ -174,7 +174,7 @@
     fn is_little(&self, progress: &RolloutProgress) -> bool {
         let all = self.expected(progress, self.order.lasts);
         let left = (all - progress.sent as f64).max(0.0);
-        let RolloutTerms { share, slack } = self.terms;
+        let ExposureLimit { share, slack } = self.exposure_limit;
         progress.sent_new as f64 + LEFT_MARGIN * left <= EXPOSURE_FEW * (share * all + slack)
     }
 
@@ -197,7 +197,8 @@
     fn before_few(&self, progress: &RolloutProgress) -> f64 {
         let all = self.expected(progress, self.order.lasts);
         let left = self.expected(progress, self.moving());
-        EXPOSURE_FEW * (self.terms.share * all + self.terms.slack) - LEFT_MARGIN_TRIAL * left
+        EXPOSURE_FEW * (self.exposure_limit.share * all + self.exposure_limit.slack)
+            - LEFT_MARGIN_TRIAL * left
     }
 
     /// Returns how long the first step lasts.
@@ -226,7 +227,7 @@
     }
 
     fn trial_share(&self, progress: &RolloutProgress) -> f64 {
-        let RolloutTerms { share, slack } = self.terms;
+        let ExposureLimit { share, slack } = self.exposure_limit;
         let allowed = EXPOSURE_USED * (share * progress.sent as f64 + slack);
         if progress.sent_new as f64 >= allowed {
             return 0.0;
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -12,8 +12,8 @@
 use cartvane::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        FailureDomains, ResponseObservation, RolloutEvidence, RolloutOrder, RolloutProgress,
-        RolloutState, RolloutStates, RolloutTerms, RolloutUpdate, RunId, Stage, StagePolicy,
+        ExposureLimit, FailureDomains, ResponseObservation, RolloutEvidence, RolloutOrder,
+        RolloutProgress, RolloutState, RolloutStates, RolloutUpdate, RunId, Stage, StagePolicy,
         VersionEvaluation,
     },
 };
@@ -21,7 +21,7 @@
 use indexmap::IndexMap;
 
 /// What operators allow: a part of all requests, and some beyond.
-const TERMS: RolloutTerms = RolloutTerms { share: 0.1, slack: 50.0 };
+const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit { share: 0.1, slack: 50.0 };
 
 /// Time after its 50th bad answer in which a bad version may get requests: half of what operators allow.
 const ROLLED_BACK_IN: Duration = Duration::from_millis(2500);
@@ -290,7 +290,7 @@
     fn decide(&mut self, now: Instant) {
         let decider = &mut self.decider;
         let exchange = period(self.instances.len());
-        let course = StagePolicy { order: &self.order, terms: TERMS, exchange };
+        let course = StagePolicy { order: &self.order, exposure_limit: EXPOSURE_LIMIT, exchange };
         let (sent, sent_new) = decider.judge.sent();
         let progress = RolloutProgress {
             elapsed: now - self.began,
@@ -508,8 +508,10 @@
         };
         (seed, case)
     });
-    let over =
-        |came: &Came| came.exposed as f64 >= (TERMS.share * came.sent as f64 + TERMS.slack) / 2.0;
+    let over = |came: &Came| {
+        came.exposed as f64
+            >= (EXPOSURE_LIMIT.share * came.sent as f64 + EXPOSURE_LIMIT.slack) / 2.0
+    };
     let played = play(cases.collect());
     let over: Vec<_> = played.iter().filter(|(.., came)| over(came)).collect();
     assert!(over.is_empty(), "{} of 200: {over:?}", over.len());
@@ -548,7 +550,7 @@
         }
     }
     for (seed, case, came) in play(cases) {
-        let allowed = (TERMS.share * came.sent as f64 + TERMS.slack) / 2.0;
+        let allowed = (EXPOSURE_LIMIT.share * came.sent as f64 + EXPOSURE_LIMIT.slack) / 2.0;
         assert!((came.exposed as f64) < allowed, "{seed} {case:?} {came:?} allowed {allowed}");
         assert_eq!(came.late, 0, "{seed} {case:?} {came:?}");
         assert_eq!(came.stage, Some(Stage::RolledBack), "{seed} {case:?} {came:?}");
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -8,7 +8,7 @@
         GatewayHandle,
         settings::{Addresses, Bounds, GatewaySettings, RosterSource},
     },
-    routing::{RolloutTerms, StoreRates, budget::BudgetTerms},
+    routing::{ExposureLimit, StoreRates, budget::BudgetTerms},
     units::Rate,
 };
 use serde_json::{Value, json};
@@ -57,7 +57,7 @@
             grace: Duration::from_secs(8),
             intent_in_force: Duration::from_millis(800),
             load: 2.0,
-            rollouts: RolloutTerms { share: 0.1, slack: 50.0 },
+            rollouts: ExposureLimit { share: 0.1, slack: 50.0 },
             retries: BudgetTerms { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) },
         },
     }
