--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -282,7 +282,7 @@
 fn progress(gateway: &Gateway, now: Instant, held: &Held) -> RolloutProgress {
     let record = &held.row.record;
     let (at, ms) = held.clock;
-    let before = Duration::from_millis(ms.saturating_sub(record.since_ms));
+    let before = Duration::from_millis(ms.saturating_sub(record.first_seen_ms));
     let to = &record.order.to;
     let (servers_new, servers_old) = gateway.knowledge.with_servers(|roster| {
         let servers = roster.servers().filter(|s| s.service == held.row.service && !s.leaving);
--- a/src/routing/rollout/order.rs
+++ b/src/routing/rollout/order.rs
@@ -12,5 +12,5 @@
     /// The version.
     pub to: SoftwareVersion,
     /// Time from the order within which the version has taken over or is rolled back.
-    pub lasts: Duration,
+    pub time_limit: Duration,
 }
--- a/src/routing/rollout/record.rs
+++ b/src/routing/rollout/record.rs
@@ -17,7 +17,7 @@
     /// The order.
     pub order: RolloutOrder,
     /// When it was first seen, by the store's clock in milliseconds.
-    pub since_ms: u64,
+    pub first_seen_ms: u64,
     /// How far it has come.
     pub stage: Stage,
     /// Fencing number: grows with each instance that takes it over.
@@ -53,6 +53,14 @@
         barred.dedup();
         let term = former.map_or(1, |former| former.term + 1);
         let stage = Stage::Trial;
-        RolloutRecord { order, since_ms: now_ms, stage, term, holder, renewed_ms: now_ms, barred }
+        RolloutRecord {
+            order,
+            first_seen_ms: now_ms,
+            stage,
+            term,
+            holder,
+            renewed_ms: now_ms,
+            barred,
+        }
     }
 }
--- a/src/routing/rollout/stage_policy.rs
+++ b/src/routing/rollout/stage_policy.rs
@@ -130,16 +130,16 @@
     }
 
     fn after_trial(&self, progress: &RolloutProgress) -> Stage {
-        let lasts = self.order.lasts;
+        let time_limit = self.order.time_limit;
         if progress.servers_new == 0 {
-            return if progress.elapsed < lasts { Stage::Trial } else { Stage::RolledBack };
+            return if progress.elapsed < time_limit { Stage::Trial } else { Stage::RolledBack };
         }
         if progress.servers_old == 0 {
             // Whatever runs is of the version that is wanted.
             return Stage::Moving;
         }
-        let earliest = lasts.mul_f64(MOVES.0).max(lasts.saturating_sub(MOVING_TIME));
-        let latest = lasts.mul_f64(MOVES.1);
+        let earliest = time_limit.mul_f64(MOVES.0).max(time_limit.saturating_sub(MOVING_TIME));
+        let latest = time_limit.mul_f64(MOVES.1);
         let (answers, regression_score) = PROVEN;
         let is_proven =
             progress.answered_new >= answers && progress.total_regression_score < regression_score;
@@ -155,7 +155,7 @@
             return if is_proven { Stage::Moving } else { Stage::RolledBack };
         }
         let (answers, regression_score) = PROVEN_LATE;
-        if progress.answered_new < answers && progress.elapsed + self.moving() < lasts {
+        if progress.answered_new < answers && progress.elapsed + self.moving() < time_limit {
             return Stage::Trial;
         }
         let beside = BESIDE_WORST * progress.total_regression_score;
@@ -172,7 +172,7 @@
 
     /// Returns whether so few requests come that the version could have all of them from now on.
     fn is_little(&self, progress: &RolloutProgress) -> bool {
-        let all = self.expected(progress, self.order.lasts);
+        let all = self.expected(progress, self.order.time_limit);
         let left = (all - progress.sent as f64).max(0.0);
         let ExposureLimit { share, slack } = self.exposure_limit;
         progress.sent_new as f64 + LEFT_MARGIN * left <= EXPOSURE_FEW * (share * all + slack)
@@ -195,7 +195,7 @@
     /// Returns how many requests the version may get in a trial after which it gets all that are left: none where these are
     /// too many.
     fn before_few(&self, progress: &RolloutProgress) -> f64 {
-        let all = self.expected(progress, self.order.lasts);
+        let all = self.expected(progress, self.order.time_limit);
         let left = self.expected(progress, self.moving());
         EXPOSURE_FEW * (self.exposure_limit.share * all + self.exposure_limit.slack)
             - LEFT_MARGIN_TRIAL * left
@@ -210,7 +210,7 @@
         // Until then some send requests to servers that would stop.
         let all_told = progress.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES / 2.0);
         let all_counted = progress.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES);
-        let is_late = progress.elapsed >= self.order.lasts.mul_f64(WAITS);
+        let is_late = progress.elapsed >= self.order.time_limit.mul_f64(WAITS);
         let has_ended = all_counted && progress.under_way_old == 0;
         progress.servers_new > 0 && all_told && (is_late || has_ended)
     }
@@ -236,7 +236,7 @@
             return share * TRIAL_FIRST;
         }
         // What the trial may use, spread over the requests until it is decided one way or the other.
-        let all = self.expected(progress, self.order.lasts.mul_f64(MOVES.1)).max(1.0);
+        let all = self.expected(progress, self.order.time_limit.mul_f64(MOVES.1)).max(1.0);
         let used = EXPOSURE_USED * (share * all + slack);
         let few = self.before_few(progress);
         let is_few = few >= TRIAL_FEW;
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -31,7 +31,7 @@
 
 fn orders() -> ToldOrders {
     let rollout =
-        RolloutOrder { to: "v2".parse().expect("a version"), lasts: Duration::from_secs(12) };
+        RolloutOrder { to: "v2".parse().expect("a version"), time_limit: Duration::from_secs(12) };
     ToldOrders {
         as_of: store(),
         zones: ["north".parse().expect("a zone")].into(),
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -30,11 +30,11 @@
 };
 
 /// Time that operators give a roll-out.
-const LASTS: Duration = Duration::from_secs(12);
+const TIME_LIMIT: Duration = Duration::from_secs(12);
 
 /// Time that operators give a good version, and callers that ask meanwhile: a version needs forty answers, of a twenty-fifth of the
 /// requests on a machine on which a request takes a tenth of a second.
-const GOOD_LASTS: Duration = Duration::from_secs(18);
+const GOOD_TIME_LIMIT: Duration = Duration::from_secs(18);
 const GOOD_CALLERS: usize = 24;
 
 /// Time in which all instances stop by themselves, if word of the verdict is lost: for so long a share that was told holds.
@@ -97,11 +97,11 @@
 impl Versions {
     /// Orders a roll-out to v2, whose servers are listed right after.
     fn order(&mut self, fault: Option<Fault>) -> Instant {
-        self.order_for(LASTS, fault)
+        self.order_for(TIME_LIMIT, fault)
     }
 
-    fn order_for(&mut self, lasts: Duration, fault: Option<Fault>) -> Instant {
-        let order = json!({"service": "app", "to": "v2", "duration_s": lasts.as_secs_f64()});
+    fn order_for(&mut self, time_limit: Duration, fault: Option<Fault>) -> Instant {
+        let order = json!({"service": "app", "to": "v2", "duration_s": time_limit.as_secs_f64()});
         self.store.put("op", "rollout/app", &order);
         self.new = servers(&self.store, "v2");
         self.new.iter().for_each(|server| server.faults.set_standing(fault));
@@ -163,7 +163,7 @@
 fn a_good_version_takes_over_in_time_and_no_request_is_lost() {
     let mut versions = start(3);
     let load = versions.load_at(0, GOOD_CALLERS);
-    let ordered = versions.order_for(GOOD_LASTS, None);
+    let ordered = versions.order_for(GOOD_TIME_LIMIT, None);
     eventually("it runs", || versions.state() == "running");
     eventually("it has come to its end", || versions.state() != "running");
     assert_eq!(
@@ -172,7 +172,7 @@
         "{}",
         log_lines::with(&["rollout", "version_is_bad", "version_not_taken"])
     );
-    assert!(ordered.elapsed() < GOOD_LASTS);
+    assert!(ordered.elapsed() < GOOD_TIME_LIMIT);
     // As the platform does: the old servers stop without a word.
     versions.old.iter().for_each(|server| versions.store.remove("servers", &server.id));
     assert!(
@@ -194,10 +194,10 @@
     let load = versions.load();
     let ordered = versions.order(Some(fault));
     eventually("it is rolled back", || versions.state() == "rolled_back");
-    assert!(ordered.elapsed() < LASTS);
+    assert!(ordered.elapsed() < TIME_LIMIT);
     thread::sleep(STOPS);
     let reached = versions.arrivals();
-    thread::sleep(LASTS.saturating_sub(ordered.elapsed()));
+    thread::sleep(TIME_LIMIT.saturating_sub(ordered.elapsed()));
     let (old, new) = versions.arrivals();
     assert_eq!(new, reached.1, "nothing goes there once it is rolled back");
     let allowed = EXPOSURE_MAX.0 * (old + new) as f64 + EXPOSURE_MAX.1;
@@ -293,7 +293,7 @@
 fn an_order_goes_on_where_something_is_written_over_it_that_is_not_understood() {
     let (now, service) = (Instant::now(), ServiceName::from_str("app").expect("a name"));
     let as_of = |counter| StoreVersion { era: StoreEra(1), counter };
-    let order = RolloutOrder { to: "v2".parse().expect("a version"), lasts: LASTS };
+    let order = RolloutOrder { to: "v2".parse().expect("a version"), time_limit: TIME_LIMIT };
     let ordered = OrderChange::Rollout { service: service.clone(), order: Some(order.clone()) };
     let mut known = OperatorOrders::default();
     assert!(known.take(now, ToldOrders::read(as_of(4), [ordered])));
@@ -328,7 +328,7 @@
 #[test]
 fn a_version_that_another_order_replaces_gets_nothing_more() {
     gets_nothing_after(|versions| {
-        let order = json!({"service": "app", "to": "v3", "duration_s": LASTS.as_secs_f64()});
+        let order = json!({"service": "app", "to": "v3", "duration_s": TIME_LIMIT.as_secs_f64()});
         versions.store.put("op", "rollout/app", &order);
     });
 }
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -29,7 +29,7 @@
 /// Bad answers from which that time counts.
 const BAD_MIN: usize = 50;
 
-const LASTS: Duration = Duration::from_secs(12);
+const TIME_LIMIT: Duration = Duration::from_secs(12);
 
 /// Time that trouble of the whole fleet lasts.
 const SUDDEN_LASTS: Duration = Duration::from_millis(2500);
@@ -164,7 +164,7 @@
         let mut rng = Rng::with_seed(seed);
         let service: ServiceName = "llm".parse().expect("a name");
         let to: SoftwareVersion = "v2".parse().expect("a version");
-        let order = RolloutOrder { to: to.clone(), lasts: LASTS };
+        let order = RolloutOrder { to: to.clone(), time_limit: TIME_LIMIT };
         let orders: IndexMap<ServiceName, RolloutOrder> = [(service.clone(), order.clone())].into();
         let instances = (0..case.instances).map(|number| {
             let mut states = RolloutStates::default();
@@ -199,7 +199,7 @@
 
     fn run(mut self) -> Came {
         let mut now = self.began;
-        let end = self.began + LASTS + Duration::from_secs(3);
+        let end = self.began + TIME_LIMIT + Duration::from_secs(3);
         while now < end {
             now += TICK;
             self.trouble_collector(now);
@@ -268,13 +268,13 @@
             Some(&version),
             seen.0,
         );
-        if now - self.began <= LASTS {
+        if now - self.began <= TIME_LIMIT {
             self.came.sent += 1;
         }
         if !is_new {
             return;
         }
-        if now - self.began <= LASTS {
+        if now - self.began <= TIME_LIMIT {
             self.came.exposed += 1;
         }
         if self.case.badness != Badness::None {
