--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -118,19 +118,19 @@
         Some(cleared)
     }
 
-    /// Notes that the connection to a server ended with the request under way there; `ran_on` says whether it had run
+    /// Notes that the connection to a server ended with the request under way there; `long_running` says whether it had run
     /// there for a while.
     pub fn note_disconnect(
         &self,
         gateway: &Gateway,
         request: &Request,
         picked: &Picked,
-        ran_on: bool,
+        long_running: bool,
     ) {
         let now = gateway.clock.now();
         let suspect =
-            Suspect { fingerprint: request.fingerprint(), digest: request.digest(), ran_on };
-        if self.has_ended(gateway, &picked.server) {
+            Suspect { fingerprint: request.fingerprint(), digest: request.digest(), long_running };
+        if self.has_crashed(gateway, &picked.server) {
             self.note_crash(now, &picked.server.id, &picked.server.service, suspect);
         }
     }
@@ -152,9 +152,9 @@
 
     /// Finds out whether a server whose connection ended has ended itself: then its address refuses connections. A
     /// server that leaves as it said ends too, with what it had not finished.
-    fn has_ended(&self, gateway: &Gateway, server: &BackendServer) -> bool {
+    fn has_crashed(&self, gateway: &Gateway, server: &BackendServer) -> bool {
         let now = gateway.clock.now();
-        if let Some(known) = lock(&self.ends).has_ended(now, &server.id) {
+        if let Some(known) = lock(&self.ends).has_crashed(now, &server.id) {
             return known;
         }
         let is_used = gateway.knowledge.with_servers(|roster| {
@@ -181,15 +181,15 @@
     /// Returns what this instance tells the one that collects reports.
     pub fn report(&self, now: Instant) -> CrashSuspectsReport {
         CrashSuspectsReport {
-            ends: lock(&self.ends).untold(now),
+            ends: lock(&self.ends).unreported(now),
             cleared: lock(&self.cleared).clone(),
             verdicts: self.verdict_updates(now),
         }
     }
 
     /// Notes that the instance `to` has taken a report.
-    pub fn note_told(&self, to: RunId, report: &CrashSuspectsReport) {
-        lock(&self.ends).note_told(to, &report.ends);
+    pub fn mark_reported(&self, to: RunId, report: &CrashSuspectsReport) {
+        lock(&self.ends).mark_reported(to, &report.ends);
         lock(&self.cleared).retain(|digest| !report.cleared.contains(digest));
     }
 
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -293,7 +293,7 @@
     }
     let report = crash_suspects.report(now);
     crash_suspects.apply_report(now, &report);
-    crash_suspects.note_told(gateway.peers.run, &report);
+    crash_suspects.mark_reported(gateway.peers.run, &report);
     crash_suspects.watch(now, &crash_suspects.watched(now));
     if crash_suspects.is_alert(now) {
         crash_suspects.alert(now);
@@ -385,7 +385,7 @@
         news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
     gateway.crash_suspects.apply_verdicts(told, &lasting, "peer");
     if in_turn {
-        gateway.crash_suspects.note_told(news.run, &report.crash_suspects);
+        gateway.crash_suspects.mark_reported(news.run, &report.crash_suspects);
         gateway.crash_suspects.watch(told, &watched);
         if news.servers_end {
             gateway.crash_suspects.alert(told);
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -143,12 +143,12 @@
             let at = now.checked_sub(Duration::from_millis(end.age_ms)).unwrap_or(now);
             let new = || End { at, service: end.service.clone() };
             self.ends.entry(end.server).or_insert_with(new);
-            for suspect in &end.under {
+            for suspect in &end.in_flight {
                 self.blame(now, end, suspect, at);
             }
         }
         let mut touched = std::mem::take(&mut self.pending);
-        touched.extend(told.iter().flat_map(|end| &end.under).map(|suspect| suspect.digest));
+        touched.extend(told.iter().flat_map(|end| &end.in_flight).map(|suspect| suspect.digest));
         let judged = touched.into_iter().filter_map(|digest| self.judge(now, digest));
         let findings: Vec<Finding> = judged.collect();
         for finding in &findings {
@@ -200,7 +200,7 @@
         let blamed = self.suspects.entry(suspect.digest).or_insert_with(new);
         blamed.first = blamed.first.min(at);
         blamed.last = blamed.last.max(at);
-        let blame = if suspect.ran_on { RAN_ON_BLAME } else { 1.0 };
+        let blame = if suspect.long_running { RAN_ON_BLAME } else { 1.0 };
         match blamed.servers.iter_mut().find(|known| known.server == end.server) {
             Some(known) => {
                 known.blame = known.blame.max(blame);
--- a/src/routing/crash_suspects/server_crashes.rs
+++ b/src/routing/crash_suspects/server_crashes.rs
@@ -34,7 +34,7 @@
     /// The request.
     pub digest: RequestDigest,
     /// Whether it had run there for a while: the server did not end as it began to run it.
-    pub ran_on: bool,
+    pub long_running: bool,
 }
 
 /// An end of a server, as instances tell each other of it.
@@ -47,14 +47,14 @@
     /// Milliseconds since it ended.
     pub age_ms: u64,
     /// Requests that the teller had there.
-    pub under: Vec<Suspect>,
+    pub in_flight: Vec<Suspect>,
 }
 
 #[derive(Debug)]
 struct End {
     at: Instant,
     service: ServiceName,
-    under: Vec<Suspect>,
+    in_flight: Vec<Suspect>,
     /// How many of them have been told.
     told: usize,
 }
@@ -64,12 +64,12 @@
 pub struct ServerCrashes {
     ends: IndexMap<Tag, End>,
     alive: HashMap<Tag, Instant>,
-    told_to: Option<RunId>,
+    reported_to: Option<RunId>,
 }
 
 impl ServerCrashes {
     /// Returns whether a server whose connection ended has ended itself, where that was found out a moment ago.
-    pub fn has_ended(&self, now: Instant, server: &Incarnation) -> Option<bool> {
+    pub fn has_crashed(&self, now: Instant, server: &Incarnation) -> Option<bool> {
         let tag = server.tag();
         if self.ends.contains_key(&tag) {
             return Some(true);
@@ -93,45 +93,46 @@
         suspect: Suspect,
     ) {
         self.ends.retain(|_, end| now.saturating_duration_since(end.at) < KEPT_FOR);
-        let mut kept: usize = self.ends.values().map(|end| end.under.len()).sum();
+        let mut kept: usize = self.ends.values().map(|end| end.in_flight.len()).sum();
         while kept >= KEPT_MAX {
             let oldest = self.ends.shift_remove_index(0);
-            kept -= oldest.map_or(kept, |(_, end)| end.under.len());
+            kept -= oldest.map_or(kept, |(_, end)| end.in_flight.len());
         }
-        let new = || End { at: now, service: service.clone(), under: Vec::new(), told: 0 };
-        self.ends.entry(server.tag()).or_insert_with(new).under.push(suspect);
+        let new = || End { at: now, service: service.clone(), in_flight: Vec::new(), told: 0 };
+        self.ends.entry(server.tag()).or_insert_with(new).in_flight.push(suspect);
     }
 
     /// Returns what has not been told yet, oldest first.
-    pub fn untold(&self, now: Instant) -> Vec<CrashReport> {
+    pub fn unreported(&self, now: Instant) -> Vec<CrashReport> {
         let mut left = TOLD_MAX;
         let mut news = Vec::new();
         for (server, end) in &self.ends {
-            let under: Vec<Suspect> = end.under.iter().skip(end.told).take(left).copied().collect();
-            if under.is_empty() {
+            let in_flight: Vec<Suspect> =
+                end.in_flight.iter().skip(end.told).take(left).copied().collect();
+            if in_flight.is_empty() {
                 continue;
             }
-            left -= under.len();
+            left -= in_flight.len();
             let age = now.saturating_duration_since(end.at).as_millis();
             news.push(CrashReport {
                 server: *server,
                 service: end.service.clone(),
                 age_ms: u64::try_from(age).unwrap_or(u64::MAX),
-                under,
+                in_flight,
             });
         }
         news
     }
 
     /// Notes that `to` has taken a report; to one that has just begun to collect, all is told again.
-    pub fn note_told(&mut self, to: RunId, news: &[CrashReport]) {
-        if self.told_to != Some(to) {
+    pub fn mark_reported(&mut self, to: RunId, news: &[CrashReport]) {
+        if self.reported_to != Some(to) {
             self.ends.values_mut().for_each(|end| end.told = 0);
-            self.told_to = Some(to);
+            self.reported_to = Some(to);
         }
         for said in news {
             if let Some(end) = self.ends.get_mut(&said.server) {
-                end.told = (end.told + said.under.len()).min(end.under.len());
+                end.told = (end.told + said.in_flight.len()).min(end.in_flight.len());
             }
         }
     }
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -16,16 +16,16 @@
     RequestFingerprint(request as u32)
 }
 
-fn suspect(request: u64, ran_on: bool) -> Suspect {
-    Suspect { fingerprint: fingerprint(request), digest: RequestDigest(request), ran_on }
+fn suspect(request: u64, long_running: bool) -> Suspect {
+    Suspect { fingerprint: fingerprint(request), digest: RequestDigest(request), long_running }
 }
 
-fn end(name: &str, under: impl IntoIterator<Item = Suspect>) -> CrashReport {
+fn end(name: &str, in_flight: impl IntoIterator<Item = Suspect>) -> CrashReport {
     CrashReport {
         server: server(name).tag(),
         service: "app".parse().expect("a name"),
         age_ms: 0,
-        under: under.into_iter().collect(),
+        in_flight: in_flight.into_iter().collect(),
     }
 }
 
@@ -73,10 +73,11 @@
     for (what, servers, wanted) in cases {
         let mut collector = CrashAttribution::default();
         let mut last = Vec::new();
-        for (number, (begun, ran_on)) in servers.into_iter().enumerate() {
+        for (number, (begun, long_running)) in servers.into_iter().enumerate() {
             let begun = begun.into_iter().map(|request| suspect(request, false));
-            let ran_on = ran_on.into_iter().map(|request| suspect(request, true));
-            last = found(&mut collector, now, &end(&format!("s{number}"), begun.chain(ran_on)));
+            let long_running = long_running.into_iter().map(|request| suspect(request, true));
+            last =
+                found(&mut collector, now, &end(&format!("s{number}"), begun.chain(long_running)));
         }
         assert_eq!(last, wanted, "{what}");
     }
@@ -88,9 +89,9 @@
     let now = Instant::now();
     let mut collector = CrashAttribution::default();
     for number in 0..20 {
-        let under = if number % 8 == 0 { vec![suspect(1, false)] } else { Vec::new() };
+        let in_flight = if number % 8 == 0 { vec![suspect(1, false)] } else { Vec::new() };
         assert_eq!(
-            found(&mut collector, now, &end(&format!("s{number}"), under)),
+            found(&mut collector, now, &end(&format!("s{number}"), in_flight)),
             Vec::<u64>::new()
         );
     }
@@ -161,15 +162,15 @@
     let mut ends = ServerCrashes::default();
     let service = "app".parse().expect("a name");
     ends.note(now, &server("a"), &service, suspect(1, false));
-    let news = ends.untold(now);
+    let news = ends.unreported(now);
     assert_eq!(news.len(), 1);
-    ends.note_told(RunId(1), &news);
-    assert!(ends.untold(now).is_empty());
+    ends.mark_reported(RunId(1), &news);
+    assert!(ends.unreported(now).is_empty());
     ends.note(now, &server("b"), &service, suspect(1, false));
-    let news = ends.untold(now);
+    let news = ends.unreported(now);
     assert_eq!(news.len(), 1);
-    ends.note_told(RunId(2), &news);
-    let again = ends.untold(now + Duration::from_secs(3));
+    ends.mark_reported(RunId(2), &news);
+    let again = ends.unreported(now + Duration::from_secs(3));
     assert_eq!(again.iter().map(|told| told.server).collect::<Vec<_>>(), [server("a").tag()]);
     assert_eq!(again[0].age_ms, 3000);
 }
--- a/tests/suite/deadly_drawn.rs
+++ b/tests/suite/deadly_drawn.rs
@@ -167,7 +167,7 @@
             let suspect = Suspect {
                 fingerprint,
                 digest,
-                ran_on: flight.first.saturating_add(RUN_ON) <= step,
+                long_running: flight.first.saturating_add(RUN_ON) <= step,
             };
             let now = self.now(step);
             self.nodes[flight.instance].note_crash(now, &id, &self.service, suspect);
@@ -197,7 +197,7 @@
         collector.apply_report(now, &report);
         let (lasting, watched) = (collector.report(now).verdicts, collector.watched(now));
         self.nodes[node].apply_verdicts(now, &lasting, "peer");
-        self.nodes[node].note_told(RunId(self.collector as u64), &report);
+        self.nodes[node].mark_reported(RunId(self.collector as u64), &report);
         self.nodes[node].watch(now, &watched);
         if self.nodes[self.collector].is_alert(now) {
             self.nodes[node].alert(now);
