--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -98,7 +98,7 @@
             store: confirmed.store,
         }),
         orders: knowledge.orders_told(),
-        rollout_states: gateway.rollouts.told(now),
+        rollout_states: gateway.rollouts.updates(now),
         list: told.news,
         list_age_ms: told.age.map(millis),
         list_era: told.era,
--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -238,7 +238,7 @@
 
     /// Returns what is held back, or was until lately.
     pub fn verdict_updates(&self, now: Instant) -> Vec<VerdictUpdate> {
-        lock(&self.verdicts).told(now)
+        lock(&self.verdicts).updates(now)
     }
 
     /// Returns how many requests are held back.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -368,7 +368,7 @@
         crash_suspects,
         spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
         rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
-        rollout_states: gateway.rollouts.told(asked),
+        rollout_states: gateway.rollouts.updates(asked),
         version,
         // An instance that starts takes what it can get, and so does one that asks.
         wants_intent: !in_turn || version == 0,
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -114,8 +114,8 @@
     }
 
     /// Returns what other instances are told of roll-outs.
-    pub fn told(&self, now: Instant) -> Vec<RolloutUpdate> {
-        lock(&self.states).told(now)
+    pub fn updates(&self, now: Instant) -> Vec<RolloutUpdate> {
+        lock(&self.states).updates(now)
     }
 
     /// Notes a request sent to a server.
--- a/src/routing/crash_suspects/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -164,7 +164,7 @@
     }
 
     /// Returns what is held back, or was until lately, for other instances.
-    pub fn told(&mut self, now: Instant) -> Vec<VerdictUpdate> {
+    pub fn updates(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         let before = self.known.len();
         self.known
             .retain(|_, known| now.saturating_duration_since(known.since) < known.judgement.life());
--- a/src/routing/rollout/state.rs
+++ b/src/routing/rollout/state.rs
@@ -177,7 +177,7 @@
     }
 
     /// Returns what other instances are told.
-    pub fn told(&self, now: Instant) -> Vec<RolloutUpdate> {
+    pub fn updates(&self, now: Instant) -> Vec<RolloutUpdate> {
         let age = |known: &Known| now.saturating_duration_since(known.as_of).as_millis();
         let told = |known: &Known| RolloutUpdate {
             state: known.state.clone(),
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -139,19 +139,19 @@
     assert!(holds(&verdicts, now, 1) && !holds(&verdicts, now, 2));
     assert!(holds(&verdicts, now + HELD_FOR - minute * 2, 1));
     assert!(!holds(&verdicts, now + HELD_FOR, 1));
-    assert_eq!(verdicts.told(now)[0].age_ms, 60_000);
-    assert!(verdicts.told(now + HELD_FOR).is_empty() && verdicts.is_idle());
+    assert_eq!(verdicts.updates(now)[0].age_ms, 60_000);
+    assert!(verdicts.updates(now + HELD_FOR).is_empty() && verdicts.is_idle());
     verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
     verdicts.clear(now, RequestDigest(1));
     assert!(verdicts.take(now, &[verdict(1, Judgement::Held, minute)]).is_empty());
     assert!(!holds(&verdicts, now, 1));
     // What ends servers though it was cleared is held back again.
     let later = now + minute * 2;
-    verdicts.told(later);
+    verdicts.updates(later);
     verdicts.take(later, &[verdict(1, Judgement::Held, Duration::ZERO)]);
     assert!(holds(&verdicts, later, 1));
     verdicts.take(now, &(0..1000).map(|n| verdict(n, Judgement::Held, minute)).collect::<Vec<_>>());
-    assert!(verdicts.told(now).len() <= 128);
+    assert!(verdicts.updates(now).len() <= 128);
 }
 
 // The instance that collected the reports was killed: what it had been told of ends was lost with it, and the request
@@ -230,5 +230,5 @@
     assert_eq!(plan.write, [row(1, 1500 + whole), row(3, 1500 + whole)]);
     let mut verdicts = Verdicts::default();
     verdicts.take(now, &[held(3)]);
-    assert!(watch.is_read() && !watch.is_idle(&verdicts.told(now)));
+    assert!(watch.is_read() && !watch.is_idle(&verdicts.updates(now)));
 }
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_drawn.rs
@@ -239,7 +239,7 @@
             && now >= *until
         {
             // It wakes and says what it believed, to some that ask it first.
-            let told = former.states.told(now);
+            let told = former.states.updates(now);
             for instance in self.instances.iter_mut().step_by(3) {
                 for told in &told {
                     instance.states.take(now, told);
@@ -334,11 +334,11 @@
         for instance in self.instances.iter_mut().filter(|instance| instance.reports_at <= now) {
             instance.reports_at = now + period.mul_f64(0.9 + 0.2 * self.rng.f64());
             let report = instance.evidence.report(&self.service, 0);
-            for told in instance.states.told(now) {
+            for told in instance.states.updates(now) {
                 self.decider.states.take(now, &told);
             }
             self.decider.judge.take(now, &instance.node, RunId(1), report);
-            for told in self.decider.states.told(now) {
+            for told in self.decider.states.updates(now) {
                 instance.states.take(now, &told);
             }
         }
