--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -13,7 +13,8 @@
     },
     configs::fleet::chunks::{decode, encode},
     routing::{
-        HeldRow, RequestFingerprint, TablePlan, TableWatch, crash_suspects::digest::DigestError,
+        HeldRow, HeldTablePlan, HeldTableSync, RequestFingerprint,
+        crash_suspects::digest::DigestError,
     },
     utils::sync::lock,
 };
@@ -34,7 +35,7 @@
 
 /// Keeps the table until the process ends, as long as this is the instance to which all turn.
 pub fn run(gateway: &Arc<Gateway>) {
-    let mut watch = TableWatch::new(gateway.settings.first_start);
+    let mut sync = HeldTableSync::new(gateway.settings.first_start);
     loop {
         gateway.crash_suspects.verdicts_changed.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
@@ -42,7 +43,7 @@
         if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
             continue;
         }
-        if let Err(fault) = keep(gateway, &mut watch) {
+        if let Err(fault) = keep(gateway, &mut sync) {
             log::info!("event=held_table_unread reason={:?}", fault.to_string());
             thread::sleep(RETRY_PAUSE);
             gateway.crash_suspects.verdicts_changed.set();
@@ -51,29 +52,29 @@
 }
 
 /// Brings table and verdicts in line.
-fn keep(gateway: &Gateway, watch: &mut TableWatch) -> Result<(), StoreFault> {
+fn keep(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreFault> {
     let crash_suspects = &gateway.crash_suspects;
     let known = crash_suspects.verdict_updates(gateway.clock.now());
-    if watch.is_idle(&known) {
+    if sync.is_idle(&known) {
         return Ok(());
     }
     let read = gateway.store.rows(HELD_TABLE)?;
-    watch.note_era(read.version.era);
+    sync.note_era(read.version.era);
     let rows: Vec<HeldRow> = read.rows.iter().filter_map(decode_row).collect();
-    let plan = watch.plan(read.now_ms, &rows, &known);
+    let plan = sync.plan(read.now_ms, &rows, &known);
     let now = gateway.clock.now();
-    crash_suspects.apply_verdicts(now, &plan.learnt, "store");
+    crash_suspects.apply_verdicts(now, &plan.adopted, "store");
     for digest in &plan.lifted {
         log::warn!("event=request_lifted digest={digest}");
         crash_suspects.lift(now, *digest);
     }
     write(gateway, &plan)?;
-    watch.carried_out(&rows, &plan);
+    sync.mark_applied(&rows, &plan);
     crash_suspects.note_table_read();
     Ok(())
 }
 
-fn write(gateway: &Gateway, plan: &TablePlan) -> Result<(), StoreFault> {
+fn write(gateway: &Gateway, plan: &HeldTablePlan) -> Result<(), StoreFault> {
     if plan.write.is_empty() && plan.remove.is_empty() {
         return Ok(());
     }
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -9,7 +9,7 @@
 
 use super::{
     CrashReport, RequestDigest, RequestFingerprint, Suspect, VerdictUpdate,
-    verdicts::{CLEARED_FOR, Judgement},
+    verdicts::{CLEARED_DURATION, Judgement},
 };
 use crate::names::{ServiceName, Tag};
 
@@ -258,7 +258,7 @@
             self.ends.shift_remove_index(0);
         }
         self.suspects.retain(|_, blamed| !is_old(blamed.last, END_LIFE));
-        self.cleared.retain(|_, at| !is_old(*at, CLEARED_FOR));
+        self.cleared.retain(|_, at| !is_old(*at, CLEARED_DURATION));
         let mut watched: Vec<(&RequestDigest, &SuspectRecord)> = self.suspects.iter().collect();
         watched.retain(|(_, b)| b.blame() >= WATCHED_FROM && !is_old(b.last, WATCHED_FOR));
         watched.sort_by_key(|(_, blamed)| Reverse(blamed.rank()));
--- a/src/routing/crash_suspects/mod.rs
+++ b/src/routing/crash_suspects/mod.rs
@@ -19,5 +19,5 @@
 pub use fingerprint::RequestFingerprint;
 pub use recent_successes::RecentSuccesses;
 pub use server_crashes::{CrashReport, ServerCrashes, Suspect};
-pub use table::{HeldRow, TablePlan, TableWatch};
+pub use table::{HeldRow, HeldTablePlan, HeldTableSync};
 pub use verdicts::{Judgement, VerdictUpdate, Verdicts};
--- a/src/routing/crash_suspects/table.rs
+++ b/src/routing/crash_suspects/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::{Judgement, RequestDigest, RequestFingerprint, VerdictUpdate, verdicts::HELD_FOR};
+use super::{Judgement, RequestDigest, RequestFingerprint, VerdictUpdate, verdicts::HOLD_DURATION};
 use crate::routing::StoreEra;
 
 /// A row of the table.
@@ -18,9 +18,9 @@
 
 /// What is to be done.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct TablePlan {
+pub struct HeldTablePlan {
     /// Verdicts that the table tells.
-    pub learnt: Vec<VerdictUpdate>,
+    pub adopted: Vec<VerdictUpdate>,
     /// Requests whose rows somebody has removed.
     pub lifted: Vec<RequestDigest>,
     /// Rows to write.
@@ -31,7 +31,7 @@
 
 /// What the instance to which all turn knows of the table.
 #[derive(Debug)]
-pub struct TableWatch {
+pub struct HeldTableSync {
     is_read: bool,
     /// Era of the store of the rows seen.
     era: StoreEra,
@@ -42,23 +42,23 @@
 impl HeldRow {
     fn verdict(&self, now_ms: u64) -> Option<VerdictUpdate> {
         let left = self.until_ms.checked_sub(now_ms).filter(|left| *left > 0)?;
-        let whole = u64::try_from(HELD_FOR.as_millis()).unwrap_or(u64::MAX);
+        let whole = u64::try_from(HOLD_DURATION.as_millis()).unwrap_or(u64::MAX);
         let age_ms = whole.saturating_sub(left);
         let HeldRow { digest, fingerprint, .. } = *self;
         Some(VerdictUpdate { digest, fingerprint, judgement: Judgement::Held, age_ms })
     }
 
     fn of(told: &VerdictUpdate, now_ms: u64) -> HeldRow {
-        let whole = u64::try_from(HELD_FOR.as_millis()).unwrap_or(u64::MAX);
+        let whole = u64::try_from(HOLD_DURATION.as_millis()).unwrap_or(u64::MAX);
         let until_ms = now_ms + whole.saturating_sub(told.age_ms);
         HeldRow { digest: told.digest, fingerprint: told.fingerprint, until_ms }
     }
 }
 
-impl TableWatch {
+impl HeldTableSync {
     /// Returns the watch of an instance that has just started; `is_empty` says that there can be no rows yet.
-    pub fn new(is_empty: bool) -> TableWatch {
-        TableWatch { is_read: is_empty, era: StoreEra::default(), seen: HashSet::new() }
+    pub fn new(is_empty: bool) -> HeldTableSync {
+        HeldTableSync { is_read: is_empty, era: StoreEra::default(), seen: HashSet::new() }
     }
 
     /// Returns whether the table need not be looked at: it has been read, and nothing is held back.
@@ -81,14 +81,14 @@
     }
 
     /// Returns what is to be done where the table has those rows at `now_ms`, and those verdicts are known.
-    pub fn plan(&self, now_ms: u64, rows: &[HeldRow], known: &[VerdictUpdate]) -> TablePlan {
-        let mut plan = TablePlan::default();
+    pub fn plan(&self, now_ms: u64, rows: &[HeldRow], known: &[VerdictUpdate]) -> HeldTablePlan {
+        let mut plan = HeldTablePlan::default();
         let judgement = |digest| known.iter().find(|t| t.digest == digest).map(|t| t.judgement);
         for row in rows {
             match (row.verdict(now_ms), judgement(row.digest)) {
                 (None, _) | (_, Some(Judgement::Cleared)) => plan.remove.push(row.digest),
                 (Some(_), Some(_)) => {}
-                (Some(told), None) => plan.learnt.push(told),
+                (Some(told), None) => plan.adopted.push(told),
             }
         }
         for told in known.iter().filter(|told| told.judgement == Judgement::Held) {
@@ -105,7 +105,7 @@
     }
 
     /// Notes that a plan for those rows has been carried out.
-    pub fn carried_out(&mut self, rows: &[HeldRow], plan: &TablePlan) {
+    pub fn mark_applied(&mut self, rows: &[HeldRow], plan: &HeldTablePlan) {
         self.is_read = true;
         let there = rows.iter().chain(&plan.write).map(|row| row.digest);
         self.seen = there.filter(|digest| !plan.remove.contains(digest)).collect();
--- a/src/routing/crash_suspects/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -12,11 +12,11 @@
 
 /// How long a request is held back: time for operators to see it, and a bound on what a wrong verdict costs. One that
 /// still ends servers after that ends three more in ten minutes.
-pub const HELD_FOR: Duration = Duration::from_secs(600);
+pub const HOLD_DURATION: Duration = Duration::from_secs(600);
 
 /// How long it counts that a request was cleared: late news of ends before that change nothing, and one that ends servers
 /// all the same is held back again.
-pub const CLEARED_FOR: Duration = Duration::from_secs(60);
+pub const CLEARED_DURATION: Duration = Duration::from_secs(60);
 
 /// Most verdicts kept, and told in a message: 3 KB.
 const KEPT_MAX: usize = 128;
@@ -35,8 +35,8 @@
 impl Judgement {
     fn life(self) -> Duration {
         match self {
-            Judgement::Watched | Judgement::Held => HELD_FOR,
-            Judgement::Cleared => CLEARED_FOR,
+            Judgement::Watched | Judgement::Held => HOLD_DURATION,
+            Judgement::Cleared => CLEARED_DURATION,
         }
     }
 }
@@ -84,7 +84,7 @@
     ) -> Option<(RequestDigest, Duration)> {
         let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         let verdict = self.known.get(&digest).filter(|known| known.judgement == Judgement::Held)?;
-        let left = HELD_FOR.checked_sub(now.saturating_duration_since(verdict.since))?;
+        let left = HOLD_DURATION.checked_sub(now.saturating_duration_since(verdict.since))?;
         Some((digest, left))
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -40,8 +40,9 @@
 pub use candidates::{Candidates, InstanceInfo};
 pub use cold::{ColdGranters, ColdGrants, ColdTerms};
 pub use crash_suspects::{
-    CrashAttribution, CrashReport, Finding, HeldRow, Judgement, RecentSuccesses, RequestDigest,
-    RequestFingerprint, ServerCrashes, Suspect, TablePlan, TableWatch, VerdictUpdate, Verdicts,
+    CrashAttribution, CrashReport, Finding, HeldRow, HeldTablePlan, HeldTableSync, Judgement,
+    RecentSuccesses, RequestDigest, RequestFingerprint, ServerCrashes, Suspect, VerdictUpdate,
+    Verdicts,
 };
 pub use events::EventSplitter;
 pub use fleet_budget::{BudgetSum, FleetBudget, RunId, Spending, ToldSpent};
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use cartvane::routing::{
-    CrashAttribution, CrashReport, HeldRow, Incarnation, Judgement, RecentSuccesses, RequestDigest,
-    RequestFingerprint, RunId, ServerCrashes, StoreEra, Suspect, TablePlan, TableWatch,
-    VerdictUpdate, Verdicts, crash_suspects::verdicts::HELD_FOR,
+    CrashAttribution, CrashReport, HeldRow, HeldTablePlan, HeldTableSync, Incarnation, Judgement,
+    RecentSuccesses, RequestDigest, RequestFingerprint, RunId, ServerCrashes, StoreEra, Suspect,
+    VerdictUpdate, Verdicts, crash_suspects::verdicts::HOLD_DURATION,
 };
 
 fn server(name: &str) -> Incarnation {
@@ -135,12 +135,12 @@
     assert!(verdicts.is_idle());
     let minute = Duration::from_secs(60);
     verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
-    verdicts.take(now, &[verdict(2, Judgement::Held, HELD_FOR)]);
+    verdicts.take(now, &[verdict(2, Judgement::Held, HOLD_DURATION)]);
     assert!(holds(&verdicts, now, 1) && !holds(&verdicts, now, 2));
-    assert!(holds(&verdicts, now + HELD_FOR - minute * 2, 1));
-    assert!(!holds(&verdicts, now + HELD_FOR, 1));
+    assert!(holds(&verdicts, now + HOLD_DURATION - minute * 2, 1));
+    assert!(!holds(&verdicts, now + HOLD_DURATION, 1));
     assert_eq!(verdicts.updates(now)[0].age_ms, 60_000);
-    assert!(verdicts.updates(now + HELD_FOR).is_empty() && verdicts.is_idle());
+    assert!(verdicts.updates(now + HOLD_DURATION).is_empty() && verdicts.is_idle());
     verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
     verdicts.clear(now, RequestDigest(1));
     assert!(verdicts.take(now, &[verdict(1, Judgement::Held, minute)]).is_empty());
@@ -203,27 +203,27 @@
 #[test]
 fn the_table_and_the_verdicts_are_brought_in_line() {
     let now = Instant::now();
-    let whole = HELD_FOR.as_millis() as u64;
+    let whole = HOLD_DURATION.as_millis() as u64;
     let held = |request: u64| verdict(request, Judgement::Held, Duration::ZERO);
     let row = |request: u64, until_ms: u64| HeldRow {
         digest: RequestDigest(request),
         fingerprint: fingerprint(request),
         until_ms,
     };
-    let mut watch = TableWatch::new(false);
+    let mut watch = HeldTableSync::new(false);
     assert!(!watch.is_idle(&[]), "it has not been read");
     let rows = [row(1, 1000 + whole / 2), row(2, 999)];
     let plan = watch.plan(1000, &rows, &[held(3)]);
-    assert_eq!(plan.learnt, [verdict(1, Judgement::Held, HELD_FOR / 2)]);
+    assert_eq!(plan.adopted, [verdict(1, Judgement::Held, HOLD_DURATION / 2)]);
     assert_eq!(plan.remove, [RequestDigest(2)]);
     assert_eq!(plan.write, [row(3, 1000 + whole)]);
-    watch.carried_out(&rows, &plan);
+    watch.mark_applied(&rows, &plan);
     let rows = [row(1, 1000 + whole / 2)];
     let cleared = verdict(1, Judgement::Cleared, Duration::ZERO);
     let plan = watch.plan(2000, &rows, &[cleared, held(3)]);
     assert_eq!((plan.remove, plan.lifted), (vec![RequestDigest(1)], vec![RequestDigest(3)]));
     // The store came back from a copy of before: what is missing was lost with it, and nobody has lifted anything.
-    watch.carried_out(&rows, &TablePlan::default());
+    watch.mark_applied(&rows, &HeldTablePlan::default());
     watch.note_era(StoreEra(1));
     let plan = watch.plan(1500, &[], &[held(1), held(3)]);
     assert!(plan.lifted.is_empty());
