--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -24,7 +24,7 @@
         traffic::Purpose,
     },
     names::Tag,
-    routing::{BudgetSum, ServiceLoad, ToldVerdict},
+    routing::{BudgetSum, ServiceLoad, VerdictUpdate},
     utils::sync::lock,
 };
 
@@ -71,16 +71,16 @@
         aggregate.take_silent(now, report.from.node.clone(), report.silent);
         drop(aggregate);
         lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
-        gateway.suspicion.take_report(now, &report.suspicion);
+        gateway.crash_suspects.apply_report(now, &report.crash_suspects);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
             gateway.reader_wanted.set();
         }
     }
-    gateway.rollouts.take_told(gateway, &report.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &report.rollout_states, "peer");
     if asks == Asks::InTurn {
         let (node, run) = (&report.from.node, report.run);
-        gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
+        gateway.rollouts.apply_reports(gateway, node, run, report.rollouts);
     }
     let sums = sums(gateway, now);
     let told = knowledge.list_told(now, report.list);
@@ -89,7 +89,7 @@
         silent: sums.silent.clone(),
         budgets: if asks == Asks::InTurn { sums.budgets.clone() } else { Vec::new() },
         run: gateway.peers.run,
-        servers_end: gateway.suspicion.is_alert(now),
+        servers_end: gateway.crash_suspects.is_alert(now),
         verdicts: verdicts(gateway, now, asks),
         version: knowledge.version(),
         changes,
@@ -98,7 +98,7 @@
             store: confirmed.store,
         }),
         orders: knowledge.orders_told(),
-        rollout_states: gateway.rollouts.told(now),
+        rollout_states: gateway.rollouts.updates(now),
         list: told.news,
         list_age_ms: told.age.map(millis),
         list_era: told.era,
@@ -107,10 +107,10 @@
 }
 
 /// Returns what another instance is to know of requests that end servers.
-fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<ToldVerdict> {
-    let mut verdicts = gateway.suspicion.lasting(now);
+fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<VerdictUpdate> {
+    let mut verdicts = gateway.crash_suspects.verdict_updates(now);
     if asks == Asks::InTurn {
-        verdicts.extend(gateway.suspicion.watched(now));
+        verdicts.extend(gateway.crash_suspects.watched(now));
     }
     verdicts
 }
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -14,8 +14,8 @@
 use crate::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, BackendServer, FailureDomains, Judge, RolloutEvidence, RolloutOrder,
-        RolloutReport, RolloutState, RolloutStates, RunId, Stage, ToldRollout,
+        BackendServer, FailureDomains, ResponseObservation, RolloutEvidence, RolloutOrder,
+        RolloutReport, RolloutState, RolloutStates, RolloutUpdate, RunId, Stage, VersionEvaluation,
     },
     utils::{signal::Signal, sync::lock},
 };
@@ -26,12 +26,12 @@
     pub(super) states: Mutex<RolloutStates>,
     evidence: Mutex<IndexMap<ServiceName, RolloutEvidence>>,
     /// What all instances have told, where they turn to this one.
-    pub(super) judges: Mutex<IndexMap<ServiceName, Judge>>,
+    pub(super) evaluations: Mutex<IndexMap<ServiceName, VersionEvaluation>>,
     /// Is set when there is something new to do for the instance that takes roll-outs further.
-    pub(super) due: Signal,
+    pub(super) wakeup: Signal,
     is_noting: AtomicBool,
     /// Whether a thread takes roll-outs further.
-    pub(super) is_kept: AtomicBool,
+    pub(super) is_controller_running: AtomicBool,
 }
 
 impl Rollouts {
@@ -50,7 +50,7 @@
         }
         self.begin_evidence(orders);
         self.put_in_force(gateway);
-        self.due.set();
+        self.wakeup.set();
         true
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Takes what another instance tells of roll-outs, or this one has decided.
-    pub fn take_told(&self, gateway: &Gateway, told: &[ToldRollout], source: &str) {
+    pub fn apply_updates(&self, gateway: &Gateway, told: &[RolloutUpdate], source: &str) {
         if told.is_empty() {
             return;
         }
@@ -100,7 +100,7 @@
     }
 
     /// Returns whether a roll-out has not come to its end, or operators cannot read yet that it has.
-    pub fn has_open(&self) -> bool {
+    pub fn has_unfinished(&self) -> bool {
         let states = lock(&self.states);
         let is_open = |(service, order): (&ServiceName, &RolloutOrder)| {
             !states.of(service, &order.to).is_some_and(RolloutState::is_done)
@@ -109,13 +109,13 @@
     }
 
     fn put_in_force(&self, gateway: &Gateway) {
-        let lanes = lock(&self.states).lanes();
-        lock(&gateway.picker).set_lanes(lanes);
+        let version_splits = lock(&self.states).version_splits();
+        lock(&gateway.picker).set_version_splits(version_splits);
     }
 
     /// Returns what other instances are told of roll-outs.
-    pub fn told(&self, now: Instant) -> Vec<ToldRollout> {
-        lock(&self.states).told(now)
+    pub fn updates(&self, now: Instant) -> Vec<RolloutUpdate> {
+        lock(&self.states).updates(now)
     }
 
     /// Notes a request sent to a server.
@@ -124,10 +124,10 @@
     }
 
     /// Notes what became of a request on a route at a server.
-    pub fn note_answer(&self, route: &str, server: &BackendServer, seen: AnswerSeen) {
+    pub fn note_response(&self, route: &str, server: &BackendServer, seen: ResponseObservation) {
         let version = server.version.as_ref();
         self.note(server, |evidence| {
-            evidence.note_answer(Tag::of(route), server.tag(), version, seen);
+            evidence.note_response(Tag::of(route), server.tag(), version, seen);
         });
     }
 
@@ -155,7 +155,7 @@
 
     /// Takes what an instance has seen; a version that is found bad gets nothing from then on, whoever holds its record in
     /// the store and whether that can be reached or not.
-    pub fn take_reports(
+    pub fn apply_reports(
         &self,
         gateway: &Gateway,
         node: &NodeName,
@@ -172,20 +172,22 @@
             if !is_ordered {
                 continue;
             }
-            let mut judges = lock(&self.judges);
+            let mut evaluations = lock(&self.evaluations);
             let to = report.to.clone();
-            let judge = judges.entry(service.clone()).or_insert_with(|| Judge::new(to.clone()));
+            let judge = evaluations
+                .entry(service.clone())
+                .or_insert_with(|| VersionEvaluation::new(to.clone()));
             if *judge.to() != to {
-                *judge = Judge::new(to.clone());
+                *judge = VersionEvaluation::new(to.clone());
             }
             judge.set_domains(domains(gateway, &service, &to));
             judge.take(now, node, run, report);
             if !judge.is_bad() {
                 continue;
             }
-            let doubt = judge.doubt();
-            drop(judges);
-            self.roll_back(gateway, &service, &to, doubt);
+            let regression_score = judge.regression_score();
+            drop(evaluations);
+            self.roll_back(gateway, &service, &to, regression_score);
         }
     }
 
@@ -194,7 +196,7 @@
         gateway: &Gateway,
         service: &ServiceName,
         to: &SoftwareVersion,
-        doubt: f64,
+        regression_score: f64,
     ) {
         let state = {
             let states = lock(&self.states);
@@ -208,9 +210,9 @@
                 ..known.clone()
             }
         };
-        log::warn!("event=version_is_bad service={service} to={to} doubt={doubt:.1}");
-        self.take_told(gateway, &[ToldRollout { state, age_ms: 0 }], "own");
-        self.due.set();
+        log::warn!("event=version_is_bad service={service} to={to} doubt={regression_score:.1}");
+        self.apply_updates(gateway, &[RolloutUpdate { state, age_ms: 0 }], "own");
+        self.wakeup.set();
     }
 }
 
--- a/src/routing/rollout/mod.rs
+++ b/src/routing/rollout/mod.rs
@@ -5,22 +5,22 @@
 //! on one route. Its servers get few requests until enough answers speak for them.
 //!
 //! `order` is what operators want. Each instance notes how both versions answer (`evidence`) and tells the one that
-//! collects reports, which judges (`judge`) and takes the roll-out through its stages (`course`), under a lease in the
-//! store (`record`). What it has decided travels to all instances (`state`), and `lane` says which servers a request may
+//! collects reports, which judges (`evaluation`) and takes the roll-out through its stages (`stage_policy`), under a lease in the
+//! store (`record`). What it has decided travels to all instances (`state`), and `version_split` says which servers a request may
 //! go to.
 
-mod course;
+mod evaluation;
 mod evidence;
-mod judge;
-mod lane;
 mod order;
 mod record;
+mod stage_policy;
 mod state;
+mod version_split;
 
-pub use course::{Course, RolloutTerms, Tally};
-pub use evidence::{AnswerSeen, RolloutEvidence, RolloutReport, TimeBin, ToldAnswers};
-pub use judge::{FailureDomains, Judge};
-pub use lane::Lane;
+pub use evaluation::{FailureDomains, VersionEvaluation};
+pub use evidence::{ResponseCounts, ResponseObservation, RolloutEvidence, RolloutReport, TimeBin};
 pub use order::RolloutOrder;
-pub use record::{LEASE, RolloutRecord};
-pub use state::{RolloutState, RolloutStates, Stage, ToldRollout};
+pub use record::{ROLLOUT_LEASE, RolloutRecord};
+pub use stage_policy::{ExposureLimit, RolloutProgress, StagePolicy};
+pub use state::{RolloutState, RolloutStates, RolloutUpdate, Stage};
+pub use version_split::VersionSplit;
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -31,7 +31,7 @@
 
 fn orders() -> ToldOrders {
     let rollout =
-        RolloutOrder { to: "v2".parse().expect("a version"), lasts: Duration::from_secs(12) };
+        RolloutOrder { to: "v2".parse().expect("a version"), time_limit: Duration::from_secs(12) };
     ToldOrders {
         as_of: store(),
         zones: ["north".parse().expect("a zone")].into(),
@@ -58,7 +58,7 @@
         spending: Vec::<Spending>::new(),
         rollouts: Vec::new(),
         rollout_states: Vec::new(),
-        suspicion: Default::default(),
+        crash_suspects: Default::default(),
         version: 12,
         wants_intent: false,
         asks: Asks::InTurn,
