--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -62,8 +62,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, Picked, Picker, RetryBudget, Spending, StoreShare,
-        ToldOrders, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, PickError, Picked, Picker, RetryBudget, Spending,
+        StoreShare, ToldOrders, Wanted,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -177,7 +177,7 @@
         &self,
         now: Instant,
         wanted: &Wanted<'_>,
-    ) -> Result<(Picked, Flight<'_>), Unpicked> {
+    ) -> Result<(Picked, Flight<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
--- a/src/gateway/unpicked.rs
+++ b/src/gateway/unpicked.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::{forward::Forwarding, tries::Refused};
-use crate::{routing::Unpicked, utils::sync::lock};
+use crate::{routing::PickError, utils::sync::lock};
 
 /// Part of a pause by which the last of the callers that were refused during it come back later than the first: together
 /// they would fill the server at once that has just asked for it.
@@ -11,12 +11,12 @@
 
 impl Forwarding<'_> {
     /// Notes why no server was picked, for the final answer.
-    pub(super) fn note_unpicked(&mut self, now: Instant, why: Unpicked, draw: f64) {
+    pub(super) fn note_unpicked(&mut self, now: Instant, why: PickError, draw: f64) {
         let request = self.request;
         let (admitted, wait) = match why {
-            Unpicked::Overload { admitted, wait } => (admitted, wait),
-            Unpicked::Backoff { left } => return self.note_backoff(left, draw),
-            Unpicked::NoServer => return,
+            PickError::Overload { admitted, wait } => (admitted, wait),
+            PickError::Backoff { left } => return self.note_backoff(left, draw),
+            PickError::NoServer => return,
         };
         // Callers heed a third of the time that they have left, at most.
         let most = request.until.saturating_duration_since(now) / 3;
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -47,7 +47,7 @@
 
 /// Why no server was picked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Unpicked {
+pub enum PickError {
     /// None may be used.
     NoServer,
     /// All that could be used want no requests for a while.
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -26,7 +26,7 @@
 };
 use super::{
     BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load, LoadReport, Notice,
-    Overload, Picked, ServiceLoad, UnlistedNotices, Unpicked, Wanted, overload::FleetTotal,
+    Overload, PickError, Picked, ServiceLoad, UnlistedNotices, Wanted, overload::FleetTotal,
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
 
@@ -189,12 +189,12 @@
     /// # Errors
     ///
     /// No server of the service may be used, or all have too long a queue.
-    pub fn pick(&self, now: Instant, wanted: &Wanted<'_>) -> Result<Picked, Unpicked> {
+    pub fn pick(&self, now: Instant, wanted: &Wanted<'_>) -> Result<Picked, PickError> {
         let usable = self.usable(now, wanted);
         if usable.is_empty()
             && let Some(left) = self.backoff_left(now, wanted)
         {
-            return Err(Unpicked::Backoff { left });
+            return Err(PickError::Backoff { left });
         }
         let healthy = self.healthy(now, &usable);
         let pool = if healthy.is_empty() { usable } else { healthy };
@@ -203,7 +203,7 @@
             Some(key) => self.by_affinity(now, key, wanted, &pool, usual),
             None => self.by_load(now, wanted, &pool),
         };
-        let picked = picked.ok_or(Unpicked::NoServer)?;
+        let picked = picked.ok_or(PickError::NoServer)?;
         let (Some(overload), Some(priority)) =
             (self.overload.get(wanted.service), wanted.admission)
         else {
@@ -216,7 +216,7 @@
             None => 1.0,
         };
         if wanted.draw() >= admitted || picked.wait > overload.admissible_wait(now) {
-            return Err(Unpicked::Overload { admitted, wait: picked.wait });
+            return Err(PickError::Overload { admitted, wait: picked.wait });
         }
         Ok(picked)
     }
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -9,7 +9,7 @@
 
 use cartvane::{
     names::NodeName,
-    routing::{Aggregate, BackendServer, FleetPosition, Incarnation, Picker, Unpicked, Wanted},
+    routing::{Aggregate, BackendServer, FleetPosition, Incarnation, PickError, Picker, Wanted},
 };
 use fastrand::Rng;
 
@@ -170,7 +170,7 @@
             };
             let id = match self.pickers[instance].pick(now, &wanted) {
                 Ok(picked) => picked.server.id.clone(),
-                Err(Unpicked::Backoff { .. }) => break,
+                Err(PickError::Backoff { .. }) => break,
                 Err(why) => panic!("{why:?}"),
             };
             let at = self.servers.iter().position(|s| s.id == id).expect("a server");
--- a/tests/suite/notices.rs
+++ b/tests/suite/notices.rs
@@ -5,7 +5,7 @@
 use cartvane::{
     adapter::answers::decode,
     link::http1::ResponseHead,
-    routing::{BackendServer, Incarnation, Notice, Picker, Unpicked, Wanted},
+    routing::{BackendServer, Incarnation, Notice, PickError, Picker, Wanted},
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
@@ -84,7 +84,7 @@
 }
 
 /// Returns which servers requests of many prompts and without one go to.
-fn used(picker: &Picker, now: Instant) -> Result<Vec<Incarnation>, Unpicked> {
+fn used(picker: &Picker, now: Instant) -> Result<Vec<Incarnation>, PickError> {
     let service = "llm".parse().expect("a name");
     let pick = |key: u64| {
         let affinity = key.is_multiple_of(2).then_some(key.wrapping_mul(0x9E37_79B9_7F4A_7C15));
@@ -131,10 +131,10 @@
     picker.said_backoff(now, &servers[1].id, 3 * SECOND);
     picker.said_backoff(now, &servers[2].id, SECOND);
     picker.said_leaving(now, &servers[2].id);
-    assert_eq!(used(&picker, now + SECOND), Err(Unpicked::Backoff { left: 2 * SECOND }));
+    assert_eq!(used(&picker, now + SECOND), Err(PickError::Backoff { left: 2 * SECOND }));
     picker.said_leaving(now, &servers[0].id);
     picker.said_leaving(now, &servers[1].id);
-    assert_eq!(used(&picker, now + SECOND), Err(Unpicked::NoServer));
+    assert_eq!(used(&picker, now + SECOND), Err(PickError::NoServer));
 }
 
 #[test]
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -11,7 +11,7 @@
 use cartvane::{
     names::ServiceName,
     routing::{
-        Aggregate, AnswerTimes, BackendServer, FleetPosition, Overload, Picker, Unpicked, Wanted,
+        Aggregate, AnswerTimes, BackendServer, FleetPosition, Overload, PickError, Picker, Wanted,
         overload::FleetTotal,
     },
 };
@@ -211,8 +211,8 @@
                 self.waiting[at].push_back((now, instance));
                 self.run_next(at);
             }
-            Err(Unpicked::Overload { .. }) => self.refused[rank] += 1,
-            Err(Unpicked::NoServer | Unpicked::Backoff { .. }) => panic!("there are servers"),
+            Err(PickError::Overload { .. }) => self.refused[rank] += 1,
+            Err(PickError::NoServer | PickError::Backoff { .. }) => panic!("there are servers"),
         }
     }
 
