--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -21,7 +21,7 @@
         answer::{AnswerNote, send_whole},
         http1::Conn,
     },
-    routing::{AnswerSeen, AnswerTimes, Incarnation, Picked, RouteKind, Wanted},
+    routing::{AnswerSeen, AnswerTimes, Incarnation, PickRequest, Picked, RouteKind},
     utils::sync::lock,
 };
 
@@ -110,7 +110,7 @@
                 self.tries.out_of_time();
                 return None;
             }
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 service: &self.request.service,
                 affinity: self.request.affinity(),
                 spread: self.request.spread(),
@@ -367,7 +367,7 @@
         }
         let mut tried = self.tries.servers().to_vec();
         tried.push(server.clone());
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &self.request.service,
             affinity: None,
             spread: self.request.spread(),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -62,8 +62,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, PickError, Picked, Picker, RetryBudget, Spending,
-        StoreShare, ToldOrders, Wanted,
+        BudgetSum, CallKind, Incarnation, PickError, PickRequest, Picked, Picker, RetryBudget,
+        Spending, StoreShare, ToldOrders,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -176,7 +176,7 @@
     pub fn pick(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
     ) -> Result<(Picked, Flight<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -58,7 +58,7 @@
 pub use notice::Notice;
 pub use operator_orders::{OperatorOrders, OrderChange, ToldOrders};
 pub use overload::{AnswerTimes, Overload};
-pub use pick::{Crowded, PickError, Picked, Wanted};
+pub use pick::{Crowded, PickError, PickRequest, Picked};
 pub use picker::Picker;
 pub use rollout::{
     AnswerSeen, Course, FailureDomains, Judge, LEASE, Lane, RolloutEvidence, RolloutOrder,
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -7,7 +7,7 @@
 
 /// What the caller's request wants.
 #[derive(Debug)]
-pub struct Wanted<'a> {
+pub struct PickRequest<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Hash of the shared prompt, if the request has one.
@@ -24,10 +24,10 @@
     pub admission: Option<u8>,
 }
 
-impl<'a> Wanted<'a> {
+impl<'a> PickRequest<'a> {
     /// Returns what a request wants that asks for a service only.
-    pub fn of(service: &'a ServiceName) -> Wanted<'a> {
-        Wanted {
+    pub fn new(service: &'a ServiceName) -> PickRequest<'a> {
+        PickRequest {
             service,
             affinity: None,
             spread: 0,
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -12,7 +12,7 @@
 use crate::{
     names::ServiceName,
     routing::{
-        BackendServer, Picked, Wanted,
+        BackendServer, PickRequest, Picked,
         load::{LoadBounds, aim},
     },
     zone::rendezvous,
@@ -43,7 +43,7 @@
         &self,
         now: Instant,
         key: u64,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         pool: &[&Tracked],
         usual: f64,
     ) -> Option<Picked> {
@@ -121,7 +121,7 @@
         &self,
         now: Instant,
         key: u64,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         picked: &BackendServer,
     ) -> Option<Arc<BackendServer>> {
         // A server at which this request has failed may be gone, and would be waited for; one that wants no requests is
--- a/src/routing/picker/least_loaded.rs
+++ b/src/routing/picker/least_loaded.rs
@@ -7,7 +7,7 @@
 
 use super::{Picker, Tracked};
 use crate::{
-    routing::{Picked, Wanted},
+    routing::{PickRequest, Picked},
     zone::rendezvous,
 };
 
@@ -29,7 +29,7 @@
     pub(super) fn by_load(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         pool: &[&Tracked],
     ) -> Option<Picked> {
         let others: Vec<f64> = pool.iter().map(|t| t.load.others(now).unwrap_or(0.0)).collect();
--- a/src/routing/picker/members.rs
+++ b/src/routing/picker/members.rs
@@ -13,7 +13,7 @@
 use super::{Picker, Tracked};
 use crate::{
     names::ServiceName,
-    routing::{BackendServer, Wanted, load::FLEET_LIFE},
+    routing::{BackendServer, PickRequest, load::FLEET_LIFE},
 };
 
 /// Servers of a service up to which a request looks at all.
@@ -86,7 +86,7 @@
     }
 
     /// Returns the servers that a request looks at, those first that it should go to.
-    fn near(&self, wanted: &Wanted<'_>, probes: usize) -> Vec<usize> {
+    fn near(&self, wanted: &PickRequest<'_>, probes: usize) -> Vec<usize> {
         if self.are_few() || probes >= self.all.len() {
             return self.all.clone();
         }
@@ -153,7 +153,7 @@
 
     /// Returns the servers that a request looks at, in its rank where they are not all; of a large service in steps, each of
     /// which finds more.
-    pub(super) fn looked_at(&self, wanted: &Wanted<'_>, step: usize) -> Vec<&Tracked> {
+    pub(super) fn looked_at(&self, wanted: &PickRequest<'_>, step: usize) -> Vec<&Tracked> {
         let Some(of) = self.members.get(wanted.service) else { return Vec::new() };
         let probes = [PROBES, PROBES * MORE_PROBES, usize::MAX][step.min(2)];
         of.near(wanted, probes).into_iter().map(|at| &self.servers[at]).collect()
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -26,7 +26,7 @@
 };
 use super::{
     BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load, LoadReport, Notice,
-    Overload, PickError, Picked, ServiceLoad, UnlistedNotices, Wanted, overload::FleetTotal,
+    Overload, PickError, PickRequest, Picked, ServiceLoad, UnlistedNotices, overload::FleetTotal,
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
 
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether a server is where a request may be served.
-    fn is_home(&self, server: &BackendServer, wanted: &Wanted<'_>) -> bool {
+    fn is_home(&self, server: &BackendServer, wanted: &PickRequest<'_>) -> bool {
         wanted.homes.allow(self.regions.get(&server.zone))
     }
 
@@ -189,7 +189,7 @@
     /// # Errors
     ///
     /// No server of the service may be used, or all have too long a queue.
-    pub fn pick(&self, now: Instant, wanted: &Wanted<'_>) -> Result<Picked, PickError> {
+    pub fn pick(&self, now: Instant, wanted: &PickRequest<'_>) -> Result<Picked, PickError> {
         let usable = self.usable(now, wanted);
         if usable.is_empty()
             && let Some(left) = self.backoff_left(now, wanted)
@@ -223,7 +223,7 @@
 
     /// Returns the servers that a request may go to; where those of a new version are its turn and none of them may be
     /// used, those of the others.
-    fn usable(&self, now: Instant, wanted: &Wanted<'_>) -> Vec<&Tracked> {
+    fn usable(&self, now: Instant, wanted: &PickRequest<'_>) -> Vec<&Tracked> {
         let side = self.side(now, wanted);
         let sides: &[Side] = if side == Side::New { &[Side::New, Side::Old] } else { &[side] };
         for &side in sides {
@@ -241,7 +241,7 @@
     fn usable_of(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         side: Side,
         step: usize,
     ) -> Vec<&Tracked> {
--- a/src/routing/picker/notices.rs
+++ b/src/routing/picker/notices.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::Picker;
-use crate::routing::{Incarnation, Notice, Wanted};
+use crate::routing::{Incarnation, Notice, PickRequest};
 
 impl Picker {
     /// Returns what a server has said of itself, to add to it.
@@ -41,7 +41,7 @@
     }
 
     /// Returns when the first server takes requests again, where all that a request may go to want none for a while.
-    pub(super) fn backoff_left(&self, now: Instant, wanted: &Wanted<'_>) -> Option<Duration> {
+    pub(super) fn backoff_left(&self, now: Instant, wanted: &PickRequest<'_>) -> Option<Duration> {
         if !wanted.denied.is_empty() {
             return None;
         }
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -11,7 +11,7 @@
 use super::Picker;
 use crate::{
     names::{ServiceName, SoftwareVersion, Tag},
-    routing::{BackendServer, Lane, Wanted},
+    routing::{BackendServer, Lane, PickRequest},
 };
 
 /// Which servers a request may go to.
@@ -62,7 +62,7 @@
     }
 
     /// Returns on which side a request is. One that has failed once goes to what is proven.
-    pub(super) fn side(&self, now: Instant, wanted: &Wanted<'_>) -> Side {
+    pub(super) fn side(&self, now: Instant, wanted: &PickRequest<'_>) -> Side {
         let Some(Versions { lane, others, .. }) = self.versions.get(wanted.service) else {
             return Side::Any;
         };
@@ -138,7 +138,7 @@
 
 /// Returns a number in [0, 1) that is another one for each request, and says nothing of the one by which requests are
 /// refused beyond capacity.
-fn draw(wanted: &Wanted<'_>) -> f64 {
+fn draw(wanted: &PickRequest<'_>) -> f64 {
     let spread = xxh3_64(&wanted.spread.to_le_bytes());
     // 53 bits make a float in [0, 1).
     (spread >> 11) as f64 / (1u64 << 53) as f64
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -8,7 +8,7 @@
 use cartvane::{
     gateway::knowledge::Knowledge,
     names::ServiceName,
-    routing::{BackendServer, ListNews, LoadReport, Picker, ServiceLoad, StoreEra, Wanted},
+    routing::{BackendServer, ListNews, LoadReport, PickRequest, Picker, ServiceLoad, StoreEra},
 };
 use fastrand::Rng;
 use serde_json::json;
@@ -49,7 +49,7 @@
         for _ in 0..CHOICES {
             let (key, spread) = (rng.u64(..), rng.u64(..));
             let affinity = has_prompt.then_some(key);
-            let wanted = Wanted { affinity, spread, ..Wanted::of(&service) };
+            let wanted = PickRequest { affinity, spread, ..PickRequest::new(&service) };
             took.push(timed(|| drop(picker.pick(now, &wanted))));
         }
         figures.extend(spread(&format!("choice {name}, {size} servers"), &took));
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -9,7 +9,9 @@
 
 use cartvane::{
     names::NodeName,
-    routing::{Aggregate, BackendServer, FleetPosition, Incarnation, PickError, Picker, Wanted},
+    routing::{
+        Aggregate, BackendServer, FleetPosition, Incarnation, PickError, PickRequest, Picker,
+    },
 };
 use fastrand::Rng;
 
@@ -162,11 +164,11 @@
         self.outcome.meanwhile += u32::from(refusing);
         let mut tried: Vec<Incarnation> = Vec::new();
         while tried.len() < TRIES {
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 affinity: Some(prompt.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
                 spread,
                 tried: &tried,
-                ..Wanted::of(&service)
+                ..PickRequest::new(&service)
             };
             let id = match self.pickers[instance].pick(now, &wanted) {
                 Ok(picked) => picked.server.id.clone(),
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -16,8 +16,8 @@
     gateway::{knowledge::Knowledge, list_read::ListRead},
     names::Tag,
     routing::{
-        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceNews, Picker,
-        Roster, StoreEra, StoreRates, StoreShare, StoreVersion, Wanted, roster::RosterChange,
+        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceNews, PickRequest,
+        Picker, Roster, StoreEra, StoreRates, StoreShare, StoreVersion, roster::RosterChange,
     },
     units::Rate,
     utils::recent::Recent,
@@ -48,7 +48,7 @@
 
 fn wanted(picker: &Picker, affinity: Option<u64>, spread: u64) -> cartvane::routing::Picked {
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted { affinity, spread, ..Wanted::of(&service) };
+    let wanted = PickRequest { affinity, spread, ..PickRequest::new(&service) };
     picker.pick(Instant::now(), &wanted).expect("a server")
 }
 
--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -6,7 +6,9 @@
     time::{Duration, Instant},
 };
 
-use cartvane::routing::{Aggregate, BackendServer, FleetPosition, Incarnation, Picker, Wanted};
+use cartvane::routing::{
+    Aggregate, BackendServer, FleetPosition, Incarnation, PickRequest, Picker,
+};
 
 /// The operator's bound, and the requests beyond it that do not count.
 const BOUND: (f64, f64) = (2.0, 3.0);
@@ -110,13 +112,13 @@
             if same { 7 } else { 1000 + caller as u64 }
         });
         let service = "llm".parse().expect("a name");
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &service,
             affinity,
             spread: self.spread,
             tried: &[],
             admission: None,
-            ..Wanted::of(&service)
+            ..PickRequest::new(&service)
         };
         let picked = self.pickers[instance].pick(now, &wanted).expect("a server");
         let at = self.servers.iter().position(|s| s.id == picked.server.id).expect("listed");
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -10,7 +10,7 @@
     adapter::{servers, store::StoreRow},
     gateway::skipped_log::SkippedLog,
     routing::{
-        Aggregate, BackendServer, ListHistory, ListNews, ListVersion, Picker, Roster, Wanted,
+        Aggregate, BackendServer, ListHistory, ListNews, ListVersion, PickRequest, Picker, Roster,
     },
 };
 use proptest::{
@@ -152,13 +152,13 @@
     picker.told_silent(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity: None,
         spread: 5,
         tried: &tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     assert_eq!(picker.pick(now, &wanted).expect("a server").server.id, after.id);
 }
@@ -172,13 +172,13 @@
     let service = "llm".parse().expect("a name");
     let homes = |picker: &Picker| -> Vec<String> {
         let home = |key: u64| {
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 service: &service,
                 affinity: Some(key),
                 spread: 5,
                 tried: &[],
                 admission: None,
-                ..Wanted::of(&service)
+                ..PickRequest::new(&service)
             };
             picker.pick(now, &wanted).expect("a server").server.id.server.to_string()
         };
--- a/tests/suite/knowledge.rs
+++ b/tests/suite/knowledge.rs
@@ -6,7 +6,7 @@
 use cartvane::{
     clock::Clock,
     gateway::{GatewayHandle, knowledge::Knowledge},
-    routing::{Confirmed, Intent, StoreVersion, Wanted},
+    routing::{Confirmed, Intent, PickRequest, StoreVersion},
 };
 use serde_json::json;
 use standins::{
@@ -210,13 +210,13 @@
         .collect();
     let service = "app".parse().expect("a name");
     eventually("the other counts them", || {
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &service,
             affinity: None,
             spread: 5,
             tried: &[],
             admission: None,
-            ..Wanted::of(&service)
+            ..PickRequest::new(&service)
         };
         let now = Clock::system().now();
         let picker = two.gateway().picker.lock().expect("the picker");
--- a/tests/suite/notices.rs
+++ b/tests/suite/notices.rs
@@ -5,7 +5,7 @@
 use cartvane::{
     adapter::answers::decode,
     link::http1::ResponseHead,
-    routing::{BackendServer, Incarnation, Notice, PickError, Picker, Wanted},
+    routing::{BackendServer, Incarnation, Notice, PickError, PickRequest, Picker},
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
@@ -88,7 +88,7 @@
     let service = "llm".parse().expect("a name");
     let pick = |key: u64| {
         let affinity = key.is_multiple_of(2).then_some(key.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let wanted = Wanted { affinity, spread: key << 40, ..Wanted::of(&service) };
+        let wanted = PickRequest { affinity, spread: key << 40, ..PickRequest::new(&service) };
         picker.pick(now, &wanted).map(|picked| picked.server.id.clone())
     };
     let mut ids = (0..200).map(pick).collect::<Result<Vec<_>, _>>()?;
@@ -142,7 +142,7 @@
     let now = Instant::now();
     let (mut picker, servers) = fleet();
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted { affinity: Some(42), ..Wanted::of(&service) };
+    let wanted = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
     let first = picker.pick(now, &wanted).expect("a server").server.id.clone();
     assert!(servers.iter().any(|server| server.id == first));
     picker.said_leaving(now, &first);
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -11,8 +11,8 @@
 use cartvane::{
     names::ServiceName,
     routing::{
-        Aggregate, AnswerTimes, BackendServer, FleetPosition, Overload, PickError, Picker, Wanted,
-        overload::FleetTotal,
+        Aggregate, AnswerTimes, BackendServer, FleetPosition, Overload, PickError, PickRequest,
+        Picker, overload::FleetTotal,
     },
 };
 use fastrand::Rng;
@@ -194,13 +194,13 @@
         let instance = self.rng.usize(0..self.pickers.len());
         let picker = &mut self.pickers[instance];
         picker.note_request(now, &self.service, rank as u8, TARGET);
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &self.service,
             affinity: Some(self.rng.u64(0..60)),
             spread: self.rng.u64(..),
             tried: &[],
             admission: Some(rank as u8),
-            ..Wanted::of(&self.service)
+            ..PickRequest::new(&self.service)
         };
         self.asked[rank] += 1;
         match picker.pick(now, &wanted) {
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use cartvane::routing::{Aggregate, BackendServer, Incarnation, Picker, ServiceLoad, Wanted};
+use cartvane::routing::{Aggregate, BackendServer, Incarnation, PickRequest, Picker, ServiceLoad};
 
 use crate::routing::{picker, server};
 
@@ -19,13 +19,13 @@
     tried: &[Incarnation],
 ) -> Option<Incarnation> {
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity,
         spread: 5,
         tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     picker.pick(now, &wanted).ok().map(|picked| picked.server.id.clone())
 }
@@ -121,13 +121,13 @@
     let mut servers = fleet(6);
     let service = "llm".parse().expect("a name");
     let pick = |picker: &Picker, tried: &[Incarnation]| {
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &service,
             affinity: Some(42),
             spread: 5,
             tried,
             admission: None,
-            ..Wanted::of(&service)
+            ..PickRequest::new(&service)
         };
         let picked = picker.pick(now, &wanted).expect("a server");
         (picked.server.id.clone(), picked.holder.expect("a holder").id.clone())
@@ -166,13 +166,13 @@
     picker.set_fleet_loads(now, &[both], &own);
     let service = "llm".parse().expect("a name");
     let tried = [servers[1].id.clone(), servers[2].id.clone()];
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity: None,
         spread: 5,
         tried: &tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     let picked = picker.pick(now, &wanted).expect("a server");
     assert!((picked.load - 6.0).abs() < 0.01, "{picked:?}");
@@ -347,7 +347,7 @@
         (0..8).for_each(|_| picker.begin(now, &server.id));
     }
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted { affinity: Some(42), ..Wanted::of(&service) };
+    let wanted = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
     let picked = picker.pick(now, &wanted).expect("a server");
     let mean = (left.len() * 8) as f64 / servers.len() as f64;
     assert!(picked.bound <= 2.0 * mean + 3.0, "{} where the mean is {mean}", picked.bound);
