--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -65,6 +65,6 @@
 
 impl Drop for Flight<'_> {
     fn drop(&mut self) {
-        lock(&self.gateway.picker).end(&self.server);
+        lock(&self.gateway.picker).finish_request(&self.server);
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -181,7 +181,7 @@
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
-        picker.begin(now, &server);
+        picker.start_request(now, &server);
         Ok((picked, Flight { gateway: self, server }))
     }
 
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -101,7 +101,7 @@
 
     /// Notes a request sent: the first one after a pause is a trial, and no other goes out until it is
     /// answered or the next pause is over.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn start_request(&mut self, now: Instant) {
         if self.is_on_trial(now) {
             self.paused_until = Some(now + self.pause);
         }
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -75,12 +75,12 @@
 
 impl Load {
     /// Notes a request sent.
-    pub fn begin(&mut self) {
+    pub fn start_request(&mut self) {
         self.own += 1;
     }
 
     /// Notes a request ended.
-    pub fn end(&mut self) {
+    pub fn finish_request(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -260,10 +260,10 @@
     }
 
     /// Notes that a request goes to `id`.
-    pub fn begin(&mut self, now: Instant, id: &Incarnation) {
+    pub fn start_request(&mut self, now: Instant, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
-            tracked.load.begin();
-            tracked.health.begin(now);
+            tracked.load.start_request();
+            tracked.health.start_request(now);
             if let Some(of) = self.members.get_mut(&tracked.server.service) {
                 of.own += 1;
             }
@@ -271,9 +271,9 @@
     }
 
     /// Notes that a request at `id` ended.
-    pub fn end(&mut self, id: &Incarnation) {
+    pub fn finish_request(&mut self, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
-            tracked.load.end();
+            tracked.load.finish_request();
             if let Some(of) = self.members.get_mut(&tracked.server.service) {
                 of.own = of.own.saturating_sub(1);
             }
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -123,7 +123,7 @@
     fn end_requests(&mut self, now: Instant) {
         while self.under_way.front().is_some_and(|(ends, ..)| *ends <= now) {
             let Some((_, instance, id)) = self.under_way.pop_front() else { return };
-            self.pickers[instance].end(&id);
+            self.pickers[instance].finish_request(&id);
             self.pickers[instance].good(now, &id);
         }
     }
@@ -184,7 +184,7 @@
                     self.outcome.afterwards += 1;
                     self.outcome.back += u32::from(self.is_in_question(at));
                 }
-                self.pickers[instance].begin(now, &id);
+                self.pickers[instance].start_request(now, &id);
                 self.under_way.push_back((now + TAKES, instance, id));
                 return;
             }
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -115,7 +115,7 @@
     for spread in 0..requests {
         let picked = wanted(&picker, None, spread);
         near += u64::from(picked.server.zone.as_str() == "north");
-        picker.begin(now, &picked.server.id);
+        picker.start_request(now, &picked.server.id);
     }
     let most = picker.in_flight().map(|(_, count)| count).max().unwrap_or_default();
     assert!(most <= 2, "{most} at one server");
--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -105,7 +105,7 @@
         let id = |at: usize| -> Incarnation { self.servers[at].id.clone() };
         if let Some(at) = self.at[caller].take() {
             self.loads[at] -= 1;
-            self.pickers[instance].end(&id(at));
+            self.pickers[instance].finish_request(&id(at));
         }
         let affinity = self.case.hot.map(|hot| {
             let same = (caller as f64) < hot * self.case.callers as f64;
@@ -122,7 +122,7 @@
         };
         let picked = self.pickers[instance].pick(now, &wanted).expect("a server");
         let at = self.servers.iter().position(|s| s.id == picked.server.id).expect("listed");
-        self.pickers[instance].begin(now, &id(at));
+        self.pickers[instance].start_request(now, &id(at));
         self.loads[at] += 1;
         self.at[caller] = Some(at);
         if judged {
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -138,14 +138,14 @@
     let now = Instant::now();
     let (before, after) = (server("a@1000", 1), server("a@2000", 1));
     let mut picker = picker(&[before.clone(), server("b@1000", 2)]);
-    (0..3).for_each(|_| picker.begin(now, &before.id));
+    (0..3).for_each(|_| picker.start_request(now, &before.id));
     (0..3).for_each(|_| picker.unreachable(now, &before.id));
     assert_eq!(picker.own_counts().len(), 1);
     assert_eq!(picker.own_silent(now).len(), 1);
     list(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
     assert!(picker.own_counts().is_empty() && picker.own_silent(now).is_empty());
-    picker.begin(now, &after.id);
-    (0..3).for_each(|_| picker.end(&before.id));
+    picker.start_request(now, &after.id);
+    (0..3).for_each(|_| picker.finish_request(&before.id));
     let counts: Vec<u32> = picker.own_counts().iter().map(|(_, count)| *count).collect();
     assert_eq!(counts, [1], "what ends at the one before is not the other's");
     picker.bad(now, &before.id);
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -183,7 +183,7 @@
                     self.exchange(instance);
                     self.events.push(Reverse((at + PERIOD, Next::Exchange(instance))));
                 }
-                Next::End { server, instance } => self.end(server, instance),
+                Next::End { server, instance } => self.finish_request(server, instance),
             }
         }
         self.now = until;
@@ -207,7 +207,7 @@
             Ok(picked) => {
                 let at = self.servers.iter().position(|s| s.id == picked.server.id);
                 let at = at.expect("listed");
-                picker.begin(now, &picked.server.id);
+                picker.start_request(now, &picked.server.id);
                 self.waiting[at].push_back((now, instance));
                 self.run_next(at);
             }
@@ -227,10 +227,10 @@
         self.events.push(Reverse((self.now + takes, Next::End { server, instance })));
     }
 
-    fn end(&mut self, server: usize, instance: usize) {
+    fn finish_request(&mut self, server: usize, instance: usize) {
         self.running[server] -= 1;
         let picker = &mut self.pickers[instance];
-        picker.end(&self.servers[server].id);
+        picker.finish_request(&self.servers[server].id);
         let times = AnswerTimes { head: TAKES / 10, rest: TAKES * 9 / 10 };
         picker.overload(&self.service).note_answer(times, false);
         self.run_next(server);
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -41,7 +41,7 @@
         if id != home && !spilled.contains(&id) {
             spilled.push(id.clone());
         }
-        picker.begin(now, &id);
+        picker.start_request(now, &id);
     }
     let loads: Vec<u32> = picker.in_flight().map(|(_, own)| own).collect();
     let mean = 6.0;
@@ -97,7 +97,7 @@
     let mut picker = picker(&servers);
     let first = pick(&picker, now, None, &[]).expect("a server");
     assert_eq!(first, servers[0].id);
-    picker.begin(now, &first);
+    picker.start_request(now, &first);
     let second = pick(&picker, now, None, &[]).expect("a server");
     assert_ne!(second, first);
 }
@@ -161,7 +161,7 @@
     assert_eq!(total(now + SECOND * 4).counts[0], (tag(0), 2));
     // What this instance told itself is not counted twice.
     let mut picker = picker(&servers);
-    (0..4).for_each(|_| picker.begin(now, &servers[0].id));
+    (0..4).for_each(|_| picker.start_request(now, &servers[0].id));
     let own = picker.own_counts();
     picker.set_fleet_loads(now, &[both], &own);
     let service = "llm".parse().expect("a name");
@@ -234,7 +234,7 @@
     assert!(!used(&picker, now));
     let later = now + SECOND;
     assert!(used(&picker, later));
-    picker.begin(later, &silent);
+    picker.start_request(later, &silent);
     assert!(!used(&picker, later), "one request at a time tries it");
     picker.good(later, &silent);
     assert!(used(&picker, later));
@@ -344,7 +344,7 @@
     picker.set_evacuated([zone(3)].into());
     let left: Vec<&BackendServer> = servers.iter().filter(|s| s.zone != zone(3)).collect();
     for server in &left {
-        (0..8).for_each(|_| picker.begin(now, &server.id));
+        (0..8).for_each(|_| picker.start_request(now, &server.id));
     }
     let service = "llm".parse().expect("a name");
     let wanted = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -307,17 +307,17 @@
 fn a_report_ages_and_own_requests_count_at_once() {
     let now = Instant::now();
     let mut load = Load::default();
-    load.begin();
+    load.start_request();
     load.report(now, LoadReport { running: 20, waiting: 0, slots: 64 });
     let fresh = load.estimate(now, 5.0);
     assert!((fresh - 20.0).abs() < 0.01, "{fresh}");
-    load.begin();
+    load.start_request();
     assert!((load.estimate(now, 5.0) - 21.0).abs() < 0.01);
     let old = load.estimate(now + SECOND * 20, 5.0);
     assert!((old - 5.0).abs() < 0.1, "{old}");
-    load.end();
-    load.end();
-    load.end();
+    load.finish_request();
+    load.finish_request();
+    load.finish_request();
     assert_eq!(load.own(), 0);
 }
 
