--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -150,7 +150,7 @@
             AttemptFault::Connect => picker.unreachable(now, server),
             AttemptFault::CallerGone | AttemptFault::Withheld | AttemptFault::BeforeSend => {}
             // A refusal counts too: each further request there would spend a repeat.
-            _ => picker.bad(now, server),
+            _ => picker.note_failure(now, server),
         }
         drop(picker);
         self.note_version_fault(picked, fault);
@@ -401,7 +401,7 @@
         };
         self.keep_connection(&picked.server.id, answer);
         if whole.status.is_server_error() {
-            lock(&self.gateway.picker).bad(self.gateway.clock.now(), &picked.server.id);
+            lock(&self.gateway.picker).note_failure(self.gateway.clock.now(), &picked.server.id);
             self.note_version(&picked, AnswerSeen::Failed);
             self.tries.answered_with_error(&picked.server.id);
             log::info!(
@@ -427,7 +427,7 @@
             rest: now.saturating_duration_since(head),
         };
         let mut picker = lock(&self.gateway.picker);
-        picker.good(now, &picked.server.id);
+        picker.note_success(now, &picked.server.id);
         picker.overload(&self.request.service).note_answer(times, !picked.wait.is_zero());
         drop(picker);
         self.gateway.suspicion.note_answered(now, self.request);
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -27,8 +27,8 @@
 /// Decaying counts of good and bad answers, and pauses after failed connections.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    good: f64,
-    bad: f64,
+    successes: f64,
+    failures: f64,
     at: Option<Instant>,
     /// Weight of requests that wait in vain.
     silent: f64,
@@ -41,9 +41,9 @@
 
 impl Health {
     /// Notes an answer, or an event of a stream.
-    pub fn good(&mut self, now: Instant) {
+    pub fn note_success(&mut self, now: Instant) {
         self.decay(now);
-        self.good += 1.0;
+        self.successes += 1.0;
         self.silent = 0.0;
         self.heard = Some(now);
         self.pause = Duration::ZERO;
@@ -52,14 +52,14 @@
     }
 
     /// Notes a failure of a request that reached the server.
-    pub fn bad(&mut self, now: Instant) {
+    pub fn note_failure(&mut self, now: Instant) {
         self.decay(now);
-        self.bad += 1.0;
+        self.failures += 1.0;
     }
 
     /// Notes that no connection could be made, or that it went silent.
     pub fn unreachable(&mut self, now: Instant) {
-        self.bad(now);
+        self.note_failure(now);
         self.pause_from(now);
     }
 
@@ -76,7 +76,7 @@
     /// Notes a request that has waited for a byte for longer than nearly all do; returns whether the server
     /// has come to count as silent.
     pub fn silent(&mut self, now: Instant) -> bool {
-        self.bad(now);
+        self.note_failure(now);
         self.silent += 1.0;
         let was_found = self.is_found_silent(now);
         if self.silent >= SILENT_MIN {
@@ -87,8 +87,8 @@
 
     /// Notes that a request that counted as waiting in vain was answered after all.
     pub fn spoke(&mut self, now: Instant) {
-        self.good(now);
-        self.bad = (self.bad - 1.0).max(0.0);
+        self.note_success(now);
+        self.failures = (self.failures - 1.0).max(0.0);
     }
 
     /// Takes the word of other instances that the server is silent.
@@ -125,8 +125,8 @@
     /// Returns the share of failures, and whether there are enough to judge by.
     pub fn failure_share(&self, now: Instant) -> (f64, bool) {
         let weight = self.weight(now);
-        let (good, bad) = (self.good * weight, self.bad * weight);
-        (bad / (good + bad + 1.0), bad >= FAILURES_MIN)
+        let (successes, failures) = (self.successes * weight, self.failures * weight);
+        (failures / (successes + failures + 1.0), failures >= FAILURES_MIN)
     }
 
     fn weight(&self, now: Instant) -> f64 {
@@ -137,8 +137,8 @@
 
     fn decay(&mut self, now: Instant) {
         let weight = self.weight(now);
-        self.good *= weight;
-        self.bad *= weight;
+        self.successes *= weight;
+        self.failures *= weight;
         self.silent *= weight;
         self.at = Some(now);
     }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -326,13 +326,13 @@
     }
 
     /// Notes a good answer.
-    pub fn good(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.good(now));
+    pub fn note_success(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.note_success(now));
     }
 
     /// Notes a failed answer.
-    pub fn bad(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.bad(now));
+    pub fn note_failure(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.note_failure(now));
     }
 
     /// Returns this instance's requests in flight, by server.
--- a/src/routing/picker/silent.rs
+++ b/src/routing/picker/silent.rs
@@ -27,7 +27,7 @@
         if self.may_pause(now, &service) {
             return self.servers.get_mut(id).is_some_and(|t| t.health.silent(now));
         }
-        self.bad(now, id);
+        self.note_failure(now, id);
         false
     }
 
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -124,7 +124,7 @@
         while self.under_way.front().is_some_and(|(ends, ..)| *ends <= now) {
             let Some((_, instance, id)) = self.under_way.pop_front() else { return };
             self.pickers[instance].finish_request(&id);
-            self.pickers[instance].good(now, &id);
+            self.pickers[instance].note_success(now, &id);
         }
     }
 
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -148,7 +148,7 @@
     (0..3).for_each(|_| picker.finish_request(&before.id));
     let counts: Vec<u32> = picker.own_counts().iter().map(|(_, count)| *count).collect();
     assert_eq!(counts, [1], "what ends at the one before is not the other's");
-    picker.bad(now, &before.id);
+    picker.note_failure(now, &before.id);
     picker.told_silent(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
--- a/tests/suite/notices.rs
+++ b/tests/suite/notices.rs
@@ -102,7 +102,7 @@
     let now = Instant::now();
     let (mut picker, servers) = fleet();
     picker.said_backoff(now, &servers[0].id, 3 * SECOND);
-    picker.good(now + SECOND, &servers[0].id);
+    picker.note_success(now + SECOND, &servers[0].id);
     assert!(!used(&picker, now + 2 * SECOND).expect("servers").contains(&servers[0].id));
     assert!(used(&picker, now + 3 * SECOND).expect("servers").contains(&servers[0].id));
 }
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -75,15 +75,15 @@
     let mut picker = picker(&servers);
     let bad = servers[0].id.clone();
     for server in &servers {
-        (0..6).for_each(|_| picker.good(now, &server.id));
+        (0..6).for_each(|_| picker.note_success(now, &server.id));
     }
-    (0..6).for_each(|_| picker.bad(now, &bad));
+    (0..6).for_each(|_| picker.note_failure(now, &bad));
     assert!((0..50).all(|key| pick(&picker, now, Some(key), &[]) != Some(bad.clone())));
     let later = now + SECOND * 10;
     assert!((0..50).any(|key| pick(&picker, later, Some(key), &[]) == Some(bad.clone())));
     // Where all fail alike, none is worse than the others.
     for server in &servers {
-        (0..20).for_each(|_| picker.bad(later, &server.id));
+        (0..20).for_each(|_| picker.note_failure(later, &server.id));
     }
     assert!((0..50).any(|key| pick(&picker, later, Some(key), &[]) == Some(bad.clone())));
 }
@@ -236,7 +236,7 @@
     assert!(used(&picker, later));
     picker.start_request(later, &silent);
     assert!(!used(&picker, later), "one request at a time tries it");
-    picker.good(later, &silent);
+    picker.note_success(later, &silent);
     assert!(used(&picker, later));
 }
 
@@ -259,7 +259,7 @@
     let servers = fleet(4);
     let (silent, heard) = (&servers[0], &servers[1]);
     let mut picker = picker(&servers);
-    picker.good(now, &heard.id);
+    picker.note_success(now, &heard.id);
     picker.told_silent(now, &[silent.tag(), heard.tag()]);
     let used = |picker: &Picker, at, server: &BackendServer| {
         (0..60).any(|key| pick(picker, at, Some(key), &[]) == Some(server.id.clone()))
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -298,7 +298,7 @@
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
     assert_eq!(pauses[0], Duration::from_millis(500));
     assert_eq!(pauses[5], Duration::from_secs(4));
-    health.good(now);
+    health.note_success(now);
     health.unreachable(now);
     assert!(!health.is_paused(now + Duration::from_millis(500)), "a good answer starts anew");
 }
