--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -147,7 +147,7 @@
         let server = &picked.server.id;
         let mut picker = lock(&self.gateway.picker);
         match fault {
-            AttemptFault::Connect => picker.unreachable(now, server),
+            AttemptFault::Connect => picker.note_unreachable(now, server),
             AttemptFault::CallerGone | AttemptFault::Withheld | AttemptFault::BeforeSend => {}
             // A refusal counts too: each further request there would spend a repeat.
             _ => picker.note_failure(now, server),
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -52,7 +52,7 @@
             return;
         }
         self.counted.set(true);
-        if lock(&self.gateway.picker).silent(now, self.server) {
+        if lock(&self.gateway.picker).note_stall(now, self.server) {
             log::info!("event=server_silent server={}", self.server);
         }
     }
@@ -60,7 +60,7 @@
     /// Notes that bytes have come.
     pub fn ended(&self) {
         if self.counted.get() {
-            lock(&self.gateway.picker).spoke(self.gateway.clock.now(), self.server);
+            lock(&self.gateway.picker).clear_stall(self.gateway.clock.now(), self.server);
         }
     }
 
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -31,7 +31,7 @@
     failures: f64,
     at: Option<Instant>,
     /// Weight of requests that wait in vain.
-    silent: f64,
+    stalls: f64,
     heard: Option<Instant>,
     pause: Duration,
     paused_until: Option<Instant>,
@@ -44,7 +44,7 @@
     pub fn note_success(&mut self, now: Instant) {
         self.decay(now);
         self.successes += 1.0;
-        self.silent = 0.0;
+        self.stalls = 0.0;
         self.heard = Some(now);
         self.pause = Duration::ZERO;
         self.paused_until = None;
@@ -58,7 +58,7 @@
     }
 
     /// Notes that no connection could be made, or that it went silent.
-    pub fn unreachable(&mut self, now: Instant) {
+    pub fn note_unreachable(&mut self, now: Instant) {
         self.note_failure(now);
         self.pause_from(now);
     }
@@ -75,18 +75,18 @@
 
     /// Notes a request that has waited for a byte for longer than nearly all do; returns whether the server
     /// has come to count as silent.
-    pub fn silent(&mut self, now: Instant) -> bool {
+    pub fn note_stall(&mut self, now: Instant) -> bool {
         self.note_failure(now);
-        self.silent += 1.0;
+        self.stalls += 1.0;
         let was_found = self.is_found_silent(now);
-        if self.silent >= SILENT_MIN {
+        if self.stalls >= SILENT_MIN {
             self.pause_from(now);
         }
         !was_found && self.is_found_silent(now)
     }
 
     /// Notes that a request that counted as waiting in vain was answered after all.
-    pub fn spoke(&mut self, now: Instant) {
+    pub fn clear_stall(&mut self, now: Instant) {
         self.note_success(now);
         self.failures = (self.failures - 1.0).max(0.0);
     }
@@ -139,7 +139,7 @@
         let weight = self.weight(now);
         self.successes *= weight;
         self.failures *= weight;
-        self.silent *= weight;
+        self.stalls *= weight;
         self.at = Some(now);
     }
 }
--- a/src/routing/picker/silent.rs
+++ b/src/routing/picker/silent.rs
@@ -20,12 +20,12 @@
 impl Picker {
     /// Notes a request at `id` that has waited for a byte for longer than nearly all do; returns whether
     /// the server has come to count as silent.
-    pub fn silent(&mut self, now: Instant, id: &Incarnation) -> bool {
+    pub fn note_stall(&mut self, now: Instant, id: &Incarnation) -> bool {
         let Some(service) = self.servers.get(id).map(|t| t.server.service.clone()) else {
             return false;
         };
         if self.may_pause(now, &service) {
-            return self.servers.get_mut(id).is_some_and(|t| t.health.silent(now));
+            return self.servers.get_mut(id).is_some_and(|t| t.health.note_stall(now));
         }
         self.note_failure(now, id);
         false
@@ -40,8 +40,8 @@
     }
 
     /// Notes that a request that counted as waiting in vain at `id` was answered after all.
-    pub fn spoke(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.spoke(now));
+    pub fn clear_stall(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.clear_stall(now));
     }
 
     /// Returns the servers that nothing is sent to since they are silent, cannot be reached, or want no requests for
@@ -78,7 +78,7 @@
     }
 
     /// Notes that a server could not be reached.
-    pub fn unreachable(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.unreachable(now));
+    pub fn note_unreachable(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.note_unreachable(now));
     }
 }
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -139,7 +139,7 @@
     let (before, after) = (server("a@1000", 1), server("a@2000", 1));
     let mut picker = picker(&[before.clone(), server("b@1000", 2)]);
     (0..3).for_each(|_| picker.start_request(now, &before.id));
-    (0..3).for_each(|_| picker.unreachable(now, &before.id));
+    (0..3).for_each(|_| picker.note_unreachable(now, &before.id));
     assert_eq!(picker.own_counts().len(), 1);
     assert_eq!(picker.own_silent(now).len(), 1);
     list(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -59,11 +59,11 @@
     let mut picker = picker(&servers);
     let (one, two) = (servers[1].id.clone(), servers[2].id.clone());
     assert_eq!(pick(&picker, now, None, std::slice::from_ref(&one)), Some(two.clone()));
-    picker.unreachable(now, &two);
+    picker.note_unreachable(now, &two);
     for key in 0..20 {
         assert_eq!(pick(&picker, now, Some(key), &[]), Some(one.clone()));
     }
-    picker.unreachable(now, &one);
+    picker.note_unreachable(now, &one);
     assert!(pick(&picker, now, Some(1), &[]).is_some(), "the last servers are tried all the same");
     assert_eq!(pick(&picker, now, None, &[one, two]), None);
 }
@@ -141,7 +141,7 @@
     assert_eq!(third, second);
     assert_ne!(holder, home, "the request has failed there");
     let mut unreached = picker(&servers);
-    unreached.unreachable(now, &second);
+    unreached.note_unreachable(now, &second);
     assert_eq!(pick(&unreached, &[]).0, home);
     assert_ne!(pick(&unreached, &[]).1, second);
 }
@@ -228,9 +228,9 @@
     let used = |picker: &Picker, at| {
         (0..60).any(|key| pick(picker, at, Some(key), &[]) == Some(silent.clone()))
     };
-    assert!(!picker.silent(now, &silent), "one may be a long prompt");
+    assert!(!picker.note_stall(now, &silent), "one may be a long prompt");
     assert!(used(&picker, now));
-    assert!(picker.silent(now, &silent));
+    assert!(picker.note_stall(now, &silent));
     assert!(!used(&picker, now));
     let later = now + SECOND;
     assert!(used(&picker, later));
@@ -247,8 +247,8 @@
     let mut picker = picker(&servers);
     let slow = servers[0].id.clone();
     for _ in 0..10 {
-        picker.silent(now, &slow);
-        picker.spoke(now, &slow);
+        picker.note_stall(now, &slow);
+        picker.clear_stall(now, &slow);
     }
     assert!((0..60).any(|key| pick(&picker, now, Some(key), &[]) == Some(slow.clone())));
 }
@@ -276,10 +276,10 @@
     let servers = fleet(4);
     let mut picker = picker(&servers);
     for server in &servers[..2] {
-        picker.unreachable(now, &server.id);
+        picker.note_unreachable(now, &server.id);
     }
     assert_eq!(picker.own_silent(now), [servers[0].tag(), servers[1].tag()]);
-    picker.unreachable(now, &servers[2].id);
+    picker.note_unreachable(now, &servers[2].id);
     assert!(picker.own_silent(now).is_empty(), "rather this instance is cut off");
 }
 
@@ -290,7 +290,7 @@
     let servers = fleet(5);
     let mut picker = picker(&servers);
     for server in &servers {
-        (0..3).for_each(|_| _ = picker.silent(now, &server.id));
+        (0..3).for_each(|_| _ = picker.note_stall(now, &server.id));
     }
     let tags: Vec<_> = servers.iter().map(BackendServer::tag).collect();
     picker.told_silent(now, &tags);
@@ -304,7 +304,7 @@
     let now = Instant::now();
     let servers = fleet(400);
     let mut picker = picker(&servers);
-    servers[..150].iter().for_each(|server| picker.unreachable(now, &server.id));
+    servers[..150].iter().for_each(|server| picker.note_unreachable(now, &server.id));
     assert_eq!(picker.own_silent(now).len(), 64);
 }
 
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -288,7 +288,7 @@
     let mut health = Health::default();
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        health.unreachable(now);
+        health.note_unreachable(now);
         let from = now;
         while health.is_paused(now) {
             now += Duration::from_millis(10);
@@ -299,7 +299,7 @@
     assert_eq!(pauses[0], Duration::from_millis(500));
     assert_eq!(pauses[5], Duration::from_secs(4));
     health.note_success(now);
-    health.unreachable(now);
+    health.note_unreachable(now);
     assert!(!health.is_paused(now + Duration::from_millis(500)), "a good answer starts anew");
 }
 
