--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -158,7 +158,7 @@
 }
 
 fn all_silent(gateway: &Gateway, now: Instant) -> Vec<Tag> {
-    let own = lock(&gateway.picker).own_silent(now);
+    let own = lock(&gateway.picker).own_unresponsive(now);
     let mut aggregate = lock(&gateway.peers.aggregate);
     aggregate.take_silent(now, gateway.settings.node.clone(), own);
     aggregate.silent()
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -263,7 +263,7 @@
         let Some(first) = first else {
             let sums = sums(gateway, now);
             take_loads(gateway, now, &sums.loads, None);
-            lock(&gateway.picker).told_silent(now, &sums.silent);
+            lock(&gateway.picker).note_reported_unresponsive(now, &sums.silent);
             gateway.set_budget_sums(now, sums.budgets.clone());
             judge_own(gateway, now);
             return;
@@ -350,7 +350,7 @@
     };
     let (counts, silent) = {
         let picker = lock(&gateway.picker);
-        (picker.own_counts(), picker.own_silent(asked))
+        (picker.own_counts(), picker.own_unresponsive(asked))
     };
     // Others than the one that all turn to know only a part.
     let in_turn = asks == Asks::InTurn;
@@ -386,7 +386,7 @@
             gateway.suspicion.alert(told);
         }
         take_loads(gateway, told, &news.loads, Some(counts));
-        lock(&gateway.picker).told_silent(told, &news.silent);
+        lock(&gateway.picker).note_reported_unresponsive(told, &news.silent);
         gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
     }
     take(gateway, news, list, asked);
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -92,7 +92,7 @@
     }
 
     /// Takes the word of other instances that the server is silent.
-    pub fn told_silent(&mut self, now: Instant) {
+    pub fn note_reported_unresponsive(&mut self, now: Instant) {
         let heard = |at: Instant| now.saturating_duration_since(at) < HEARD_LATELY;
         if !self.heard.is_some_and(heard) {
             self.told_until = Some(now + TOLD_LIFE);
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -9,7 +9,7 @@
 mod members;
 mod notices;
 mod places;
-mod silent;
+mod unresponsive;
 mod versions;
 
 use std::{
--- a/src/routing/picker/silent.rs
+++ b/src/routing/picker/unresponsive.rs
@@ -47,7 +47,7 @@
     /// Returns the servers that nothing is sent to since they are silent, cannot be reached, or want no requests for
     /// a while, for the other instances; none where that is most of a service, as then it is rather this instance
     /// that is cut off.
-    pub fn own_silent(&self, now: Instant) -> Vec<Tag> {
+    pub fn own_unresponsive(&self, now: Instant) -> Vec<Tag> {
         let mut services: IndexMap<&ServiceName, (usize, Vec<Tag>)> = IndexMap::new();
         for tracked in self.servers.values() {
             let (count, paused) = services.entry(&tracked.server.service).or_default();
@@ -64,7 +64,7 @@
     }
 
     /// Takes the word of other instances that servers are silent.
-    pub fn told_silent(&mut self, now: Instant, silent: &[Tag]) {
+    pub fn note_reported_unresponsive(&mut self, now: Instant, silent: &[Tag]) {
         let told = |t: &&Tracked| silent.contains(&t.server.tag());
         let ids: Vec<Incarnation> =
             self.servers.values().filter(told).map(|t| t.server.id.clone()).collect();
@@ -72,7 +72,7 @@
             let Some(tracked) = self.servers.get(&id) else { continue };
             let known = tracked.health.is_paused(now);
             if known || self.may_pause(now, &tracked.server.service) {
-                self.with(&id, |t| t.health.told_silent(now));
+                self.with(&id, |t| t.health.note_reported_unresponsive(now));
             }
         }
     }
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -139,10 +139,10 @@
             let picker = &mut self.pickers[instance];
             let own = picker.own_counts();
             self.aggregate.take(now, node.clone(), own.clone());
-            self.aggregate.take_silent(now, node, picker.own_silent(now));
+            self.aggregate.take_silent(now, node, picker.own_unresponsive(now));
             let loads = self.aggregate.summary(now, self.servers.iter());
             picker.set_fleet_loads(now, &loads, &own);
-            picker.told_silent(now, &self.aggregate.silent());
+            picker.note_reported_unresponsive(now, &self.aggregate.silent());
         }
     }
 
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -249,7 +249,7 @@
         let servers = gateway.knowledge.with_servers(|r| {
             r.servers().find(|server| server.id == silent).map(|server| server.tag())
         });
-        servers.is_some_and(|tag| picker.own_silent(now).contains(&tag))
+        servers.is_some_and(|tag| picker.own_unresponsive(now).contains(&tag))
     });
     assert!(waiting.iter().any(|caller| !caller.is_finished()), "none of those has failed yet");
     let answers: Vec<u16> =
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -141,15 +141,15 @@
     (0..3).for_each(|_| picker.start_request(now, &before.id));
     (0..3).for_each(|_| picker.note_unreachable(now, &before.id));
     assert_eq!(picker.own_counts().len(), 1);
-    assert_eq!(picker.own_silent(now).len(), 1);
+    assert_eq!(picker.own_unresponsive(now).len(), 1);
     list(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
-    assert!(picker.own_counts().is_empty() && picker.own_silent(now).is_empty());
+    assert!(picker.own_counts().is_empty() && picker.own_unresponsive(now).is_empty());
     picker.start_request(now, &after.id);
     (0..3).for_each(|_| picker.finish_request(&before.id));
     let counts: Vec<u32> = picker.own_counts().iter().map(|(_, count)| *count).collect();
     assert_eq!(counts, [1], "what ends at the one before is not the other's");
     picker.note_failure(now, &before.id);
-    picker.told_silent(now, &[before.tag()]);
+    picker.note_reported_unresponsive(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
     let wanted = PickRequest {
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -260,13 +260,13 @@
     let (silent, heard) = (&servers[0], &servers[1]);
     let mut picker = picker(&servers);
     picker.note_success(now, &heard.id);
-    picker.told_silent(now, &[silent.tag(), heard.tag()]);
+    picker.note_reported_unresponsive(now, &[silent.tag(), heard.tag()]);
     let used = |picker: &Picker, at, server: &BackendServer| {
         (0..60).any(|key| pick(picker, at, Some(key), &[]) == Some(server.id.clone()))
     };
     assert!(!used(&picker, now, silent));
     assert!(used(&picker, now, heard));
-    assert!(picker.own_silent(now).is_empty(), "only what it found itself is told on");
+    assert!(picker.own_unresponsive(now).is_empty(), "only what it found itself is told on");
     assert!(used(&picker, now + SECOND, silent));
 }
 
@@ -278,9 +278,9 @@
     for server in &servers[..2] {
         picker.note_unreachable(now, &server.id);
     }
-    assert_eq!(picker.own_silent(now), [servers[0].tag(), servers[1].tag()]);
+    assert_eq!(picker.own_unresponsive(now), [servers[0].tag(), servers[1].tag()]);
     picker.note_unreachable(now, &servers[2].id);
-    assert!(picker.own_silent(now).is_empty(), "rather this instance is cut off");
+    assert!(picker.own_unresponsive(now).is_empty(), "rather this instance is cut off");
 }
 
 /// Where a whole service is slow, the few servers that are left would get all requests.
@@ -293,7 +293,7 @@
         (0..3).for_each(|_| _ = picker.note_stall(now, &server.id));
     }
     let tags: Vec<_> = servers.iter().map(BackendServer::tag).collect();
-    picker.told_silent(now, &tags);
+    picker.note_reported_unresponsive(now, &tags);
     let used: std::collections::HashSet<_> =
         (0..200).filter_map(|key| pick(&picker, now, Some(key), &[])).collect();
     assert_eq!(used.len(), 3);
@@ -305,7 +305,7 @@
     let servers = fleet(400);
     let mut picker = picker(&servers);
     servers[..150].iter().for_each(|server| picker.note_unreachable(now, &server.id));
-    assert_eq!(picker.own_silent(now).len(), 64);
+    assert_eq!(picker.own_unresponsive(now).len(), 64);
 }
 
 #[test]
