--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -15,13 +15,13 @@
         let (id, service) = (&request.asked.id, &request.service);
         if words.leaving {
             self.metrics.server_notice(service, "leaving");
-            if lock(&self.picker).said_leaving(now, server) {
+            if lock(&self.picker).note_leaving(now, server) {
                 log::info!("event=server_says_leaving request={id} server={server}");
             }
         }
         if let Some(time) = words.backoff {
             self.metrics.server_notice(service, "backoff");
-            if lock(&self.picker).said_backoff(now, server, time) {
+            if lock(&self.picker).note_backoff(now, server, time) {
                 let for_ms = time.as_millis();
                 log::info!(
                     "event=server_says_backoff request={id} server={server} for_ms={for_ms}"
--- a/src/routing/notice.rs
+++ b/src/routing/notice.rs
@@ -18,13 +18,13 @@
 
 impl Notice {
     /// Notes that the server said that it leaves.
-    pub fn leaves(&mut self) {
+    pub fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
     /// Notes that the server wants no requests for `time`. What it asked for before holds all the same: answers overtake each
     /// other.
-    pub fn backs_off(&mut self, now: Instant, time: Duration) {
+    pub fn extend_backoff(&mut self, now: Instant, time: Duration) {
         let until = now + time.min(BACKOFF_MAX);
         self.backoff_until = self.backoff_until.max(Some(until));
     }
--- a/src/routing/picker/notices.rs
+++ b/src/routing/picker/notices.rs
@@ -18,19 +18,19 @@
     }
 
     /// Notes that a server said in an answer that it leaves; returns whether that is new.
-    pub fn said_leaving(&mut self, now: Instant, id: &Incarnation) -> bool {
+    pub fn note_leaving(&mut self, now: Instant, id: &Incarnation) -> bool {
         let notice = self.notice_of(now, id);
         let known = notice.is_leaving();
-        notice.leaves();
+        notice.set_leaving();
         !known
     }
 
     /// Notes that a server said in an answer that it wants no requests for `time`; returns whether it wanted some
     /// until now.
-    pub fn said_backoff(&mut self, now: Instant, id: &Incarnation, time: Duration) -> bool {
+    pub fn note_backoff(&mut self, now: Instant, id: &Incarnation, time: Duration) -> bool {
         let notice = self.notice_of(now, id);
         let known = notice.backoff_left(now).is_some();
-        notice.backs_off(now, time);
+        notice.extend_backoff(now, time);
         !known
     }
 
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -189,7 +189,7 @@
                 return;
             }
             self.asked[instance][at] = Some(now + BACKOFF);
-            self.pickers[instance].said_backoff(now, &id, BACKOFF);
+            self.pickers[instance].note_backoff(now, &id, BACKOFF);
             self.outcome.turned_away += 1;
             tried.push(id);
         }
--- a/tests/suite/notices.rs
+++ b/tests/suite/notices.rs
@@ -58,14 +58,14 @@
 fn the_latest_end_of_all_backoffs_counts() {
     let now = Instant::now();
     let mut notice = Notice::default();
-    notice.backs_off(now, 3 * SECOND);
-    notice.backs_off(now + SECOND / 2, SECOND);
+    notice.extend_backoff(now, 3 * SECOND);
+    notice.extend_backoff(now + SECOND / 2, SECOND);
     assert_eq!(notice.backoff_left(now + SECOND), Some(2 * SECOND));
-    notice.backs_off(now + SECOND, 3 * SECOND);
+    notice.extend_backoff(now + SECOND, 3 * SECOND);
     assert_eq!(notice.backoff_left(now + 3 * SECOND), Some(SECOND));
     assert!(notice.forbids_requests(now + 3 * SECOND));
     assert!(!notice.forbids_requests(now + 4 * SECOND));
-    notice.leaves();
+    notice.set_leaving();
     assert!(notice.forbids_requests(now + 4000 * SECOND));
 }
 
@@ -73,7 +73,7 @@
 fn a_figure_that_makes_no_sense_does_not_end_a_server_for_good() {
     let now = Instant::now();
     let mut notice = Notice::default();
-    notice.backs_off(now, Duration::from_secs(u64::MAX / 4));
+    notice.extend_backoff(now, Duration::from_secs(u64::MAX / 4));
     assert!(notice.forbids_requests(now + 3599 * SECOND));
     assert!(!notice.forbids_requests(now + 3600 * SECOND));
 }
@@ -101,7 +101,7 @@
 fn a_good_answer_to_an_earlier_request_does_not_lift_a_backoff() {
     let now = Instant::now();
     let (mut picker, servers) = fleet();
-    picker.said_backoff(now, &servers[0].id, 3 * SECOND);
+    picker.note_backoff(now, &servers[0].id, 3 * SECOND);
     picker.note_success(now + SECOND, &servers[0].id);
     assert!(!used(&picker, now + 2 * SECOND).expect("servers").contains(&servers[0].id));
     assert!(used(&picker, now + 3 * SECOND).expect("servers").contains(&servers[0].id));
@@ -111,10 +111,10 @@
 fn what_a_server_said_outlives_its_entry_and_ends_with_its_start() {
     let now = Instant::now();
     let (mut picker, mut servers) = fleet();
-    picker.said_leaving(now, &servers[0].id);
+    picker.note_leaving(now, &servers[0].id);
     list(&mut picker, now + SECOND, &servers[1..]);
     // An answer that comes while the entry is away.
-    picker.said_leaving(now + SECOND, &servers[0].id);
+    picker.note_leaving(now + SECOND, &servers[0].id);
     list(&mut picker, now + 300 * SECOND, &servers);
     assert!(picker.forbids_requests(now + 300 * SECOND, &servers[0].id));
     assert!(!used(&picker, now + 300 * SECOND).expect("servers").contains(&servers[0].id));
@@ -127,13 +127,13 @@
 fn where_all_back_off_the_first_end_is_told_and_one_that_leaves_has_none() {
     let now = Instant::now();
     let (mut picker, servers) = fleet();
-    picker.said_backoff(now, &servers[0].id, 5 * SECOND);
-    picker.said_backoff(now, &servers[1].id, 3 * SECOND);
-    picker.said_backoff(now, &servers[2].id, SECOND);
-    picker.said_leaving(now, &servers[2].id);
+    picker.note_backoff(now, &servers[0].id, 5 * SECOND);
+    picker.note_backoff(now, &servers[1].id, 3 * SECOND);
+    picker.note_backoff(now, &servers[2].id, SECOND);
+    picker.note_leaving(now, &servers[2].id);
     assert_eq!(used(&picker, now + SECOND), Err(PickError::Backoff { left: 2 * SECOND }));
-    picker.said_leaving(now, &servers[0].id);
-    picker.said_leaving(now, &servers[1].id);
+    picker.note_leaving(now, &servers[0].id);
+    picker.note_leaving(now, &servers[1].id);
     assert_eq!(used(&picker, now + SECOND), Err(PickError::NoServer));
 }
 
@@ -145,10 +145,10 @@
     let wanted = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
     let first = picker.pick(now, &wanted).expect("a server").server.id.clone();
     assert!(servers.iter().any(|server| server.id == first));
-    picker.said_leaving(now, &first);
+    picker.note_leaving(now, &first);
     let next = picker.pick(now, &wanted).expect("a server");
     assert_eq!(next.holder.expect("a holder").id, first);
-    picker.said_backoff(now, &first, SECOND);
+    picker.note_backoff(now, &first, SECOND);
     let next = picker.pick(now, &wanted).expect("a server");
     assert!(next.holder.is_none_or(|holder| holder.id != first));
 }
