--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -110,7 +110,7 @@
 
     fn put_in_force(&self, gateway: &Gateway) {
         let lanes = lock(&self.states).lanes();
-        lock(&gateway.picker).set_lanes(lanes);
+        lock(&gateway.picker).set_version_splits(lanes);
     }
 
     /// Returns what other instances are told of roll-outs.
@@ -148,7 +148,7 @@
         let picker = lock(&gateway.picker);
         let evidence = lock(&self.evidence);
         let report = |(service, of): (&ServiceName, &RolloutEvidence)| {
-            of.report(service, picker.under_way_beside(service, of.to()))
+            of.report(service, picker.in_flight_outside_version(service, of.to()))
         };
         evidence.iter().map(report).collect()
     }
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -37,7 +37,7 @@
 
 impl Picker {
     /// Sets which servers requests may go to, of services whose version changes.
-    pub fn set_lanes(&mut self, lanes: Vec<Lane>) {
+    pub fn set_version_splits(&mut self, lanes: Vec<Lane>) {
         let versions =
             |lane: Lane| (lane.service.clone(), Versions { lane, new: HashSet::new(), others: 0 });
         self.versions = lanes.into_iter().map(versions).collect();
@@ -107,7 +107,7 @@
     }
 
     /// Returns how many requests of this instance are under way at servers of other versions than `to`.
-    pub fn under_way_beside(&self, service: &ServiceName, to: &SoftwareVersion) -> u32 {
+    pub fn in_flight_outside_version(&self, service: &ServiceName, to: &SoftwareVersion) -> u32 {
         let others = self.servers_of(service).filter(|t| t.server.version.as_ref() != Some(to));
         others.map(|t| t.load.own()).sum()
     }
