--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -288,7 +288,7 @@
         // A caller that leaves ends only what may run again or is a stream: ending anything else
         // leaves its outcome in doubt.
         let watched = if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
-        let silence = lock(&gateway.picker).overload(&request.service).silence(picked.wait);
+        let silence = lock(&gateway.picker).admission(&request.service).silence(picked.wait);
         let silence = Silence::new(gateway, &server.id, silence.map(|time| now + time));
         let patience = self.patience(now, &server.id);
         let longer = || {
@@ -428,7 +428,7 @@
         };
         let mut picker = lock(&self.gateway.picker);
         picker.note_success(now, &picked.server.id);
-        picker.overload(&self.request.service).note_answer(times, !picked.wait.is_zero());
+        picker.admission(&self.request.service).note_answer(times, !picked.wait.is_zero());
         drop(picker);
         self.gateway.suspicion.note_answered(now, self.request);
         self.gateway.metrics.attempt(&self.request.service, None);
--- a/src/gateway/unpicked.rs
+++ b/src/gateway/unpicked.rs
@@ -23,8 +23,8 @@
         let target = request.route.target_latency;
         let after = {
             let mut picker = lock(&self.gateway.picker);
-            let overload = picker.overload(&request.service);
-            overload.refuse(now, admitted, draw, target, most)
+            let admission = picker.admission(&request.service);
+            admission.refuse(now, admitted, draw, target, most)
         };
         self.refused = Some(Refused::overload(after));
         self.gateway.metrics.refusal(&request.service, "overload");
--- a/src/routing/overload.rs
+++ b/src/routing/admission.rs
@@ -107,7 +107,7 @@
 
 /// What is learnt of one service.
 #[derive(Debug, Default)]
-pub struct Overload {
+pub struct AdmissionControl {
     /// Time to the head of answers that found a free place.
     head: Mean,
     /// Time from there to the end.
@@ -121,7 +121,7 @@
     period: Option<(Instant, Instant)>,
 }
 
-impl Overload {
+impl AdmissionControl {
     /// Notes a caller's request with its rank (0 is the most urgent) and target latency.
     pub fn note_request(&mut self, now: Instant, priority: u8, target: Duration) {
         self.ranks.insert(priority, Rank { seen: now, target });
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,6 +1,7 @@
 //! Decisions of the way of a request on a platform that lists backend servers: which route, which
 //! backend server, whether to try again. No I/O; the time is passed in.
 
+pub mod admission;
 pub mod aggregate;
 pub mod blame;
 pub mod budget;
@@ -20,7 +21,6 @@
 pub mod load;
 pub mod notice;
 pub mod operator_orders;
-pub mod overload;
 pub mod pick;
 pub mod picker;
 pub mod rollout;
@@ -35,6 +35,7 @@
 pub mod team;
 pub mod unlisted;
 
+pub use admission::{AdmissionControl, AnswerTimes};
 pub use aggregate::{Aggregate, Count, ServiceLoad};
 pub use blame::{
     Answered, Collector, Finding, HeldRow, Judgement, RequestDigest, RequestLook, ServerEnds,
@@ -57,7 +58,6 @@
 pub use load::{FleetPosition, Load, LoadReport};
 pub use notice::Notice;
 pub use operator_orders::{OperatorOrders, OrderChange, ToldOrders};
-pub use overload::{AnswerTimes, Overload};
 pub use pick::{Crowded, PickError, PickRequest, Picked};
 pub use picker::Picker;
 pub use rollout::{
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -70,11 +70,11 @@
         let rooms: Vec<f64> = rank.iter().map(room).collect();
         let waits: Vec<Duration> =
             rank.iter().map(|&i| self.wait(now, pool[i], loads[i])).collect();
-        let overload = self.overload.get(wanted.service);
-        let admissible = overload.map_or(Duration::ZERO, |o| o.admissible_wait(now));
+        let admission = self.admission.get(wanted.service);
+        let admissible = admission.map_or(Duration::ZERO, |o| o.admissible_wait(now));
         let ranked = || rank.iter().enumerate();
         let filled =
-            overload.is_some_and(|o| o.is_filled(now, self.places_of(now, wanted.service)));
+            admission.is_some_and(|o| o.is_filled(now, self.places_of(now, wanted.service)));
         let free = |&(at, &i): &(usize, &usize)| {
             let own_place = !filled || self.has_own_place(now, pool[i]);
             rooms[at] > 0.0 && waits[at].is_zero() && own_place && !is_full(now, pool[i])
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -25,8 +25,9 @@
     versions::{Side, Versions},
 };
 use super::{
-    BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load, LoadReport, Notice,
-    Overload, PickError, PickRequest, Picked, ServiceLoad, UnlistedNotices, overload::FleetTotal,
+    AdmissionControl, BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load,
+    LoadReport, Notice, PickError, PickRequest, Picked, ServiceLoad, UnlistedNotices,
+    admission::FleetTotal,
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
 
@@ -61,7 +62,7 @@
     load_bound: f64,
     /// This instance among all.
     position: FleetPosition,
-    overload: IndexMap<ServiceName, Overload>,
+    admission: IndexMap<ServiceName, AdmissionControl>,
     /// Availability zones that get nothing new.
     evacuated: IndexSet<ZoneName>,
     unlisted: UnlistedNotices,
@@ -81,7 +82,7 @@
             regions: IndexMap::new(),
             load_bound,
             position,
-            overload: IndexMap::new(),
+            admission: IndexMap::new(),
             evacuated: IndexSet::new(),
             unlisted: UnlistedNotices::default(),
             versions: IndexMap::new(),
@@ -176,12 +177,12 @@
         priority: u8,
         target: Duration,
     ) {
-        self.overload(service).note_request(now, priority, target);
+        self.admission(service).note_request(now, priority, target);
     }
 
     /// Returns what is learnt of a service's load, to learn more.
-    pub fn overload(&mut self, service: &ServiceName) -> &mut Overload {
-        self.overload.entry(service.clone()).or_default()
+    pub fn admission(&mut self, service: &ServiceName) -> &mut AdmissionControl {
+        self.admission.entry(service.clone()).or_default()
     }
 
     /// Picks a server.
@@ -204,18 +205,18 @@
             None => self.by_load(now, wanted, &pool),
         };
         let picked = picked.ok_or(PickError::NoServer)?;
-        let (Some(overload), Some(priority)) =
-            (self.overload.get(wanted.service), wanted.admission)
+        let (Some(admission), Some(priority)) =
+            (self.admission.get(wanted.service), wanted.admission)
         else {
             return Ok(picked);
         };
         let admitted = match self.places(now, wanted.service) {
             Some((own, places)) => {
-                overload.admitted(now, priority, own, places, self.position.instances)
+                admission.admitted(now, priority, own, places, self.position.instances)
             }
             None => 1.0,
         };
-        if wanted.draw() >= admitted || picked.wait > overload.admissible_wait(now) {
+        if wanted.draw() >= admitted || picked.wait > admission.admissible_wait(now) {
             return Err(PickError::Overload { admitted, wait: picked.wait });
         }
         Ok(picked)
@@ -312,7 +313,7 @@
                     crowded.push(Crowded { server, load: all, limit: bounds.limit });
                 }
             }
-            self.overload.entry(load.service.clone()).or_default().set_fleet(total);
+            self.admission.entry(load.service.clone()).or_default().set_fleet(total);
             self.set_others(now, &load.service, (total.all - total.own).max(0.0));
         }
         self.sum_up(now);
--- a/src/routing/picker/places.rs
+++ b/src/routing/picker/places.rs
@@ -22,15 +22,15 @@
 
     /// Returns how long a request waits for a place at a server with `load` in flight.
     pub(super) fn wait(&self, now: Instant, tracked: &Tracked, load: f64) -> Duration {
-        let (Some(overload), Some(slots)) =
-            (self.overload.get(&tracked.server.service), tracked.server.slots)
+        let (Some(admission), Some(slots)) =
+            (self.admission.get(&tracked.server.service), tracked.server.slots)
         else {
             return Duration::ZERO;
         };
         // By counts that are older than a request takes, all would leave a server and flood another.
-        if !overload.is_current(now) {
+        if !admission.is_current(now) {
             return Duration::ZERO;
         }
-        overload.wait(tracked.load.queued(now, load, slots), slots)
+        admission.wait(tracked.load.queued(now, load, slots), slots)
     }
 }
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -11,8 +11,8 @@
 use cartvane::{
     names::ServiceName,
     routing::{
-        Aggregate, AnswerTimes, BackendServer, FleetPosition, Overload, PickError, PickRequest,
-        Picker, overload::FleetTotal,
+        AdmissionControl, Aggregate, AnswerTimes, BackendServer, FleetPosition, PickError,
+        PickRequest, Picker, admission::FleetTotal,
     },
 };
 use fastrand::Rng;
@@ -24,8 +24,8 @@
 const TARGET: Duration = Duration::from_millis(300);
 
 /// Returns what an instance has learnt of a service whose requests take a second.
-fn learnt(now: Instant) -> Overload {
-    let mut overload = Overload::default();
+fn learnt(now: Instant) -> AdmissionControl {
+    let mut overload = AdmissionControl::default();
     for priority in 0..3 {
         overload.note_request(now, priority, TARGET);
     }
@@ -38,7 +38,8 @@
 fn the_admitted_share_falls_as_places_fill_and_the_urgent_keep_more() {
     let now = Instant::now();
     let mut overload = learnt(now);
-    let share = |overload: &Overload, rank, own| overload.admitted(now, rank, own, 400.0, 4);
+    let share =
+        |overload: &AdmissionControl, rank, own| overload.admitted(now, rank, own, 400.0, 4);
     assert_eq!(share(&overload, 2, 1000.0), 1.0, "before any exchange nothing is known");
     overload.set_fleet(FleetTotal { all: 200.0, own: 50.0, at: now });
     assert_eq!(share(&overload, 2, 1000.0), 1.0, "half of the places were free");
@@ -67,7 +68,7 @@
 #[test]
 fn the_wait_for_a_place_is_learnt_from_answers() {
     let now = Instant::now();
-    assert_eq!(Overload::default().wait(100.0, 10), Duration::ZERO, "nothing is known yet");
+    assert_eq!(AdmissionControl::default().wait(100.0, 10), Duration::ZERO, "nothing is known yet");
     let mut overload = learnt(now);
     assert_eq!(overload.wait(5.0, 10), MS * 500);
     // Time that was spent waiting is none that a request holds a place for.
@@ -232,7 +233,7 @@
         let picker = &mut self.pickers[instance];
         picker.finish_request(&self.servers[server].id);
         let times = AnswerTimes { head: TAKES / 10, rest: TAKES * 9 / 10 };
-        picker.overload(&self.service).note_answer(times, false);
+        picker.admission(&self.service).note_answer(times, false);
         self.run_next(server);
     }
 
