--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -21,7 +21,7 @@
         answer::{AnswerNote, send_whole},
         http1::Conn,
     },
-    routing::{AnswerSeen, AnswerTimes, Incarnation, PickRequest, Picked, RouteKind},
+    routing::{AnswerSeen, Incarnation, PickRequest, Picked, ResponseTimes, RouteKind},
     utils::sync::lock,
 };
 
@@ -288,7 +288,7 @@
         // A caller that leaves ends only what may run again or is a stream: ending anything else
         // leaves its outcome in doubt.
         let watched = if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
-        let silence = lock(&gateway.picker).admission(&request.service).silence(picked.wait);
+        let silence = lock(&gateway.picker).admission(&request.service).stall_timeout(picked.wait);
         let silence = Silence::new(gateway, &server.id, silence.map(|time| now + time));
         let patience = self.patience(now, &server.id);
         let longer = || {
@@ -422,13 +422,13 @@
     /// Notes a good answer to a request sent at `sent`, whose head came at `head` and whose end now.
     pub fn note_good(&self, picked: &Picked, sent: Instant, head: Instant) {
         let now = self.gateway.clock.now();
-        let times = AnswerTimes {
+        let times = ResponseTimes {
             head: head.saturating_duration_since(sent),
-            rest: now.saturating_duration_since(head),
+            body: now.saturating_duration_since(head),
         };
         let mut picker = lock(&self.gateway.picker);
         picker.note_success(now, &picked.server.id);
-        picker.admission(&self.request.service).note_answer(times, !picked.wait.is_zero());
+        picker.admission(&self.request.service).note_response(times, !picked.wait.is_zero());
         drop(picker);
         self.gateway.suspicion.note_answered(now, self.request);
         self.gateway.metrics.attempt(&self.request.service, None);
--- a/src/gateway/unpicked.rs
+++ b/src/gateway/unpicked.rs
@@ -24,7 +24,7 @@
         let after = {
             let mut picker = lock(&self.gateway.picker);
             let admission = picker.admission(&request.service);
-            admission.refuse(now, admitted, draw, target, most)
+            admission.note_refusal(now, admitted, draw, target, most)
         };
         self.refused = Some(Refused::overload(after));
         self.gateway.metrics.refusal(&request.service, "overload");
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -80,11 +80,11 @@
 
 /// When the parts of an answer came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     /// From sending the request to its answer's head.
     pub head: Duration,
     /// From the head to the end.
-    pub rest: Duration,
+    pub body: Duration,
 }
 
 /// Requests of one rank.
@@ -111,7 +111,7 @@
     /// Time to the head of answers that found a free place.
     head: Mean,
     /// Time from there to the end.
-    rest: Mean,
+    body: Mean,
     answers: u32,
     /// Ranks of late, by priority.
     ranks: IndexMap<u8, Rank>,
@@ -129,25 +129,25 @@
     }
 
     /// Notes a good answer; `waited` says whether its request was expected to wait for a place.
-    pub fn note_answer(&mut self, times: AnswerTimes, waited: bool) {
+    pub fn note_response(&mut self, times: ResponseTimes, waited: bool) {
         if !waited {
             self.head.note(times.head);
         }
-        self.rest.note(times.rest);
+        self.body.note(times.body);
         self.answers = self.answers.saturating_add(1);
     }
 
     /// Returns how long a request holds a place in the mean, once that is known.
-    pub fn place_time(&self) -> Option<Duration> {
+    pub fn slot_time(&self) -> Option<Duration> {
         if self.answers < ANSWERS_MIN {
             return None;
         }
-        Some(Duration::from_secs_f64(self.head.0? + self.rest.0?))
+        Some(Duration::from_secs_f64(self.head.0? + self.body.0?))
     }
 
     /// Returns after which time without a head a request speaks against its server, where it was expected
     /// to wait for a place for `wait`; `None` while too little is known.
-    pub fn silence(&self, wait: Duration) -> Option<Duration> {
+    pub fn stall_timeout(&self, wait: Duration) -> Option<Duration> {
         let Mean(Some(mean), deviation) = self.head else { return None };
         if self.answers < ANSWERS_MIN {
             return None;
@@ -159,8 +159,8 @@
 
     /// Returns how long a request waits behind `queued` others at a server that runs `slots` at once.
     pub fn wait(&self, queued: f64, slots: u32) -> Duration {
-        let Some(place_time) = self.place_time() else { return Duration::ZERO };
-        place_time.mul_f64(queued.max(0.0) / f64::from(slots.max(1)))
+        let Some(slot_time) = self.slot_time() else { return Duration::ZERO };
+        slot_time.mul_f64(queued.max(0.0) / f64::from(slots.max(1)))
     }
 
     /// Takes what all instances had in flight at the last exchange.
@@ -171,7 +171,7 @@
     /// Returns what all had in flight, unless that is older than a request takes: then it has been replaced
     /// by other requests since.
     fn fleet(&self, now: Instant) -> Option<FleetTotal> {
-        let life = self.place_time()?.min(FLEET_LIFE);
+        let life = self.slot_time()?.min(FLEET_LIFE);
         self.fleet.filter(|f| now.saturating_duration_since(f.at) < life)
     }
 
@@ -236,7 +236,7 @@
     ///
     /// `admitted` is the share of requests of its rank that is admitted, `draw` in [0, 1) another one for
     /// each caller, and `most` the longest time that makes sense for this one.
-    pub fn refuse(
+    pub fn note_refusal(
         &mut self,
         now: Instant,
         admitted: f64,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -35,7 +35,7 @@
 pub mod team;
 pub mod unlisted;
 
-pub use admission::{AdmissionControl, AnswerTimes};
+pub use admission::{AdmissionControl, ResponseTimes};
 pub use aggregate::{Aggregate, Count, ServiceLoad};
 pub use blame::{
     Answered, Collector, Finding, HeldRow, Judgement, RequestDigest, RequestLook, ServerEnds,
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -11,8 +11,8 @@
 use cartvane::{
     names::ServiceName,
     routing::{
-        AdmissionControl, Aggregate, AnswerTimes, BackendServer, FleetPosition, PickError,
-        PickRequest, Picker, admission::FleetTotal,
+        AdmissionControl, Aggregate, BackendServer, FleetPosition, PickError, PickRequest, Picker,
+        ResponseTimes, admission::FleetTotal,
     },
 };
 use fastrand::Rng;
@@ -29,8 +29,8 @@
     for priority in 0..3 {
         overload.note_request(now, priority, TARGET);
     }
-    let times = AnswerTimes { head: MS * 100, rest: MS * 900 };
-    (0..20).for_each(|_| overload.note_answer(times, false));
+    let times = ResponseTimes { head: MS * 100, body: MS * 900 };
+    (0..20).for_each(|_| overload.note_response(times, false));
     overload
 }
 
@@ -72,9 +72,9 @@
     let mut overload = learnt(now);
     assert_eq!(overload.wait(5.0, 10), MS * 500);
     // Time that was spent waiting is none that a request holds a place for.
-    let waited = AnswerTimes { head: MS * 700, rest: MS * 900 };
-    (0..100).for_each(|_| overload.note_answer(waited, true));
-    assert_eq!(overload.place_time(), Some(SECOND));
+    let waited = ResponseTimes { head: MS * 700, body: MS * 900 };
+    (0..100).for_each(|_| overload.note_response(waited, true));
+    assert_eq!(overload.slot_time(), Some(SECOND));
 }
 
 #[test]
@@ -83,18 +83,18 @@
     let mut overload = learnt(now);
     let most = SECOND * 3;
     let soon: Vec<Duration> =
-        [0.7, 0.8, 0.9].map(|draw| overload.refuse(now, 0.7, draw, TARGET, most)).into();
+        [0.7, 0.8, 0.9].map(|draw| overload.note_refusal(now, 0.7, draw, TARGET, most)).into();
     assert!(soon.iter().all(|&after| after >= MS * 40 && after <= MS * 150), "{soon:?}");
     assert!(soon.is_sorted_by(|a, b| a < b), "{soon:?}");
-    assert_eq!(overload.refuse(now, 0.7, 0.9, TARGET, MS * 20), MS * 20);
+    assert_eq!(overload.note_refusal(now, 0.7, 0.9, TARGET, MS * 20), MS * 20);
     // With hardly a chance they come back later, and the later the longer it has lasted.
     let mut last = Duration::ZERO;
     for tenths in 0..30 {
-        last = overload.refuse(now + MS * 100 * tenths, 0.1, 0.5, TARGET, most);
+        last = overload.note_refusal(now + MS * 100 * tenths, 0.1, 0.5, TARGET, most);
     }
     assert!(last > SECOND * 2, "{last:?}");
     let calm = now + SECOND * 10;
-    assert!(overload.refuse(calm, 0.1, 0.5, TARGET, most) < SECOND, "a new period");
+    assert!(overload.note_refusal(calm, 0.1, 0.5, TARGET, most) < SECOND, "a new period");
 }
 
 /// What happens next in a simulated fleet, in order of time.
@@ -232,8 +232,8 @@
         self.running[server] -= 1;
         let picker = &mut self.pickers[instance];
         picker.finish_request(&self.servers[server].id);
-        let times = AnswerTimes { head: TAKES / 10, rest: TAKES * 9 / 10 };
-        picker.admission(&self.service).note_answer(times, false);
+        let times = ResponseTimes { head: TAKES / 10, body: TAKES * 9 / 10 };
+        picker.admission(&self.service).note_response(times, false);
         self.run_next(server);
     }
 
