--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -100,7 +100,7 @@
             Err(fault) => {
                 log::info!("event=permit_unanswered peer={} reason={fault:?}", granter.node);
                 let now = self.clock.now();
-                lock(&self.cold_permits.granters).note_silent(now, &granter.node);
+                lock(&self.cold_permits.granters).note_unresponsive(now, &granter.node);
                 Permit::Unanswered
             }
         }
@@ -109,7 +109,7 @@
     fn granter(&self, server: Tag) -> Option<InstanceInfo> {
         let candidates = lock(&self.peers.candidates);
         let granters = lock(&self.cold_permits.granters);
-        granters.of(self.clock.now(), server, &candidates).cloned()
+        granters.granter_of(self.clock.now(), server, &candidates).cloned()
     }
 
     /// Grants a permit if the server's rate leaves one.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -263,7 +263,8 @@
         }
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
+            let lasts =
+                |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
             self.knowledge.suspect_cold(now, zone, lasts);
             self.servers_changed();
         }
--- a/src/routing/cold.rs
+++ b/src/routing/cold.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdTerms {
     /// How long a server stays cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests that it bears, from all callers together.
     pub rate: Rate,
 }
@@ -74,7 +74,7 @@
 
 impl ColdGranters {
     /// Returns the instance that grants requests for `server`; `None` where those that may do not answer.
-    pub fn of<'c>(
+    pub fn granter_of<'c>(
         &self,
         now: Instant,
         server: Tag,
@@ -99,7 +99,7 @@
     }
 
     /// Notes that an instance did not answer.
-    pub fn note_silent(&mut self, now: Instant, node: &NodeName) {
+    pub fn note_unresponsive(&mut self, now: Instant, node: &NodeName) {
         self.silent.insert(node.clone(), now + SILENT_FOR);
     }
 }
--- a/tests/suite/cold_drawn.rs
+++ b/tests/suite/cold_drawn.rs
@@ -106,12 +106,12 @@
         }
         let tag = Tag::of(&format!("server-{server}"));
         let instance = &self.all[number];
-        let granter = instance.granters.of(self.now, tag, &instance.candidates).cloned();
+        let granter = instance.granters.granter_of(self.now, tag, &instance.candidates).cloned();
         let Some(granter) = granter else { return };
         let other = self.infos.iter().position(|i| i.node == granter.node).expect("known");
         if self.is_away(other) {
             let now = self.now;
-            self.all[number].granters.note_silent(now, &granter.node);
+            self.all[number].granters.note_unresponsive(now, &granter.node);
             return;
         }
         let rate = Rate(self.rates[server]);
@@ -191,7 +191,7 @@
     for server in 0..1000 {
         let tag = Tag::of(&format!("server-{server}"));
         let of = |i: &Instance| {
-            i.granters.of(fleet.now, tag, &i.candidates).expect("one").node.to_string()
+            i.granters.granter_of(fleet.now, tag, &i.candidates).expect("one").node.to_string()
         };
         let first = of(&fleet.all[0]);
         assert!(fleet.all.iter().all(|instance| of(instance) == first));
--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -81,7 +81,8 @@
     let spec = |number: &u8| ServiceSpec {
         max_connections: 10,
         engine: *number > 1,
-        cold: (*number > 2).then_some(ColdTerms { lasts: Duration::from_secs(3), rate: Rate(2.5) }),
+        cold: (*number > 2)
+            .then_some(ColdTerms { duration: Duration::from_secs(3), rate: Rate(2.5) }),
     };
     Intent {
         version,
