--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -340,7 +340,7 @@
     Ok(Request {
         service: service.clone(),
         team: team.map(|team| team.name.clone()),
-        homes: team.map_or_else(|| route.homes.clone(), |team| route.homes.and(&team.homes)),
+        homes: team.map_or_else(|| route.homes.clone(), |team| route.homes.intersect(&team.homes)),
         priority: if priority == u8::MAX { PRIORITY_DEFAULT } else { priority },
         route: route.clone(),
         method: head.method,
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -102,7 +102,7 @@
                 let picked = source.opened.picked.clone();
                 drop(source);
                 forwarding.note_fault(&picked, fault);
-                splitter.drop_rest();
+                splitter.discard_partial();
                 match resume(forwarding, writer.conn(), &splitter) {
                     Some(next) => {
                         source = next;
@@ -186,7 +186,7 @@
         let piece = match source.answer().next(until, Some(caller)) {
             Ok(Some(piece)) => piece,
             Ok(None) => {
-                let rest = splitter.rest();
+                let rest = splitter.take_remainder();
                 return if rest.is_empty() { Brought::End } else { Brought::Events(rest) };
             }
             Err(AttemptFault::StalledBody) if waits_on(forwarding, source) => continue,
--- a/src/routing/events.rs
+++ b/src/routing/events.rs
@@ -33,12 +33,12 @@
     }
 
     /// Drops the beginning of an event that will not end.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 
     /// Takes what is left at the stream's true end.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.buf)
     }
 
--- a/src/routing/home_regions.rs
+++ b/src/routing/home_regions.rs
@@ -17,13 +17,13 @@
 
 impl HomeRegions {
     /// Returns the homes that an operator's list names; an empty one names no limit.
-    pub fn named(regions: impl IntoIterator<Item = RegionName>) -> HomeRegions {
+    pub fn from_list(regions: impl IntoIterator<Item = RegionName>) -> HomeRegions {
         let regions: IndexSet<RegionName> = regions.into_iter().collect();
         if regions.is_empty() { HomeRegions::Anywhere } else { HomeRegions::Within(regions) }
     }
 
     /// Returns the homes by which both are kept; there may be none.
-    pub fn and(&self, other: &HomeRegions) -> HomeRegions {
+    pub fn intersect(&self, other: &HomeRegions) -> HomeRegions {
         match (self, other) {
             (HomeRegions::Anywhere, homes) | (homes, HomeRegions::Anywhere) => homes.clone(),
             (HomeRegions::Within(one), HomeRegions::Within(two)) => {
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether a place may serve; one whose region is not known is nobody's home.
-    pub fn allow(&self, region: Option<&RegionName>) -> bool {
+    pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match self {
             HomeRegions::Anywhere => true,
             HomeRegions::Within(homes) => region.is_some_and(|region| homes.contains(region)),
--- a/src/routing/intent_change.rs
+++ b/src/routing/intent_change.rs
@@ -105,10 +105,10 @@
         }
         Ok(Intent {
             version: self.to,
-            routes: base.routes.changed(self.put, &self.removed),
+            routes: base.routes.with_changes(self.put, &self.removed),
             services: self.services,
             limits: self.limits,
-            teams: base.teams.changed(self.keys_put, &self.keys_removed, self.needs_key),
+            teams: base.teams.with_changes(self.keys_put, &self.keys_removed, self.needs_key),
         })
     }
 }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -97,7 +97,7 @@
 
     /// Returns whether a server is where a request may be served.
     fn is_home(&self, server: &BackendServer, wanted: &PickRequest<'_>) -> bool {
-        wanted.homes.allow(self.regions.get(&server.zone))
+        wanted.homes.allows(self.regions.get(&server.zone))
     }
 
     /// Sets which of all instances this one is.
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -112,11 +112,11 @@
 impl RouteTable {
     /// Returns a table of `routes`; of two with the same host and prefix the later one stays.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> RouteTable {
-        RouteTable::default().changed(routes, &[])
+        RouteTable::default().with_changes(routes, &[])
     }
 
     /// Returns the table without the routes of `removed`, and with those of `put` added or replaced.
-    pub fn changed(
+    pub fn with_changes(
         &self,
         put: impl IntoIterator<Item = Route>,
         removed: &[RouteKey],
--- a/src/routing/team.rs
+++ b/src/routing/team.rs
@@ -39,7 +39,7 @@
 
     /// Returns the teams without the keys of `removed`, and with those of `put` added or given to another
     /// team.
-    pub fn changed(
+    pub fn with_changes(
         &self,
         put: impl IntoIterator<Item = (String, Team)>,
         removed: &[String],
--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -68,7 +68,7 @@
 /// Some have homes, some have none.
 fn homes(number: u8) -> HomeRegions {
     let region = |number: u8| format!("r{number}").parse().expect("a name");
-    HomeRegions::named((number.is_multiple_of(2)).then(|| region(number)))
+    HomeRegions::from_list((number.is_multiple_of(2)).then(|| region(number)))
 }
 
 fn build(version: u64, drawn: &Drawn) -> Intent {
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -251,9 +251,9 @@
         b"id: 5\ndata: x\n\nid: 6\ndata: y\n\n"
     );
     assert_eq!(splitter.last_id(), Some("6"));
-    splitter.drop_rest();
+    splitter.discard_partial();
     assert_eq!(splitter.push(b"id: 7\n\n"), b"id: 7\n\n");
-    assert_eq!(splitter.rest(), b"");
+    assert_eq!(splitter.take_remainder(), b"");
 }
 
 /// However the bytes are cut, the events come out whole, once, in order.
