--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -61,8 +61,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, Picked, Picker, RetryBudget, Spending, StoreShare,
-        ToldOrders, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, PickError, PickRequest, Picked, Picker, RetryBudget,
+        Spending, StoreShare, ToldOrders,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -175,12 +175,12 @@
     pub fn pick(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
-    ) -> Result<(Picked, Flight<'_>), Unpicked> {
+        wanted: &PickRequest<'_>,
+    ) -> Result<(Picked, Flight<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
-        picker.begin(now, &server);
+        picker.start_request(now, &server);
         Ok((picked, Flight { gateway: self, server }))
     }
 
@@ -262,7 +262,8 @@
         }
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
+            let lasts =
+                |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
             self.knowledge.suspect_cold(now, zone, lasts);
             self.servers_changed();
         }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -9,7 +9,7 @@
 mod members;
 mod notices;
 mod places;
-mod silent;
+mod unresponsive;
 mod versions;
 
 use std::{
@@ -25,8 +25,9 @@
     versions::{Side, Versions},
 };
 use super::{
-    BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load, LoadReport, Notice,
-    Overload, Picked, ServiceLoad, UnlistedNotices, Unpicked, Wanted, overload::FleetTotal,
+    AdmissionControl, BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load,
+    LoadReport, Notice, PickError, PickRequest, Picked, ServiceLoad, UnlistedNotices,
+    admission::FleetTotal,
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
 
@@ -61,7 +62,7 @@
     load_bound: f64,
     /// This instance among all.
     position: FleetPosition,
-    overload: IndexMap<ServiceName, Overload>,
+    admission: IndexMap<ServiceName, AdmissionControl>,
     /// Availability zones that get nothing new.
     evacuated: IndexSet<ZoneName>,
     unlisted: UnlistedNotices,
@@ -81,7 +82,7 @@
             regions: IndexMap::new(),
             load_bound,
             position,
-            overload: IndexMap::new(),
+            admission: IndexMap::new(),
             evacuated: IndexSet::new(),
             unlisted: UnlistedNotices::default(),
             versions: IndexMap::new(),
@@ -95,8 +96,8 @@
     }
 
     /// Returns whether a server is where a request may be served.
-    fn is_home(&self, server: &BackendServer, wanted: &Wanted<'_>) -> bool {
-        wanted.homes.allow(self.regions.get(&server.zone))
+    fn is_home(&self, server: &BackendServer, wanted: &PickRequest<'_>) -> bool {
+        wanted.homes.allows(self.regions.get(&server.zone))
     }
 
     /// Sets which of all instances this one is.
@@ -176,12 +177,12 @@
         priority: u8,
         target: Duration,
     ) {
-        self.overload(service).note_request(now, priority, target);
+        self.admission(service).note_request(now, priority, target);
     }
 
     /// Returns what is learnt of a service's load, to learn more.
-    pub fn overload(&mut self, service: &ServiceName) -> &mut Overload {
-        self.overload.entry(service.clone()).or_default()
+    pub fn admission(&mut self, service: &ServiceName) -> &mut AdmissionControl {
+        self.admission.entry(service.clone()).or_default()
     }
 
     /// Picks a server.
@@ -189,12 +190,12 @@
     /// # Errors
     ///
     /// No server of the service may be used, or all have too long a queue.
-    pub fn pick(&self, now: Instant, wanted: &Wanted<'_>) -> Result<Picked, Unpicked> {
+    pub fn pick(&self, now: Instant, wanted: &PickRequest<'_>) -> Result<Picked, PickError> {
         let usable = self.usable(now, wanted);
         if usable.is_empty()
             && let Some(left) = self.backoff_left(now, wanted)
         {
-            return Err(Unpicked::Backoff { left });
+            return Err(PickError::Backoff { left });
         }
         let healthy = self.healthy(now, &usable);
         let pool = if healthy.is_empty() { usable } else { healthy };
@@ -203,27 +204,27 @@
             Some(key) => self.by_affinity(now, key, wanted, &pool, usual),
             None => self.by_load(now, wanted, &pool),
         };
-        let picked = picked.ok_or(Unpicked::NoServer)?;
-        let (Some(overload), Some(priority)) =
-            (self.overload.get(wanted.service), wanted.admission)
+        let picked = picked.ok_or(PickError::NoServer)?;
+        let (Some(admission), Some(priority)) =
+            (self.admission.get(wanted.service), wanted.admission)
         else {
             return Ok(picked);
         };
         let admitted = match self.places(now, wanted.service) {
             Some((own, places)) => {
-                overload.admitted(now, priority, own, places, self.position.instances)
+                admission.admitted(now, priority, own, places, self.position.instances)
             }
             None => 1.0,
         };
-        if wanted.draw() >= admitted || picked.wait > overload.admissible_wait(now) {
-            return Err(Unpicked::Overload { admitted, wait: picked.wait });
+        if wanted.draw() >= admitted || picked.wait > admission.admissible_wait(now) {
+            return Err(PickError::Overload { admitted, wait: picked.wait });
         }
         Ok(picked)
     }
 
     /// Returns the servers that a request may go to; where those of a new version are its turn and none of them may be
     /// used, those of the others.
-    fn usable(&self, now: Instant, wanted: &Wanted<'_>) -> Vec<&Tracked> {
+    fn usable(&self, now: Instant, wanted: &PickRequest<'_>) -> Vec<&Tracked> {
         let side = self.side(now, wanted);
         let sides: &[Side] = if side == Side::New { &[Side::New, Side::Old] } else { &[side] };
         for &side in sides {
@@ -241,7 +242,7 @@
     fn usable_of(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         side: Side,
         step: usize,
     ) -> Vec<&Tracked> {
@@ -260,10 +261,10 @@
     }
 
     /// Notes that a request goes to `id`.
-    pub fn begin(&mut self, now: Instant, id: &Incarnation) {
+    pub fn start_request(&mut self, now: Instant, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
-            tracked.load.begin();
-            tracked.health.begin(now);
+            tracked.load.start_request();
+            tracked.health.start_request(now);
             if let Some(of) = self.members.get_mut(&tracked.server.service) {
                 of.own += 1;
             }
@@ -271,9 +272,9 @@
     }
 
     /// Notes that a request at `id` ended.
-    pub fn end(&mut self, id: &Incarnation) {
+    pub fn finish_request(&mut self, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
-            tracked.load.end();
+            tracked.load.finish_request();
             if let Some(of) = self.members.get_mut(&tracked.server.service) {
                 of.own = of.own.saturating_sub(1);
             }
@@ -312,7 +313,7 @@
                     crowded.push(Crowded { server, load: all, limit: bounds.limit });
                 }
             }
-            self.overload.entry(load.service.clone()).or_default().set_fleet(total);
+            self.admission.entry(load.service.clone()).or_default().set_fleet(total);
             self.set_others(now, &load.service, (total.all - total.own).max(0.0));
         }
         self.sum_up(now);
@@ -326,13 +327,13 @@
     }
 
     /// Notes a good answer.
-    pub fn good(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.good(now));
+    pub fn note_success(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.note_success(now));
     }
 
     /// Notes a failed answer.
-    pub fn bad(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.bad(now));
+    pub fn note_failure(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.note_failure(now));
     }
 
     /// Returns this instance's requests in flight, by server.
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -10,7 +10,7 @@
     adapter::{servers, store::StoreRow},
     gateway::skipped_log::SkippedLog,
     routing::{
-        Aggregate, BackendServer, ListHistory, ListNews, ListVersion, Picker, Roster, Wanted,
+        Aggregate, BackendServer, ListHistory, ListNews, ListVersion, PickRequest, Picker, Roster,
     },
 };
 use proptest::{
@@ -138,27 +138,27 @@
     let now = Instant::now();
     let (before, after) = (server("a@1000", 1), server("a@2000", 1));
     let mut picker = picker(&[before.clone(), server("b@1000", 2)]);
-    (0..3).for_each(|_| picker.begin(now, &before.id));
-    (0..3).for_each(|_| picker.unreachable(now, &before.id));
+    (0..3).for_each(|_| picker.start_request(now, &before.id));
+    (0..3).for_each(|_| picker.note_unreachable(now, &before.id));
     assert_eq!(picker.own_counts().len(), 1);
-    assert_eq!(picker.own_silent(now).len(), 1);
+    assert_eq!(picker.own_unresponsive(now).len(), 1);
     list(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
-    assert!(picker.own_counts().is_empty() && picker.own_silent(now).is_empty());
-    picker.begin(now, &after.id);
-    (0..3).for_each(|_| picker.end(&before.id));
+    assert!(picker.own_counts().is_empty() && picker.own_unresponsive(now).is_empty());
+    picker.start_request(now, &after.id);
+    (0..3).for_each(|_| picker.finish_request(&before.id));
     let counts: Vec<u32> = picker.own_counts().iter().map(|(_, count)| *count).collect();
     assert_eq!(counts, [1], "what ends at the one before is not the other's");
-    picker.bad(now, &before.id);
-    picker.told_silent(now, &[before.tag()]);
+    picker.note_failure(now, &before.id);
+    picker.note_reported_unresponsive(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity: None,
         spread: 5,
         tried: &tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     assert_eq!(picker.pick(now, &wanted).expect("a server").server.id, after.id);
 }
@@ -172,13 +172,13 @@
     let service = "llm".parse().expect("a name");
     let homes = |picker: &Picker| -> Vec<String> {
         let home = |key: u64| {
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 service: &service,
                 affinity: Some(key),
                 spread: 5,
                 tried: &[],
                 admission: None,
-                ..Wanted::of(&service)
+                ..PickRequest::new(&service)
             };
             picker.pick(now, &wanted).expect("a server").server.id.server.to_string()
         };
