--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -9,7 +9,7 @@
         store::{Change, StoreFault, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
-    routing::{InstanceInfo, StoreEra, StoreVersion, start::QUESTION_PAUSE},
+    routing::{InstanceInfo, StoreEra, StoreVersion, startup::STARTUP_POLL_INTERVAL},
     utils::sync::lock,
 };
 
@@ -117,7 +117,7 @@
         if peers::ask_seed(gateway, knows_others) {
             return;
         }
-        thread::sleep(QUESTION_PAUSE);
+        thread::sleep(STARTUP_POLL_INTERVAL);
     }
     if told {
         return;
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -14,7 +14,8 @@
         store::{StoreFault, StoreRow, StoreRows},
     },
     routing::{
-        Confirmed, PackedChange, StoreVersion, ToldOrders, WatchStep, start::QUESTION_PAUSE,
+        Confirmed, PackedChange, StoreVersion, ToldOrders, WatchStep,
+        startup::STARTUP_POLL_INTERVAL,
     },
 };
 
@@ -25,7 +26,7 @@
     loop {
         let now = gateway.clock.now();
         if start::waits(gateway, now) {
-            thread::sleep(QUESTION_PAUSE);
+            thread::sleep(STARTUP_POLL_INTERVAL);
             continue;
         }
         tell_overdue(gateway, now);
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -32,9 +32,9 @@
         traffic::{Purpose, Traffic},
     },
     routing::{
-        Aggregate, Candidates, Confirmed, Count, Crowded, FleetBudget, FleetPosition, Helper,
-        InstanceInfo, Judgement, ListNews, ListVersion, RosterRole, RunId, ServiceLoad, StartWatch,
-        StoreEra, WatchRole, helper,
+        Aggregate, Candidates, Confirmed, Count, Crowded, FallbackReader, FleetBudget,
+        FleetPosition, InstanceInfo, Judgement, ListNews, ListVersion, RosterRole, RunId,
+        ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
     utils::{recent::Recent, sync::lock},
 };
@@ -86,11 +86,11 @@
     joined: AtomicBool,
     started: Instant,
     /// Whether this instance waits for others as it starts.
-    pub(super) start: StartWatch,
+    pub(super) start: StartupWait,
     pub(super) sums: Recent<Sums>,
     last_round: Mutex<Option<Instant>>,
     /// The one that reads for this one while the store turns it away.
-    helper: Mutex<Helper>,
+    fallback_reader: Mutex<FallbackReader>,
 }
 
 impl Peers {
@@ -114,10 +114,10 @@
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartWatch::new(clock.now(), is_asked, fastrand::f64()),
+            start: StartupWait::new(clock.now(), is_asked, fastrand::f64()),
             sums: Recent::new(SUMS_AGE),
             last_round: Mutex::default(),
-            helper: Mutex::default(),
+            fallback_reader: Mutex::default(),
         }
     }
 
@@ -193,18 +193,22 @@
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
     pub fn ask_helper_for_rollouts(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
-        for _ in 0..helper::ASKED {
-            let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
-            match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, ask) {
+        for _ in 0..fallback_reader::ASKED {
+            let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
+            match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, ask) {
                 Ok(TableReply::Failed(reason)) => {
-                    log::info!("event=no_help peer={} reason={reason:?}", helper.node);
+                    log::info!("event=no_help peer={} reason={reason:?}", fallback_reader.node);
                 }
                 Ok(reply) => return Some(reply),
                 Err(fault) => {
-                    log::info!("event=no_help peer={} reason={:?}", helper.node, fault.to_string());
+                    log::info!(
+                        "event=no_help peer={} reason={:?}",
+                        fallback_reader.node,
+                        fault.to_string()
+                    );
                 }
             }
-            lock(&self.helper).failed();
+            lock(&self.fallback_reader).failed();
         }
         None
     }
@@ -319,12 +323,12 @@
 /// Has another instance read the store, for those that turn to this one.
 fn ask_helper(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
-    for _ in 0..helper::ASKED {
-        let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
-        let Some(helper) = helper else { return };
-        let Err(fault) = ask(gateway, helper.address, Asks::ToRead) else { return };
-        log::info!("event=no_help peer={} reason={fault:?}", helper.node);
-        lock(&peers.helper).failed();
+    for _ in 0..fallback_reader::ASKED {
+        let fallback_reader = lock(&peers.fallback_reader).pick(now, &lock(&peers.candidates));
+        let Some(fallback_reader) = fallback_reader else { return };
+        let Err(fault) = ask(gateway, fallback_reader.address, Asks::ToRead) else { return };
+        log::info!("event=no_help peer={} reason={fault:?}", fallback_reader.node);
+        lock(&peers.fallback_reader).failed();
     }
 }
 
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -14,7 +14,7 @@
     adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
     routing::{
         BackendServer, RosterRole, RosterStep, RosterWatch, StoreEra, roster::RosterChange,
-        start::QUESTION_PAUSE,
+        startup::STARTUP_POLL_INTERVAL,
     },
     utils::sync::lock,
 };
@@ -29,7 +29,7 @@
     loop {
         let now = gateway.clock.now();
         if start::waits(gateway, now) {
-            gateway.reader_wanted.wait(QUESTION_PAUSE);
+            gateway.reader_wanted.wait(STARTUP_POLL_INTERVAL);
             continue;
         }
         let role = gateway.peers.roster_role(now);
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -9,7 +9,7 @@
 
 use super::{Gateway, intent_reader};
 use crate::{
-    routing::{PackedChange, ToldOrders, spread},
+    routing::{PackedChange, ToldOrders, fanout},
     utils::sync::lock,
 };
 
@@ -55,7 +55,7 @@
     if number >= DEPUTIES && !gateway.peers.is_reader(now) {
         return;
     }
-    let parts = spread::first_parts(lock(&gateway.peers.candidates).heard(now));
+    let parts = fanout::first_parts(lock(&gateway.peers.candidates).heard(now));
     hand_on(gateway, parts);
 }
 
@@ -66,7 +66,7 @@
     let version = gateway.knowledge.version();
     gateway.knowledge.told_of(gateway.clock.now(), offer.version);
     if version >= offer.version {
-        hand_on(gateway, spread::parts(offer.pass_on));
+        hand_on(gateway, fanout::parts(offer.pass_on));
     }
     OfferReply { version }
 }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, thread, time::Instant};
 
 use super::{Gateway, peers};
-use crate::routing::start::QUESTION_PAUSE;
+use crate::routing::startup::STARTUP_POLL_INTERVAL;
 
 /// Asks until there is an intent and a list of servers, or no more is waited for.
 pub fn run(gateway: &Arc<Gateway>) {
@@ -12,7 +12,7 @@
             log::info!("event=told_at_start servers_age_ms={}", servers_age_ms(gateway));
             return;
         }
-        thread::sleep(QUESTION_PAUSE.mul_f64(0.5 + fastrand::f64()));
+        thread::sleep(STARTUP_POLL_INTERVAL.mul_f64(0.5 + fastrand::f64()));
     }
 }
 
--- a/src/routing/helper.rs
+++ b/src/routing/fallback_reader.rs
@@ -15,12 +15,12 @@
 
 /// The instance that is asked to read.
 #[derive(Debug, Default)]
-pub struct Helper {
+pub struct FallbackReader {
     /// How many of the instances that answer are passed over, the strongest first.
     skip: usize,
 }
 
-impl Helper {
+impl FallbackReader {
     /// Returns the instance to ask now; `None` where no other answers.
     pub fn pick(&self, now: Instant, candidates: &Candidates) -> Option<InstanceInfo> {
         let answering = candidates.heard(now).count();
--- a/src/routing/start.rs
+++ b/src/routing/startup.rs
@@ -10,23 +10,23 @@
 const PATIENCE: (Duration, Duration) = (Duration::from_millis(900), Duration::from_millis(1400));
 
 /// Pause between two questions, and between two looks at whether there is an answer.
-pub const QUESTION_PAUSE: Duration = Duration::from_millis(150);
+pub const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The start of an instance.
 #[derive(Debug, Clone, Copy)]
-pub struct StartWatch {
+pub struct StartupWait {
     /// When it no longer waits; `None` for one that has nobody to wait for.
     until: Option<Instant>,
 }
 
-impl StartWatch {
+impl StartupWait {
     /// Returns the watch of an instance that starts now; `draw` is a number in [0, 1).
     ///
     /// `is_asked` says that others turn to it, or that it has nobody to ask.
-    pub fn new(now: Instant, is_asked: bool, draw: f64) -> StartWatch {
+    pub fn new(now: Instant, is_asked: bool, draw: f64) -> StartupWait {
         let (least, most) = PATIENCE;
         let until = (!is_asked).then(|| now + least + (most - least).mul_f64(draw));
-        StartWatch { until }
+        StartupWait { until }
     }
 
     /// Returns whether what is not known yet is waited for.
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -10,8 +10,8 @@
 use cartvane::{
     gateway::knowledge::Knowledge,
     routing::{
-        BackendServer, Candidates, Helper, InstanceInfo, ListNews, RosterRole, RosterStep,
-        RosterWatch, StoreEra, helper,
+        BackendServer, Candidates, FallbackReader, InstanceInfo, ListNews, RosterRole, RosterStep,
+        RosterWatch, StoreEra, fallback_reader,
     },
 };
 use proptest::{
@@ -89,7 +89,7 @@
     as_of: Option<Instant>,
     /// When another one last turned to it.
     heard: Option<Instant>,
-    helper: Helper,
+    fallback_reader: FallbackReader,
     /// Reads of the store that were tried.
     tried: u32,
 }
@@ -131,7 +131,7 @@
             watch: RosterWatch::new(BOUND),
             as_of: None,
             heard: None,
-            helper: Helper::default(),
+            fallback_reader: FallbackReader::default(),
             tried: 0,
         };
         let all = infos.iter().map(instance).collect();
@@ -231,10 +231,10 @@
                 now + READ
             }
             RosterStep::Ask if heard => {
-                for _ in 0..helper::ASKED {
+                for _ in 0..fallback_reader::ASKED {
                     let instance = &self.all[number];
-                    let helper = instance.helper.pick(now, &instance.candidates);
-                    let node = helper.map(|helper| helper.node);
+                    let fallback_reader = instance.fallback_reader.pick(now, &instance.candidates);
+                    let node = fallback_reader.map(|fallback_reader| fallback_reader.node);
                     let other = self.infos.iter().position(|i| Some(&i.node) == node.as_ref());
                     let other = other.expect("others answer");
                     if !cut && !self.is_hit(other, now, |_| true) {
@@ -243,7 +243,7 @@
                         self.tell(other, number);
                         break;
                     }
-                    self.all[number].helper.failed();
+                    self.all[number].fallback_reader.failed();
                 }
                 self.all[number].watch.asked(now);
                 now + READ
