--- a/src/gateway/knowledge.rs
+++ b/src/gateway/knowledge.rs
@@ -12,9 +12,9 @@
 use crate::{
     names::{ServiceName, ZoneName},
     routing::{
-        BackendServer, ChangeFault, Confirmed, Incarnation, Intent, IntentChange, IntentHistory,
-        IntentInForce, IntentWatch, ListHistory, ListNews, ListVersion, OperatorOrders,
-        OrderChange, PackedChange, Roster, StoreEra, StoreVersion, ToldOrders,
+        BackendServer, Confirmed, Incarnation, Intent, IntentChange, IntentChangeError,
+        IntentHistory, IntentInForce, IntentWatch, ListHistory, ListVersion, OperatorOrders,
+        OrderChange, PackedChange, Roster, ServerListUpdate, StoreEra, StoreVersion, ToldOrders,
         roster::RosterChange,
     },
     utils::sync::lock,
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct ToldList {
     /// What is new in it.
-    pub news: ListNews,
+    pub news: ServerListUpdate,
     /// How long ago it was current.
     pub age: Option<Duration>,
     /// Era of the store that it is from.
@@ -126,7 +126,7 @@
     /// # Errors
     ///
     /// A change cannot be used; those before it are in force.
-    pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, ChangeFault> {
+    pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, IntentChangeError> {
         let mut intent = self.intent().unwrap_or_else(|| Arc::new(Intent::empty()));
         let before = intent.version;
         let mut result = Ok(());
@@ -336,13 +336,13 @@
     pub fn apply_list_news(
         &self,
         version: Option<ListVersion>,
-        news: ListNews,
+        news: ServerListUpdate,
     ) -> Option<Vec<BackendServer>> {
         let lists = lock(&self.lists);
         let list = match lists.newest() {
             Some((known, list)) if Some(*known) == version => news.apply(list),
             // The news are of another list than the newest by now.
-            _ if matches!(news, ListNews::Whole(_)) => news.apply(&[]),
+            _ if matches!(news, ServerListUpdate::Whole(_)) => news.apply(&[]),
             _ => return None,
         };
         list.inspect_err(|fault| log::info!("event=list_skipped source=peer reason={fault}")).ok()
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -12,9 +12,9 @@
 use crate::{
     names::Tag,
     routing::{
-        BudgetSum, Count, InstanceInfo, InstanceNews, ListNews, ListVersion, PackedChange,
-        RolloutReport, RunId, ServiceLoad, Spending, StoreEra, StoreVersion, ToldOrders,
-        ToldRollout, ToldVerdict,
+        BudgetSum, Count, InstanceInfo, InstanceListUpdate, ListVersion, PackedChange,
+        RolloutReport, RunId, ServerListUpdate, ServiceLoad, Spending, StoreEra, StoreVersion,
+        ToldOrders, ToldRollout, ToldVerdict,
     },
 };
 
@@ -86,13 +86,13 @@
     /// How far roll-outs have come, as the other knows it.
     pub rollout_states: Vec<ToldRollout>,
     /// What is new in the list of servers.
-    pub list: ListNews,
+    pub list: ServerListUpdate,
     /// Milliseconds since the list was current.
     pub list_age_ms: Option<u64>,
     /// Era of the store that the list is from.
     pub list_era: StoreEra,
     /// What is new in the list of instances, if the asker knows another one.
-    pub instances: Option<InstanceNews>,
+    pub instances: Option<InstanceListUpdate>,
 }
 
 /// That a version of the intent was the newest in the store.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -33,7 +33,7 @@
     },
     routing::{
         Aggregate, Candidates, Confirmed, Count, Crowded, FallbackReader, FleetBudget,
-        FleetPosition, InstanceInfo, Judgement, ListNews, ListVersion, RosterRole, RunId,
+        FleetPosition, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
         ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
     utils::{recent::Recent, sync::lock},
@@ -414,12 +414,12 @@
 fn take_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    news: ListNews,
+    news: ServerListUpdate,
     as_of: Instant,
     era: StoreEra,
 ) {
     let knowledge = &gateway.knowledge;
-    let is_same = matches!(news, ListNews::Same);
+    let is_same = matches!(news, ServerListUpdate::Same);
     if is_same && knowledge.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{FleetPosition, InstanceChange, InstanceHistory, InstanceNews};
+use super::{FleetPosition, InstanceChange, InstanceHistory, InstanceListUpdate};
 use crate::names::{NodeName, ZoneName};
 
 /// First pause after an instance did not answer; doubled at each further time.
@@ -87,20 +87,20 @@
     }
 
     /// Takes what another instance tells of the list; returns whether it has changed.
-    pub fn take(&mut self, news: InstanceNews) -> bool {
+    pub fn take(&mut self, news: InstanceListUpdate) -> bool {
         let before = self.version;
         match news {
-            InstanceNews::Whole(all) => self.set(all),
-            InstanceNews::Changes(InstanceChange { put, gone }) => self.change(put, gone),
+            InstanceListUpdate::Whole(all) => self.set(all),
+            InstanceListUpdate::Changes(InstanceChange { put, gone }) => self.change(put, gone),
         }
         self.version != before
     }
 
     /// Returns what has changed in the list since it had `version`: all of it where that is too long ago.
-    pub fn since(&self, version: u64) -> InstanceNews {
+    pub fn since(&self, version: u64) -> InstanceListUpdate {
         match self.history.since(version) {
-            Some(change) if change.len() < self.ranked.len() => InstanceNews::Changes(change),
-            _ => InstanceNews::Whole(self.ranked.clone()),
+            Some(change) if change.len() < self.ranked.len() => InstanceListUpdate::Changes(change),
+            _ => InstanceListUpdate::Whole(self.ranked.clone()),
         }
     }
 
--- a/src/routing/instance_list.rs
+++ b/src/routing/instance_list.rs
@@ -26,7 +26,7 @@
 
 /// What an instance is told of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum InstanceNews {
+pub enum InstanceListUpdate {
     /// What has changed since the list that it knows.
     Changes(InstanceChange),
     /// All of it.
--- a/src/routing/intent_change.rs
+++ b/src/routing/intent_change.rs
@@ -12,7 +12,7 @@
 
 /// Why a change cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum ChangeFault {
+pub enum IntentChangeError {
     /// It does not decompress.
     #[error("the change cannot be unpacked: {0}; the intent is read from the store")]
     Packing(#[from] std::io::Error),
@@ -97,11 +97,11 @@
     /// # Errors
     ///
     /// The change is of another version than `old`.
-    pub fn apply(self, old: &Intent) -> Result<Intent, ChangeFault> {
+    pub fn apply(self, old: &Intent) -> Result<Intent, IntentChangeError> {
         let empty = Intent::empty();
         let base = if self.from == 0 { &empty } else { old };
         if base.version != self.from {
-            return Err(ChangeFault::Base { from: self.from, version: old.version });
+            return Err(IntentChangeError::Base { from: self.from, version: old.version });
         }
         Ok(Intent {
             version: self.to,
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// The bytes are no change, or one of another version of the program.
-    pub fn unpack(&self) -> Result<IntentChange, ChangeFault> {
+    pub fn unpack(&self) -> Result<IntentChange, IntentChangeError> {
         Ok(decode(&deflate::unpack(&self.bytes)?)?)
     }
 
--- a/src/routing/server_list.rs
+++ b/src/routing/server_list.rs
@@ -28,7 +28,7 @@
 
 /// What has changed since another list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ListNews {
+pub enum ServerListUpdate {
     /// Nothing.
     Same,
     /// Some entries.
@@ -52,7 +52,7 @@
 
 /// Why a list cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum ListFault {
+pub enum ServerListError {
     /// It does not decompress.
     #[error("the list of servers cannot be unpacked: {0}; it is read from the store")]
     Packing(#[from] std::io::Error),
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// The bytes are no list, or one of another version of the program.
-    pub fn unpack(&self) -> Result<Vec<BackendServer>, ListFault> {
+    pub fn unpack(&self) -> Result<Vec<BackendServer>, ServerListError> {
         Ok(decode(&deflate::unpack(&self.bytes)?)?)
     }
 }
@@ -120,15 +120,15 @@
     }
 
     /// Returns what has changed since `version`.
-    pub fn since(&mut self, version: Option<ListVersion>) -> ListNews {
-        let Some((newest, list)) = self.lists.back() else { return ListNews::Same };
+    pub fn since(&mut self, version: Option<ListVersion>) -> ServerListUpdate {
+        let Some((newest, list)) = self.lists.back() else { return ServerListUpdate::Same };
         if version == Some(*newest) {
-            return ListNews::Same;
+            return ServerListUpdate::Same;
         }
         let known = self.lists.iter().find(|(known, _)| Some(*known) == version);
         let Some((_, old)) = known else {
             let pack = || Arc::new(PackedList::pack(list));
-            return ListNews::Whole(Arc::clone(self.packed.get_or_insert_with(pack)));
+            return ServerListUpdate::Whole(Arc::clone(self.packed.get_or_insert_with(pack)));
         };
         let before: HashMap<&Incarnation, &BackendServer> =
             old.iter().map(|s| (&s.id, s)).collect();
@@ -136,21 +136,21 @@
         let changed = |s: &&BackendServer| before.get(&s.id) != Some(s);
         let put = list.iter().filter(changed).cloned().collect();
         let gone = old.iter().map(|s| &s.id).filter(|id| !after.contains(id)).cloned().collect();
-        ListNews::Changes { put, gone }
+        ServerListUpdate::Changes { put, gone }
     }
 }
 
-impl ListNews {
+impl ServerListUpdate {
     /// Returns the list that `old` becomes.
     ///
     /// # Errors
     ///
-    /// See [`ListFault`].
-    pub fn apply(self, old: &[BackendServer]) -> Result<Vec<BackendServer>, ListFault> {
+    /// See [`ServerListError`].
+    pub fn apply(self, old: &[BackendServer]) -> Result<Vec<BackendServer>, ServerListError> {
         Ok(match self {
-            ListNews::Same => old.to_vec(),
-            ListNews::Whole(list) => list.unpack()?,
-            ListNews::Changes { put, gone } => {
+            ServerListUpdate::Same => old.to_vec(),
+            ServerListUpdate::Whole(list) => list.unpack()?,
+            ServerListUpdate::Changes { put, gone } => {
                 let stays = |s: &&BackendServer| {
                     !gone.contains(&s.id) && !put.iter().any(|changed| changed.id == s.id)
                 };
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -8,7 +8,7 @@
 use cartvane::{
     gateway::knowledge::Knowledge,
     names::ServiceName,
-    routing::{BackendServer, ListNews, LoadReport, Picker, ServiceLoad, StoreEra, Wanted},
+    routing::{BackendServer, LoadReport, Picker, ServerListUpdate, ServiceLoad, StoreEra, Wanted},
 };
 use fastrand::Rng;
 use serde_json::json;
@@ -66,7 +66,7 @@
     let version = knowledge.list_version();
     let at = |round: u32| now + Duration::from_millis(1) * round;
     let look = |round| {
-        let same = knowledge.apply_list_news(version, ListNews::Same);
+        let same = knowledge.apply_list_news(version, ServerListUpdate::Same);
         same.map(|list| knowledge.observe_servers(at(round), at(round), era, list))
     };
     let looked: Vec<Duration> = (1..20).map(|round| timed(|| drop(look(round)))).collect();
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -16,7 +16,7 @@
     gateway::{knowledge::Knowledge, list_read::ListRead},
     names::Tag,
     routing::{
-        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceNews, Picker,
+        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceListUpdate, Picker,
         Roster, StoreEra, StoreRates, StoreShare, StoreVersion, Wanted, roster::RosterChange,
     },
     units::Rate,
@@ -344,7 +344,7 @@
         }
     }
     let unknown = told.since(1);
-    assert!(matches!(unknown, InstanceNews::Whole(all) if all.len() == told.all().len()));
+    assert!(matches!(unknown, InstanceListUpdate::Whole(all) if all.len() == told.all().len()));
 }
 
 // A process took the connections of 800 other instances, whatever it could bear: of 986 some found none, took the one that
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -10,7 +10,8 @@
     adapter::{servers, store::StoreRow},
     gateway::skipped_log::SkippedLog,
     routing::{
-        Aggregate, BackendServer, ListHistory, ListNews, ListVersion, Picker, Roster, Wanted,
+        Aggregate, BackendServer, ListHistory, ListVersion, Picker, Roster, ServerListUpdate,
+        Wanted,
     },
 };
 use proptest::{
@@ -241,7 +242,7 @@
     history.push(before.clone());
     history.push(after.clone());
     let news = history.since(Some(ListVersion::of(&before)));
-    assert!(matches!(news, ListNews::Changes { .. }));
+    assert!(matches!(news, ServerListUpdate::Changes { .. }));
     assert_eq!(news.apply(&before).expect("a list"), after);
 }
 
--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -10,9 +10,9 @@
 use cartvane::{
     names::ServiceName,
     routing::{
-        CallerLimits, ChangeFault, ColdTerms, HomeRegions, InstanceInfo, Intent, IntentChange,
-        IntentHistory, PackedChange, Route, RouteKind, RouteTable, ServiceShare, ServiceSpec, Team,
-        Teams, fanout,
+        CallerLimits, ColdTerms, HomeRegions, InstanceInfo, Intent, IntentChange,
+        IntentChangeError, IntentHistory, PackedChange, Route, RouteKind, RouteTable, ServiceShare,
+        ServiceSpec, Team, Teams, fanout,
     },
     units::Rate,
 };
@@ -214,7 +214,7 @@
     };
     let change = packed(&build(4, &drawn), &build(6, &drawn)).unpack().expect("it was packed");
     let fault = change.apply(&build(5, &drawn)).expect_err("another version is in force");
-    assert!(matches!(fault, ChangeFault::Base { from: 4, version: 5 }));
+    assert!(matches!(fault, IntentChangeError::Base { from: 4, version: 5 }));
 }
 
 #[test]
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -15,9 +15,9 @@
     },
     names::Tag,
     routing::{
-        BudgetSum, InstanceInfo, InstanceNews, Intent, IntentChange, ListHistory, ListNews,
-        ListVersion, PackedChange, RolloutOrder, RunId, ServiceLoad, Spending, StoreEra,
-        StoreVersion, ToldOrders,
+        BudgetSum, InstanceInfo, InstanceListUpdate, Intent, IntentChange, ListHistory,
+        ListVersion, PackedChange, RolloutOrder, RunId, ServerListUpdate, ServiceLoad, Spending,
+        StoreEra, StoreVersion, ToldOrders,
     },
 };
 use indexmap::IndexSet;
@@ -67,7 +67,7 @@
     }
 }
 
-fn news(list: ListNews) -> News {
+fn news(list: ServerListUpdate) -> News {
     let service = "llm".parse().expect("a name");
     News {
         loads: vec![ServiceLoad { service, mean: 2.5, counts: vec![(Tag(7), 4)], whole: true }],
@@ -84,7 +84,7 @@
         list,
         list_age_ms: Some(250),
         list_era: StoreEra(2),
-        instances: Some(InstanceNews::Whole(vec![instance()])),
+        instances: Some(InstanceListUpdate::Whole(vec![instance()])),
     }
 }
 
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -10,8 +10,8 @@
 use cartvane::{
     gateway::knowledge::Knowledge,
     routing::{
-        BackendServer, Candidates, FallbackReader, InstanceInfo, ListNews, RosterRole, RosterStep,
-        RosterWatch, StoreEra, fallback_reader,
+        BackendServer, Candidates, FallbackReader, InstanceInfo, RosterRole, RosterStep,
+        RosterWatch, ServerListUpdate, StoreEra, fallback_reader,
     },
 };
 use proptest::{
@@ -387,8 +387,8 @@
         let others = (0..150).map(|number| server(&format!("s{number}"), 1));
         [server("marker", read)].into_iter().chain(others).collect()
     };
-    let marked = |news: ListNews| match news {
-        ListNews::Whole(list) => list
+    let marked = |news: ServerListUpdate| match news {
+        ServerListUpdate::Whole(list) => list
             .unpack()
             .expect("a list")
             .iter()
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -8,8 +8,8 @@
 
 use cartvane::routing::{
     BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent, IntentInForce,
-    ListHistory, ListNews, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind,
-    RouteTable, ServiceShare, Teams, budget::BudgetTerms,
+    ListHistory, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind, RouteTable,
+    ServerListUpdate, ServiceShare, Teams, budget::BudgetTerms,
 };
 use indexmap::IndexMap;
 use proptest::{
@@ -348,7 +348,7 @@
             let news = history.since(version);
             prop_assert_eq!(sorted(news.apply(&old).expect("a list")), sorted(new.clone()));
             let stranger = history.since(None);
-            prop_assert!(matches!(&stranger, ListNews::Whole(_)));
+            prop_assert!(matches!(&stranger, ServerListUpdate::Whole(_)));
             prop_assert_eq!(sorted(stranger.apply(&[]).expect("a list")), sorted(new));
             Ok(())
         })
