--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -14,7 +14,7 @@
         store::{StoreFault, StoreRow, StoreRows},
     },
     routing::{
-        Confirmed, PackedChange, StoreVersion, ToldOrders, WatchStep,
+        Confirmed, OrdersSnapshot, PackedChange, StoreVersion, WatchStep,
         startup::STARTUP_POLL_INTERVAL,
     },
 };
@@ -93,7 +93,7 @@
 fn read(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
     let at = gateway.clock.now();
     let rows = gateway.store.rows(INTENT_TABLE)?;
-    let told = ToldOrders::read(rows.version, orders::decode(&rows.rows));
+    let told = OrdersSnapshot::from_changes(rows.version, orders::decode(&rows.rows));
     gateway.knowledge.offer_orders(at, told);
     take(gateway, &rows, at);
     Ok(())
--- a/src/gateway/knowledge.rs
+++ b/src/gateway/knowledge.rs
@@ -14,8 +14,8 @@
     routing::{
         BackendServer, Confirmed, Incarnation, Intent, IntentChange, IntentChangeError,
         IntentHistory, IntentInForce, IntentWatch, ListHistory, ListVersion, OperatorOrders,
-        OrderChange, PackedChange, Roster, ServerListUpdate, StoreEra, StoreVersion, ToldOrders,
-        roster::RosterChange,
+        OrderChange, OrdersSnapshot, PackedChange, Roster, ServerListUpdate, StoreEra,
+        StoreVersion, roster::RosterChange,
     },
     utils::sync::lock,
 };
@@ -199,7 +199,7 @@
     }
 
     /// Takes what was told of operators' orders; returns whether it is news.
-    pub fn offer_orders(&self, now: Instant, told: ToldOrders) -> bool {
+    pub fn offer_orders(&self, now: Instant, told: OrdersSnapshot) -> bool {
         lock(&self.orders).take(now, told)
     }
 
@@ -210,22 +210,22 @@
         as_of: StoreVersion,
         changes: impl IntoIterator<Item = OrderChange>,
     ) -> bool {
-        lock(&self.orders).follow(now, as_of, changes)
+        lock(&self.orders).apply_changes(now, as_of, changes)
     }
 
     /// Returns the zones that get nothing new.
     pub fn evacuated(&self, now: Instant) -> IndexSet<ZoneName> {
-        lock(&self.orders).in_force(now).zones
+        lock(&self.orders).active(now).zones
     }
 
     /// Runs `apply` with the orders in force; no other thread puts older ones in force meanwhile.
-    pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(ToldOrders) -> T) -> T {
+    pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(OrdersSnapshot) -> T) -> T {
         let orders = lock(&self.orders);
-        apply(orders.in_force(now))
+        apply(orders.active(now))
     }
 
     /// Returns what other instances are told of operators' orders.
-    pub fn orders_told(&self) -> ToldOrders {
+    pub fn orders_told(&self) -> OrdersSnapshot {
         lock(&self.orders).newest().clone()
     }
 
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -12,9 +12,9 @@
 use crate::{
     names::Tag,
     routing::{
-        BudgetSum, Count, InstanceInfo, InstanceListUpdate, ListVersion, PackedChange,
-        RolloutReport, RunId, ServerListUpdate, ServiceLoad, Spending, StoreEra, StoreVersion,
-        ToldOrders, ToldRollout, ToldVerdict,
+        BudgetSum, Count, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
+        PackedChange, RolloutReport, RunId, ServerListUpdate, ServiceLoad, Spending, StoreEra,
+        StoreVersion, ToldRollout, ToldVerdict,
     },
 };
 
@@ -82,7 +82,7 @@
     /// When the other's version was known to be the newest.
     pub confirmed: Option<ConfirmedAgo>,
     /// Operators' orders, as the other knows them.
-    pub orders: ToldOrders,
+    pub orders: OrdersSnapshot,
     /// How far roll-outs have come, as the other knows it.
     pub rollout_states: Vec<ToldRollout>,
     /// What is new in the list of servers.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -62,8 +62,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, Picked, Picker, RetryBudget, Spending, StoreShare,
-        ToldOrders, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, OrdersSnapshot, Picked, Picker, RetryBudget, Spending,
+        StoreShare, Unpicked, Wanted,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -244,7 +244,7 @@
     }
 
     /// Takes what was read or told of operators' orders.
-    pub fn take_orders(&self, told: ToldOrders, source: &str) {
+    pub fn take_orders(&self, told: OrdersSnapshot, source: &str) {
         if self.knowledge.offer_orders(self.clock.now(), told) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -9,7 +9,7 @@
 
 use super::{Gateway, intent_reader};
 use crate::{
-    routing::{PackedChange, ToldOrders, fanout},
+    routing::{OrdersSnapshot, PackedChange, fanout},
     utils::sync::lock,
 };
 
@@ -34,7 +34,7 @@
     /// Version that the other is to have.
     pub version: u64,
     /// Operators' orders: they are few, and told beside every version.
-    pub orders: ToldOrders,
+    pub orders: OrdersSnapshot,
     /// Changes that lead to it, where they are small or asked for.
     pub changes: Vec<Arc<PackedChange>>,
     /// To whom else it is to be handed.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -56,7 +56,7 @@
 pub use intent_watch::{Confirmed, IntentWatch, WatchRole, WatchStep};
 pub use load::{FleetPosition, Load, LoadReport};
 pub use notice::Notice;
-pub use operator_orders::{OperatorOrders, OrderChange, ToldOrders};
+pub use operator_orders::{OperatorOrders, OrderChange, OrdersSnapshot};
 pub use overload::{AnswerTimes, Overload};
 pub use pick::{Crowded, Picked, Unpicked, Wanted};
 pub use picker::Picker;
--- a/src/routing/operator_orders.rs
+++ b/src/routing/operator_orders.rs
@@ -14,7 +14,7 @@
 
 /// The orders that stood at one version of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldOrders {
+pub struct OrdersSnapshot {
     /// Version of the store at which they were read.
     pub as_of: StoreVersion,
     /// Zones to be empty.
@@ -23,7 +23,7 @@
     pub rollouts: IndexMap<ServiceName, RolloutOrder>,
     /// Services of whose roll-out something is written that is not understood: the order before it goes on.
     #[serde(default)]
-    pub unread: IndexSet<ServiceName>,
+    pub unparsed: IndexSet<ServiceName>,
 }
 
 /// That operators give an order, or take it back.
@@ -34,7 +34,7 @@
         /// The zone.
         zone: ZoneName,
         /// Whether it is to be empty.
-        is_wanted: bool,
+        evacuate: bool,
     },
     /// A service's requests are to be moved to a version; `None` where that is taken back.
     Rollout {
@@ -44,53 +44,56 @@
         order: Option<RolloutOrder>,
     },
     /// Something that is not understood is written of a service's roll-out.
-    Unread(ServiceName),
+    Unparsed(ServiceName),
 }
 
 /// What an instance knows of operators' orders.
 #[derive(Debug, Default)]
 pub struct OperatorOrders {
-    newest: ToldOrders,
+    newest: OrdersSnapshot,
     /// Orders of the store's era before, which operators may not have had time to write again.
-    former: ToldOrders,
+    former: OrdersSnapshot,
     former_until: Option<Instant>,
 }
 
-impl ToldOrders {
+impl OrdersSnapshot {
     /// Returns the orders as of `as_of` that lead from none by `changes`.
-    pub fn read(as_of: StoreVersion, changes: impl IntoIterator<Item = OrderChange>) -> ToldOrders {
-        let mut told = ToldOrders { as_of, ..ToldOrders::default() };
+    pub fn from_changes(
+        as_of: StoreVersion,
+        changes: impl IntoIterator<Item = OrderChange>,
+    ) -> OrdersSnapshot {
+        let mut told = OrdersSnapshot { as_of, ..OrdersSnapshot::default() };
         changes.into_iter().for_each(|change| told.apply(change));
         told
     }
 
     fn apply(&mut self, change: OrderChange) {
         match change {
-            OrderChange::Zone { zone, is_wanted: true } => {
+            OrderChange::Zone { zone, evacuate: true } => {
                 self.zones.insert(zone);
             }
-            OrderChange::Zone { zone, is_wanted: false } => {
+            OrderChange::Zone { zone, evacuate: false } => {
                 self.zones.swap_remove(&zone);
             }
             OrderChange::Rollout { service, order: Some(order) } => {
-                self.unread.swap_remove(&service);
+                self.unparsed.swap_remove(&service);
                 self.rollouts.insert(service, order);
             }
             OrderChange::Rollout { service, order: None } => {
-                self.unread.swap_remove(&service);
+                self.unparsed.swap_remove(&service);
                 self.rollouts.swap_remove(&service);
             }
-            OrderChange::Unread(service) => {
-                self.unread.insert(service);
+            OrderChange::Unparsed(service) => {
+                self.unparsed.insert(service);
             }
         }
     }
 
     /// Has orders go on that were in force before something was written of them that is not understood; returns whether there
     /// are any.
-    fn keep(&mut self, before: &ToldOrders) -> bool {
+    fn keep(&mut self, before: &OrdersSnapshot) -> bool {
         let mut kept = false;
-        for service in &self.unread {
+        for service in &self.unparsed {
             let Some(order) = before.rollouts.get(service) else { continue };
             if !self.rollouts.contains_key(service) {
                 self.rollouts.insert(service.clone(), order.clone());
@@ -103,7 +106,7 @@
 
 impl OperatorOrders {
     /// Takes what was read or told; returns whether it is newer than what is known.
-    pub fn take(&mut self, now: Instant, mut told: ToldOrders) -> bool {
+    pub fn take(&mut self, now: Instant, mut told: OrdersSnapshot) -> bool {
         if told.as_of == self.newest.as_of {
             // Another one may know what was ordered before.
             return self.newest.keep(&told);
@@ -114,7 +117,7 @@
         told.keep(&self.newest);
         let knows_any = self.newest.as_of != StoreVersion::default();
         if knows_any && told.as_of.era > self.newest.as_of.era {
-            self.former = self.in_force(now);
+            self.former = self.active(now);
             self.former_until = Some(now + SETTLING);
         }
         self.newest = told;
@@ -122,19 +125,19 @@
     }
 
     /// Takes the changes up to the version `as_of`; returns whether that is newer than what is known.
-    pub fn follow(
+    pub fn apply_changes(
         &mut self,
         now: Instant,
         as_of: StoreVersion,
         changes: impl IntoIterator<Item = OrderChange>,
     ) -> bool {
-        let mut told = ToldOrders { as_of, ..self.newest.clone() };
+        let mut told = OrdersSnapshot { as_of, ..self.newest.clone() };
         changes.into_iter().for_each(|change| told.apply(change));
         self.take(now, told)
     }
 
     /// Returns the orders in force; zones and services in an order of their own.
-    pub fn in_force(&self, now: Instant) -> ToldOrders {
+    pub fn active(&self, now: Instant) -> OrdersSnapshot {
         let mut orders = self.newest.clone();
         if self.former_until.is_some_and(|until| now < until) {
             orders.zones.extend(self.former.zones.iter().cloned());
@@ -148,7 +151,7 @@
     }
 
     /// Returns what other instances are told.
-    pub fn newest(&self) -> &ToldOrders {
+    pub fn newest(&self) -> &OrdersSnapshot {
         &self.newest
     }
 }
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -16,8 +16,8 @@
     names::Tag,
     routing::{
         BudgetSum, InstanceInfo, InstanceListUpdate, Intent, IntentChange, ListHistory,
-        ListVersion, PackedChange, RolloutOrder, RunId, ServerListUpdate, ServiceLoad, Spending,
-        StoreEra, StoreVersion, ToldOrders,
+        ListVersion, OrdersSnapshot, PackedChange, RolloutOrder, RunId, ServerListUpdate,
+        ServiceLoad, Spending, StoreEra, StoreVersion,
     },
 };
 use indexmap::IndexSet;
@@ -29,14 +29,14 @@
     StoreVersion { era: StoreEra(2), counter: 412 }
 }
 
-fn orders() -> ToldOrders {
+fn orders() -> OrdersSnapshot {
     let rollout =
         RolloutOrder { to: "v2".parse().expect("a version"), lasts: Duration::from_secs(12) };
-    ToldOrders {
+    OrdersSnapshot {
         as_of: store(),
         zones: ["north".parse().expect("a zone")].into(),
         rollouts: [("llm".parse().expect("a name"), rollout)].into(),
-        unread: ["app".parse().expect("a name")].into(),
+        unparsed: ["app".parse().expect("a name")].into(),
     }
 }
 
@@ -162,9 +162,9 @@
     let [report_bytes, news_bytes, permit, orders_bytes] = KEPT.map(|(_, hex)| bytes_of(hex));
     let same = |read: Vec<u8>, now: Vec<u8>| assert_eq!(read, now);
     same(encode(&decode::<Report>(&report_bytes).expect("a report")), encode(&report()));
-    let without = ToldOrders { unread: IndexSet::new(), ..orders() };
+    let without = OrdersSnapshot { unparsed: IndexSet::new(), ..orders() };
     let read = decode::<News>(&news_bytes).expect("news");
     assert_eq!((read.version, &read.orders), (12, &without));
     assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
-    assert_eq!(decode::<ToldOrders>(&orders_bytes).expect("orders"), without);
+    assert_eq!(decode::<OrdersSnapshot>(&orders_bytes).expect("orders"), without);
 }
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -14,7 +14,7 @@
 use cartvane::{
     gateway::GatewayHandle,
     names::ServiceName,
-    routing::{OperatorOrders, OrderChange, RolloutOrder, StoreEra, StoreVersion, ToldOrders},
+    routing::{OperatorOrders, OrderChange, OrdersSnapshot, RolloutOrder, StoreEra, StoreVersion},
 };
 use serde_json::{Value, json};
 use standins::{
@@ -296,17 +296,17 @@
     let order = RolloutOrder { to: "v2".parse().expect("a version"), lasts: LASTS };
     let ordered = OrderChange::Rollout { service: service.clone(), order: Some(order.clone()) };
     let mut known = OperatorOrders::default();
-    assert!(known.take(now, ToldOrders::read(as_of(4), [ordered])));
+    assert!(known.take(now, OrdersSnapshot::from_changes(as_of(4), [ordered])));
     let mut starts = OperatorOrders::default();
-    let unread = OrderChange::Unread(service.clone());
-    assert!(starts.take(now, ToldOrders::read(as_of(5), [unread])));
+    let unparsed = OrderChange::Unparsed(service.clone());
+    assert!(starts.take(now, OrdersSnapshot::from_changes(as_of(5), [unparsed])));
     assert!(known.take(now, starts.newest().clone()));
-    assert_eq!(known.in_force(now).rollouts.get(&service), Some(&order), "it goes on");
+    assert_eq!(known.active(now).rollouts.get(&service), Some(&order), "it goes on");
     assert!(starts.take(now, known.newest().clone()), "the one that starts learns of it");
-    assert_eq!(starts.in_force(now).rollouts.get(&service), Some(&order));
+    assert_eq!(starts.active(now).rollouts.get(&service), Some(&order));
     let withdrawn = OrderChange::Rollout { service: service.clone(), order: None };
-    assert!(known.follow(now, as_of(6), [withdrawn]));
-    assert!(known.in_force(now).rollouts.is_empty(), "what is removed is withdrawn");
+    assert!(known.apply_changes(now, as_of(6), [withdrawn]));
+    assert!(known.active(now).rollouts.is_empty(), "what is removed is withdrawn");
 }
 
 /// Waits until servers of v2 have been met, and checks that they are not met any more a second after `change`.
