--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -70,7 +70,12 @@
         aggregate.take(now, report.from.node.clone(), report.counts);
         aggregate.take_silent(now, report.from.node.clone(), report.silent);
         drop(aggregate);
-        lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
+        lock(&gateway.peers.budget).record_report(
+            now,
+            &report.from.node,
+            report.run,
+            report.spending,
+        );
         gateway.suspicion.take_report(now, &report.suspicion);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
@@ -153,7 +158,7 @@
 fn budget_sums(gateway: &Gateway, now: Instant) -> Vec<BudgetSum> {
     let own = gateway.spending(now);
     let mut budget = lock(&gateway.peers.budget);
-    budget.take(now, &gateway.settings.node, gateway.peers.run, own);
+    budget.record_report(now, &gateway.settings.node, gateway.peers.run, own);
     budget.sums(now)
 }
 
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -13,7 +13,7 @@
     names::Tag,
     routing::{
         BudgetSum, Count, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
-        PackedChange, RolloutReport, RunId, ServerListUpdate, ServiceLoad, Spending, StoreEra,
+        PackedChange, RetrySpending, RolloutReport, RunId, ServerListUpdate, ServiceLoad, StoreEra,
         StoreVersion, ToldRollout, ToldVerdict,
     },
 };
@@ -41,7 +41,7 @@
     /// The run of its process.
     pub run: RunId,
     /// Repeats that it has spent.
-    pub spending: Vec<Spending>,
+    pub spending: Vec<RetrySpending>,
     /// What it has seen of roll-outs.
     pub rollouts: Vec<RolloutReport>,
     /// How far roll-outs have come, as it knows it.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -62,8 +62,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, OrdersSnapshot, Picked, Picker, RetryBudget, Spending,
-        StoreShare, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, OrdersSnapshot, Picked, Picker, RetryBudget,
+        RetrySpending, StoreShare, Unpicked, Wanted,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -161,7 +161,7 @@
         let service = &request.service;
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).request(now, terms);
+        self.budget_of(&mut budgets, service).record_request(now, terms);
         drop(budgets);
         let target = request.route.target_latency;
         lock(&self.picker).note_request(now, service, request.priority, target);
@@ -190,11 +190,11 @@
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).has(now, terms, instances, reserve)
+        self.budget_of(&mut budgets, service).allows(now, terms, instances, reserve)
     }
 
     /// Returns what this instance has spent at each service, for the sums over all.
-    pub fn spending(&self, now: Instant) -> Vec<Spending> {
+    pub fn spending(&self, now: Instant) -> Vec<RetrySpending> {
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
         budgets.iter_mut().map(|(service, budget)| budget.spending(now, terms, service)).collect()
@@ -205,7 +205,7 @@
         let mut budgets = lock(&self.budgets);
         for sum in sums {
             let service = sum.service.clone();
-            self.budget_of(&mut budgets, &service).set_sum(now, sum, fastrand::f64());
+            self.budget_of(&mut budgets, &service).set_fleet_sum(now, sum, fastrand::f64());
         }
     }
 
--- a/src/routing/budget.rs
+++ b/src/routing/budget.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use super::{BudgetSum, Spending, ToldSpent};
+use super::{BudgetSum, FleetSpentReport, RetrySpending};
 use crate::names::ServiceName;
 
 /// Part of the fleet's bound that the instances use together; the rest is for windows that lie otherwise than
@@ -64,7 +64,7 @@
     sum: BudgetSum,
     at: Instant,
     /// Another number in [0, 1) each time, so that a part of a repeat is a whole one at that part of the instances.
-    turn: f64,
+    phase: f64,
     /// Repeats since then.
     since: u32,
 }
@@ -82,7 +82,7 @@
     }
 
     /// Notes a caller's request.
-    pub fn request(&mut self, now: Instant, terms: &BudgetTerms) {
+    pub fn record_request(&mut self, now: Instant, terms: &BudgetTerms) {
         self.requests.push_back(now);
         forget(&mut self.requests, now, terms.window * 2);
     }
@@ -98,7 +98,7 @@
         instances: usize,
         reserve: f64,
     ) -> bool {
-        let granted = self.has(now, terms, instances, reserve);
+        let granted = self.allows(now, terms, instances, reserve);
         if granted {
             self.repeats.push_back(now);
             self.total += 1;
@@ -110,7 +110,7 @@
     }
 
     /// Returns whether [`RetryBudget::take`] would grant a repeat.
-    pub fn has(
+    pub fn allows(
         &mut self,
         now: Instant,
         terms: &BudgetTerms,
@@ -120,17 +120,18 @@
         if let Some(told) = &self.sum
             && now.saturating_duration_since(told.at) < SUM_LIFE
         {
-            return told.has(terms, instances, reserve);
+            return told.allows(terms, instances, reserve);
         }
         let whole = USED_SHARE
-            * (terms.ratio * self.backed_requests(now, terms) + self.slack(now, terms, instances));
+            * (terms.ratio * self.sustained_requests(now, terms)
+                + self.slack(now, terms, instances));
         forget(&mut self.repeats, now, terms.window);
         self.repeats.len() as f64 + 1.0 <= whole * (1.0 - reserve)
     }
 
-    /// Takes what all instances have spent; `turn` in [0, 1) is another number each time.
-    pub fn set_sum(&mut self, now: Instant, sum: BudgetSum, turn: f64) {
-        self.sum = Some(ToldSum { sum, at: now, turn, since: 0 });
+    /// Takes what all instances have spent; `phase` in [0, 1) is another number each time.
+    pub fn set_fleet_sum(&mut self, now: Instant, sum: BudgetSum, phase: f64) {
+        self.sum = Some(ToldSum { sum, at: now, phase, since: 0 });
     }
 
     /// Returns what this instance has spent at `service`, for the sums.
@@ -139,16 +140,19 @@
         now: Instant,
         terms: &BudgetTerms,
         service: &ServiceName,
-    ) -> Spending {
+    ) -> RetrySpending {
         let recent = u32::try_from(self.spent(now, terms)).unwrap_or(u32::MAX);
         let lately = |told: &&ToldSum| now.saturating_duration_since(told.at) < TOLD_LIFE;
         let told = self.sum.as_ref().filter(lately).cloned();
-        Spending {
+        RetrySpending {
             service: service.clone(),
             total: self.total,
-            unsummed: told.as_ref().map_or(recent, |told| told.since),
-            told: told.map(|told| ToldSpent { by: told.sum.by, spent: told.sum.spent }),
-            backed: self.backed_requests(now, terms),
+            uncounted: told.as_ref().map_or(recent, |told| told.since),
+            fleet_spent: told.map(|told| FleetSpentReport {
+                aggregator: told.sum.aggregator,
+                spent: told.sum.spent,
+            }),
+            sustained: self.sustained_requests(now, terms),
         }
     }
 
@@ -159,7 +163,7 @@
     }
 
     /// Returns the requests of the last window, as far as the window before had as many.
-    fn backed_requests(&mut self, now: Instant, terms: &BudgetTerms) -> f64 {
+    fn sustained_requests(&mut self, now: Instant, terms: &BudgetTerms) -> f64 {
         forget(&mut self.requests, now, terms.window * 2);
         let is_old = |at: &Instant| now.saturating_duration_since(*at) > terms.window;
         let before = self.requests.partition_point(is_old);
@@ -180,15 +184,15 @@
 
 impl ToldSum {
     /// Returns whether what the fleet has left has one more repeat for this instance.
-    fn has(&self, terms: &BudgetTerms, instances: usize, reserve: f64) -> bool {
+    fn allows(&self, terms: &BudgetTerms, instances: usize, reserve: f64) -> bool {
         let reporters = self.sum.reporters.max(1) as f64;
         // Where some turn to another instance, these have a part of the slack only.
         let slack = terms.slack * (reporters / instances.max(1) as f64).min(1.0);
-        let whole = USED_SHARE * (terms.ratio * self.sum.backed + slack) * (1.0 - reserve);
+        let whole = USED_SHARE * (terms.ratio * self.sum.sustained + slack) * (1.0 - reserve);
         let left = (whole - f64::from(self.sum.spent)).max(0.0);
         let each = left / reporters;
         let part = (each * LEFT_SHARE).max((each * LEFT_SHARE_FIRST).min(1.0));
-        f64::from(self.since + 1) <= part + self.turn
+        f64::from(self.since + 1) <= part + self.phase
     }
 }
 
--- a/src/routing/fleet_budget.rs
+++ b/src/routing/fleet_budget.rs
@@ -26,24 +26,24 @@
 
 /// What an instance has spent at one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Spending {
+pub struct RetrySpending {
     /// The service.
     pub service: ServiceName,
     /// Repeats since the instance's start.
     pub total: u64,
     /// Repeats that are in no sum which the instance was told lately: those since then, or of the last window.
-    pub unsummed: u32,
+    pub uncounted: u32,
     /// What it was told last that all had spent, where that is not long ago.
-    pub told: Option<ToldSpent>,
+    pub fleet_spent: Option<FleetSpentReport>,
     /// Requests of the last window that the window before backs.
-    pub backed: f64,
+    pub sustained: f64,
 }
 
 /// What an instance was told that all had spent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSpent {
+pub struct FleetSpentReport {
     /// The one that told it.
-    pub by: RunId,
+    pub aggregator: RunId,
     /// Repeats of its window.
     pub spent: u32,
 }
@@ -56,18 +56,18 @@
     /// Repeats of the last window.
     pub spent: u32,
     /// Requests of the last window that the window before backs.
-    pub backed: f64,
+    pub sustained: f64,
     /// Instances whose reports are in it.
     pub reporters: usize,
     /// The one that collected it.
-    pub by: RunId,
+    pub aggregator: RunId,
 }
 
 #[derive(Debug)]
 struct Reporter {
     at: Instant,
     run: RunId,
-    services: HashMap<ServiceName, Spending>,
+    services: HashMap<ServiceName, RetrySpending>,
 }
 
 /// The reports of all instances that turn to this one.
@@ -100,7 +100,13 @@
     }
 
     /// Takes an instance's report.
-    pub fn take(&mut self, now: Instant, node: &NodeName, run: RunId, spending: Vec<Spending>) {
+    pub fn record_report(
+        &mut self,
+        now: Instant,
+        node: &NodeName,
+        run: RunId,
+        spending: Vec<RetrySpending>,
+    ) {
         let pause = self.last.map(|last| now.saturating_duration_since(last));
         if pause.is_none_or(|pause| pause > REPORT_LIFE) {
             self.since = Some(now);
@@ -109,7 +115,7 @@
         self.last = Some(now);
         let is_new = self.reporters.get(node).is_none_or(|known| known.run != run);
         if is_new {
-            spending.iter().for_each(|said| self.take_told(now, said));
+            spending.iter().for_each(|said| self.record_fleet_spent(now, said));
         }
         let known = self.reporters.get(node).filter(|known| known.run == run);
         for said in &spending {
@@ -117,7 +123,7 @@
             let news = match before {
                 Some(before) => said.total.saturating_sub(before.total),
                 // What it spent before it turned to this one counts as far as it is not in another's sums.
-                None => u64::from(said.unsummed),
+                None => u64::from(said.uncounted),
             };
             if news > 0 {
                 let count = u32::try_from(news).unwrap_or(u32::MAX);
@@ -129,9 +135,11 @@
     }
 
     /// Takes the word of an instance that has not reported here on what all had spent before: the highest counts.
-    fn take_told(&mut self, now: Instant, said: &Spending) {
+    fn record_fleet_spent(&mut self, now: Instant, said: &RetrySpending) {
         // Its own sums, told back to it, say nothing new.
-        let Some(told) = said.told.filter(|told| told.by != self.own) else { return };
+        let Some(told) = said.fleet_spent.filter(|told| told.aggregator != self.own) else {
+            return;
+        };
         let former = self.before.get(&said.service).copied();
         let still = |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) <= self.window;
         let known = former.filter(still).map_or(0, |(_, spent)| spent);
@@ -160,21 +168,21 @@
         }
         let heard = || self.reporters.values().filter(|reporter| !is_old(reporter.at, REPORT_LIFE));
         let reporters = heard().count();
-        let mut backed: IndexMap<&ServiceName, f64> = IndexMap::new();
+        let mut sustained: IndexMap<&ServiceName, f64> = IndexMap::new();
         for said in heard().flat_map(|reporter| reporter.services.values()) {
-            *backed.entry(&said.service).or_default() += said.backed;
+            *sustained.entry(&said.service).or_default() += said.sustained;
         }
         let spent = |service: &ServiceName| {
             self.spent.get(service).map_or(0, |spent| spent.iter().map(|(_, count)| count).sum())
         };
-        let sum = |(service, backed): (&ServiceName, f64)| BudgetSum {
+        let sum = |(service, sustained): (&ServiceName, f64)| BudgetSum {
             service: service.clone(),
             spent: spent(service),
-            backed,
+            sustained,
             reporters,
-            by: self.own,
+            aggregator: self.own,
         };
         let known = |service: &ServiceName| self.is_whole(now) || self.before.contains_key(service);
-        backed.into_iter().filter(|(service, _)| known(service)).map(sum).collect()
+        sustained.into_iter().filter(|(service, _)| known(service)).map(sum).collect()
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -45,7 +45,7 @@
 pub use cold::{ColdGranters, ColdGrants, ColdTerms};
 pub use events::EventSplitter;
 pub use fallback_reader::FallbackReader;
-pub use fleet_budget::{BudgetSum, FleetBudget, RunId, Spending, ToldSpent};
+pub use fleet_budget::{BudgetSum, FleetBudget, FleetSpentReport, RetrySpending, RunId};
 pub use health::Health;
 pub use home_regions::HomeRegions;
 pub use incarnation::{Born, Incarnation};
--- a/tests/suite/budget_drawn.rs
+++ b/tests/suite/budget_drawn.rs
@@ -91,7 +91,7 @@
             instance.due += day.rate * STEP.as_secs_f64() / here.len() as f64;
             while instance.due >= 1.0 {
                 instance.due -= 1.0;
-                instance.budget.request(now, &TERMS);
+                instance.budget.record_request(now, &TERMS);
                 requests[step] += 1;
                 if (day.failures.0..day.failures.0 + day.failures.1).contains(&step) {
                     waiting[step + day.late][number] += 2;
--- a/tests/suite/budget_fleet.rs
+++ b/tests/suite/budget_fleet.rs
@@ -92,9 +92,9 @@
                 let one = &mut fleet[number];
                 let spending = vec![one.budget.spending(now, &terms, &service)];
                 let (node, run) = (format!("n{number}").parse().expect("a name"), one.run);
-                fleet[collector].sums.take(now, &node, run, spending);
+                fleet[collector].sums.record_report(now, &node, run, spending);
                 for sum in fleet[collector].sums.sums(now) {
-                    fleet[number].budget.set_sum(now, sum, draw());
+                    fleet[number].budget.set_fleet_sum(now, sum, draw());
                 }
             }
         }
@@ -105,7 +105,7 @@
             one.due += day.rate * STEP.as_secs_f64() / here.len() as f64;
             while one.due >= 1.0 {
                 one.due -= 1.0;
-                one.budget.request(now, &terms);
+                one.budget.record_request(now, &terms);
                 played.requests[step] += 1;
                 one.failed += if fails { share } else { 0.0 };
             }
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -16,8 +16,8 @@
     names::Tag,
     routing::{
         BudgetSum, InstanceInfo, InstanceListUpdate, Intent, IntentChange, ListHistory,
-        ListVersion, OrdersSnapshot, PackedChange, RolloutOrder, RunId, ServerListUpdate,
-        ServiceLoad, Spending, StoreEra, StoreVersion,
+        ListVersion, OrdersSnapshot, PackedChange, RetrySpending, RolloutOrder, RunId,
+        ServerListUpdate, ServiceLoad, StoreEra, StoreVersion,
     },
 };
 use indexmap::IndexSet;
@@ -55,7 +55,7 @@
         counts: vec![(Tag(7), 3)],
         silent: vec![Tag(9)],
         run: RunId(5),
-        spending: Vec::<Spending>::new(),
+        spending: Vec::<RetrySpending>::new(),
         rollouts: Vec::new(),
         rollout_states: Vec::new(),
         suspicion: Default::default(),
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -211,7 +211,7 @@
             let (mut requests, mut repeats) = (Vec::new(), Vec::new());
             for (instance, gap, tries) in events {
                 now += Duration::from_millis(gap);
-                budgets[instance].request(now, &TERMS);
+                budgets[instance].record_request(now, &TERMS);
                 requests.push(now);
                 if tries && budgets[instance].take(now, &TERMS, 8, 0.0) {
                     repeats.push(now);
@@ -231,7 +231,7 @@
 fn repeats_for_slowness_leave_some_for_failures() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(None);
-    (0..100).for_each(|_| budget.request(now, &TERMS));
+    (0..100).for_each(|_| budget.record_request(now, &TERMS));
     let spent = |budget: &mut RetryBudget, reserve| {
         (0..1000).filter(|_| budget.take(now, &TERMS, 8, reserve)).count()
     };
