--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -67,8 +67,8 @@
     if report.asks == Asks::InTurn {
         let began = !gateway.peers.is_read_from(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
-        aggregate.take(now, report.from.node.clone(), report.counts);
-        aggregate.take_silent(now, report.from.node.clone(), report.silent);
+        aggregate.record_counts(now, report.from.node.clone(), report.counts);
+        aggregate.record_unresponsive(now, report.from.node.clone(), report.silent);
         drop(aggregate);
         lock(&gateway.peers.budget).record_report(
             now,
@@ -149,7 +149,7 @@
 fn summary(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
     let own_counts = lock(&gateway.picker).own_counts();
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take(now, gateway.settings.node.clone(), own_counts);
+    aggregate.record_counts(now, gateway.settings.node.clone(), own_counts);
     gateway
         .knowledge
         .with_servers(|roster| aggregate.summary(now, roster.servers().map(|server| &**server)))
@@ -165,8 +165,8 @@
 fn all_silent(gateway: &Gateway, now: Instant) -> Vec<Tag> {
     let own = lock(&gateway.picker).own_silent(now);
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take_silent(now, gateway.settings.node.clone(), own);
-    aggregate.silent()
+    aggregate.record_unresponsive(now, gateway.settings.node.clone(), own);
+    aggregate.unresponsive()
 }
 
 /// Reads the store for an instance that it turns away.
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -152,7 +152,8 @@
     let (stay, gone): (Vec<InstanceInfo>, Vec<InstanceInfo>) = {
         let aggregate = lock(&gateway.peers.aggregate);
         let candidates = lock(&gateway.peers.candidates);
-        let lives = |i: &InstanceInfo| i == candidates.own() || aggregate.hears(now, &i.node);
+        let lives =
+            |i: &InstanceInfo| i == candidates.own() || aggregate.has_recent_report(now, &i.node);
         candidates.all().iter().cloned().partition(lives)
     };
     if gone.is_empty() {
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -12,7 +12,7 @@
 use crate::{
     names::Tag,
     routing::{
-        BudgetSum, Count, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
+        BudgetSum, InFlightCount, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
         PackedChange, RetrySpending, RolloutReport, RunId, ServerListUpdate, ServiceLoad, StoreEra,
         StoreVersion, ToldRollout, ToldVerdict,
     },
@@ -35,7 +35,7 @@
     /// Who tells.
     pub from: InstanceInfo,
     /// Its requests in flight, by server.
-    pub counts: Vec<Count>,
+    pub counts: Vec<InFlightCount>,
     /// Servers that it finds silent, or that want no requests of it.
     pub silent: Vec<Tag>,
     /// The run of its process.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -32,8 +32,8 @@
         traffic::{Purpose, Traffic},
     },
     routing::{
-        Aggregate, Candidates, Confirmed, Count, Crowded, FallbackReader, FleetBudget,
-        FleetPosition, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
+        Aggregate, Candidates, Confirmed, Crowded, FallbackReader, FleetBudget, FleetPosition,
+        InFlightCount, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
         ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
     utils::{recent::Recent, sync::lock},
@@ -163,7 +163,7 @@
     /// Returns whether others have turned to this instance lately.
     pub(super) fn is_read_from(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
-        let heard = lock(&self.aggregate).last_heard(&own);
+        let heard = lock(&self.aggregate).last_report(&own);
         heard.is_some_and(|at| now.saturating_duration_since(at) < READS_FOR_OTHERS)
     }
 
@@ -399,7 +399,12 @@
 
 /// Takes what all instances have in flight; `told` is what this one had told of its own, where that is
 /// not what it has now.
-fn take_loads(gateway: &Gateway, now: Instant, loads: &[ServiceLoad], told: Option<Vec<Count>>) {
+fn take_loads(
+    gateway: &Gateway,
+    now: Instant,
+    loads: &[ServiceLoad],
+    told: Option<Vec<InFlightCount>>,
+) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
         let own = told.unwrap_or_else(|| picker.own_counts());
--- a/src/routing/aggregate.rs
+++ b/src/routing/aggregate.rs
@@ -19,7 +19,7 @@
 const SWEEP_PERIOD: Duration = Duration::from_millis(100);
 
 /// Requests in flight at one backend server.
-pub type Count = (Tag, u32);
+pub type InFlightCount = (Tag, u32);
 
 /// Servers of a service up to which all are listed.
 const LISTED_ALL: usize = 64;
@@ -36,20 +36,20 @@
     /// Mean of its servers.
     pub mean: f32,
     /// Servers, by tag.
-    pub counts: Vec<Count>,
+    pub counts: Vec<InFlightCount>,
     /// Whether every server is listed; else those that are not are near the mean.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl ServiceLoad {
-    fn new(service: &ServiceName, mut counts: Vec<Count>) -> ServiceLoad {
+    fn new(service: &ServiceName, mut counts: Vec<InFlightCount>) -> ServiceLoad {
         let sum: u32 = counts.iter().map(|(_, count)| count).sum();
         let mean = sum as f32 / counts.len().max(1) as f32;
-        let whole = counts.len() <= LISTED_ALL;
-        if !whole {
+        let is_complete = counts.len() <= LISTED_ALL;
+        if !is_complete {
             counts.retain(|&(_, count)| count as f32 > mean * STANDS_OUT.0 + STANDS_OUT.1);
         }
-        ServiceLoad { service: service.clone(), mean, counts, whole }
+        ServiceLoad { service: service.clone(), mean, counts, is_complete }
     }
 }
 
@@ -59,8 +59,8 @@
 /// The newest counts of each instance.
 #[derive(Debug, Default)]
 pub struct Aggregate {
-    reports: IndexMap<NodeName, (Instant, Vec<Count>)>,
-    silent: IndexMap<NodeName, (Instant, Vec<Tag>)>,
+    reports: IndexMap<NodeName, (Instant, Vec<InFlightCount>)>,
+    unresponsive: IndexMap<NodeName, (Instant, Vec<Tag>)>,
     /// When reports that are too old were dropped last.
     swept: Option<Instant>,
     /// The instance that reported last, and when.
@@ -71,13 +71,13 @@
 
 impl Aggregate {
     /// Takes an instance's counts.
-    pub fn take(&mut self, now: Instant, node: NodeName, counts: Vec<Count>) {
-        self.note_heard(now, &node);
+    pub fn record_counts(&mut self, now: Instant, node: NodeName, counts: Vec<InFlightCount>) {
+        self.note_report(now, &node);
         self.reports.insert(node, (now, counts));
         self.sweep(now);
     }
 
-    fn note_heard(&mut self, now: Instant, node: &NodeName) {
+    fn note_report(&mut self, now: Instant, node: &NodeName) {
         if let Some((last, at)) = self.newest.take()
             && last != *node
         {
@@ -94,26 +94,26 @@
         }
         self.swept = Some(now);
         self.reports.retain(|_, (at, _)| !is_old(*at, REPORT_LIFE));
-        self.silent.retain(|_, (at, _)| !is_old(*at, REPORT_LIFE));
+        self.unresponsive.retain(|_, (at, _)| !is_old(*at, REPORT_LIFE));
     }
 
     /// Takes the servers that an instance finds silent.
-    pub fn take_silent(&mut self, now: Instant, node: NodeName, silent: Vec<Tag>) {
-        self.silent.insert(node, (now, silent));
+    pub fn record_unresponsive(&mut self, now: Instant, node: NodeName, unresponsive: Vec<Tag>) {
+        self.unresponsive.insert(node, (now, unresponsive));
         self.sweep(now);
     }
 
     /// Returns the servers that several instances find silent.
-    pub fn silent(&self) -> Vec<Tag> {
+    pub fn unresponsive(&self) -> Vec<Tag> {
         let mut witnesses: HashMap<Tag, usize> = HashMap::new();
-        for server in self.silent.values().flat_map(|(_, silent)| silent) {
+        for server in self.unresponsive.values().flat_map(|(_, unresponsive)| unresponsive) {
             *witnesses.entry(*server).or_default() += 1;
         }
-        let enough = WITNESSES.min(self.silent.len());
-        let mut silent: Vec<Tag> =
+        let enough = WITNESSES.min(self.unresponsive.len());
+        let mut unresponsive: Vec<Tag> =
             witnesses.into_iter().filter(|(_, count)| *count >= enough).map(|(t, _)| t).collect();
-        silent.sort_unstable_by_key(|tag| tag.0);
-        silent
+        unresponsive.sort_unstable_by_key(|tag| tag.0);
+        unresponsive
     }
 
     /// Sums the counts of all instances, by service.
@@ -134,7 +134,7 @@
                 *sums.entry(server).or_default() += count;
             }
         }
-        let mut services: IndexMap<&ServiceName, Vec<Count>> = IndexMap::new();
+        let mut services: IndexMap<&ServiceName, Vec<InFlightCount>> = IndexMap::new();
         for server in servers {
             let tag = server.tag();
             let count = sums.get(&tag).copied().unwrap_or(0);
@@ -144,13 +144,13 @@
     }
 
     /// Returns when the newest report of another instance than `node` came.
-    pub fn last_heard(&self, node: &NodeName) -> Option<Instant> {
+    pub fn last_report(&self, node: &NodeName) -> Option<Instant> {
         let (last, at) = self.newest.as_ref()?;
         if last == node { self.newest_of_others } else { Some(*at) }
     }
 
     /// Returns whether `node` reported lately.
-    pub fn hears(&self, now: Instant, node: &NodeName) -> bool {
+    pub fn has_recent_report(&self, now: Instant, node: &NodeName) -> bool {
         let report = self.reports.get(node);
         report.is_some_and(|(at, _)| now.saturating_duration_since(*at) <= REPORT_LIFE)
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -35,7 +35,7 @@
 pub mod team;
 pub mod unlisted;
 
-pub use aggregate::{Aggregate, Count, ServiceLoad};
+pub use aggregate::{Aggregate, InFlightCount, ServiceLoad};
 pub use blame::{
     Answered, Collector, Finding, HeldRow, Judgement, RequestDigest, RequestLook, ServerEnds,
     Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -25,8 +25,8 @@
     versions::{Side, Versions},
 };
 use super::{
-    BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load, LoadReport, Notice,
-    Overload, Picked, ServiceLoad, UnlistedNotices, Unpicked, Wanted, overload::FleetTotal,
+    BackendServer, Crowded, FleetPosition, Health, InFlightCount, Incarnation, Load, LoadReport,
+    Notice, Overload, Picked, ServiceLoad, UnlistedNotices, Unpicked, Wanted, overload::FleetTotal,
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
 
@@ -291,14 +291,14 @@
         &mut self,
         now: Instant,
         loads: &[ServiceLoad],
-        own: &[Count],
+        own: &[InFlightCount],
     ) -> Vec<Crowded> {
         let mut crowded = Vec::new();
         let own: HashMap<Tag, u32> = own.iter().copied().collect();
         for load in loads {
             let counts: HashMap<Tag, u32> = load.counts.iter().copied().collect();
             let bounds = self.bounds(f64::from(load.mean));
-            let unlisted = if load.whole { 0.0 } else { f64::from(load.mean) };
+            let unlisted = if load.is_complete { 0.0 } else { f64::from(load.mean) };
             let mut total = FleetTotal { all: 0.0, own: 0.0, at: now };
             for tracked in self.servers.values_mut().filter(|t| t.server.service == load.service) {
                 let tag = tracked.server.tag();
@@ -320,7 +320,7 @@
     }
 
     /// Returns this instance's requests in flight, by server, for the other instances.
-    pub fn own_counts(&self) -> Vec<Count> {
+    pub fn own_counts(&self) -> Vec<InFlightCount> {
         let busy = self.servers.values().filter(|t| t.load.own() > 0);
         busy.map(|t| (t.server.tag(), t.load.own())).collect()
     }
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -34,7 +34,7 @@
     let mut picker = Picker::new("z0".parse().expect("a name"), 2.0);
     picker.set_servers(now, servers.iter());
     let counts = servers.iter().step_by(10).map(|server| (server.tag(), 1)).collect();
-    let load = ServiceLoad { service: service.clone(), mean: 0.1, counts, whole: true };
+    let load = ServiceLoad { service: service.clone(), mean: 0.1, counts, is_complete: true };
     for server in servers.iter().step_by(7) {
         picker.report(now, &server.id, LoadReport { running: 1, waiting: 0, slots: 16 });
     }
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -136,11 +136,11 @@
             let node: NodeName = format!("edge-{instance}").parse().expect("a name");
             let picker = &mut self.pickers[instance];
             let own = picker.own_counts();
-            self.aggregate.take(now, node.clone(), own.clone());
-            self.aggregate.take_silent(now, node, picker.own_silent(now));
+            self.aggregate.record_counts(now, node.clone(), own.clone());
+            self.aggregate.record_unresponsive(now, node, picker.own_silent(now));
             let loads = self.aggregate.summary(now, self.servers.iter());
             picker.set_fleet_loads(now, &loads, &own);
-            picker.told_silent(now, &self.aggregate.silent());
+            picker.told_silent(now, &self.aggregate.unresponsive());
         }
     }
 
--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -133,7 +133,7 @@
     fn exchange(&mut self, now: Instant, instance: usize) {
         let own = self.pickers[instance].own_counts();
         let node = format!("n{instance}").parse().expect("a name");
-        self.aggregate.take(now, node, own.clone());
+        self.aggregate.record_counts(now, node, own.clone());
         let loads = self.aggregate.summary(now, self.servers.iter());
         self.pickers[instance].set_fleet_loads(now, &loads, &own);
     }
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -195,8 +195,8 @@
     let now = Instant::now();
     let (before, after) = (server("a@1000", 1), server("a@2000", 1));
     let mut aggregate = Aggregate::default();
-    aggregate.take(now, "late".parse().expect("a name"), vec![(before.tag(), 9)]);
-    aggregate.take(now, "new".parse().expect("a name"), vec![(after.tag(), 2)]);
+    aggregate.record_counts(now, "late".parse().expect("a name"), vec![(before.tag(), 9)]);
+    aggregate.record_counts(now, "new".parse().expect("a name"), vec![(after.tag(), 2)]);
     let loads = aggregate.summary(now, [&after].into_iter());
     assert_eq!(loads[0].counts, [(after.tag(), 2)]);
 }
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -70,7 +70,12 @@
 fn news(list: ServerListUpdate) -> News {
     let service = "llm".parse().expect("a name");
     News {
-        loads: vec![ServiceLoad { service, mean: 2.5, counts: vec![(Tag(7), 4)], whole: true }],
+        loads: vec![ServiceLoad {
+            service,
+            mean: 2.5,
+            counts: vec![(Tag(7), 4)],
+            is_complete: true,
+        }],
         silent: vec![Tag(9)],
         budgets: Vec::<BudgetSum>::new(),
         run: RunId(6),
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -152,11 +152,11 @@
     let servers = fleet(3);
     let tag = |i: usize| servers[i].tag();
     let mut aggregate = Aggregate::default();
-    aggregate.take(now, "a".parse().expect("a name"), vec![(tag(0), 4), (tag(1), 1)]);
-    aggregate.take(now + SECOND * 2, "b".parse().expect("a name"), vec![(tag(0), 2)]);
+    aggregate.record_counts(now, "a".parse().expect("a name"), vec![(tag(0), 4), (tag(1), 1)]);
+    aggregate.record_counts(now + SECOND * 2, "b".parse().expect("a name"), vec![(tag(0), 2)]);
     let total = |at: Instant| aggregate.summary(at, servers.iter()).remove(0);
     let both = total(now + SECOND * 2);
-    assert!(both.whole);
+    assert!(both.is_complete);
     assert_eq!(both.counts, [(tag(0), 6), (tag(1), 1), (tag(2), 0)]);
     assert_eq!(total(now + SECOND * 4).counts[0], (tag(0), 2));
     // What this instance told itself is not counted twice.
@@ -184,9 +184,9 @@
     let servers = fleet(500);
     let counts = servers.iter().enumerate().map(|(i, s)| (s.tag(), if i == 7 { 20 } else { 2 }));
     let mut aggregate = Aggregate::default();
-    aggregate.take(now, "a".parse().expect("a name"), counts.collect());
+    aggregate.record_counts(now, "a".parse().expect("a name"), counts.collect());
     let load = aggregate.summary(now, servers.iter()).remove(0);
-    assert!(!load.whole);
+    assert!(!load.is_complete);
     assert_eq!(load.counts, [(servers[7].tag(), 20)]);
     let mut picker = picker(&servers);
     picker.set_fleet_loads(now, &[load], &[]);
@@ -205,7 +205,7 @@
         service: "llm".parse().expect("a name"),
         mean: load as f32 / 4.0,
         counts: vec![(servers[0].tag(), load)],
-        whole: true,
+        is_complete: true,
     };
     let mut told = |at: Duration, load| {
         let crowded = picker.set_fleet_loads(now + at, &[loads(load)], &[]);
@@ -319,8 +319,8 @@
     };
     let mut aggregate = Aggregate::default();
     let mut tell = |at: Instant, node: &str, silent: &[usize]| {
-        aggregate.take_silent(at, node.parse().expect("a name"), tags(silent));
-        aggregate.silent()
+        aggregate.record_unresponsive(at, node.parse().expect("a name"), tags(silent));
+        aggregate.unresponsive()
     };
     assert_eq!(tell(now, "a", &[0, 1]), tags(&[0, 1]), "there is no other");
     assert!(tell(now, "b", &[]).is_empty());
