--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -59,7 +59,7 @@
         let after = candidates.version();
         // One that knows a few only would have them taken for all.
         let tells = after != report.instances && gateway.peers.knows_others(now);
-        (tells.then(|| candidates.since(report.instances)), after != before)
+        (tells.then(|| candidates.update_since(report.instances)), after != before)
     };
     if is_news {
         gateway.instances_changed();
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -36,7 +36,7 @@
     loop {
         gateway.suspicion.judged.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
-        let is_first = lock(&gateway.peers.candidates).first(now).is_none();
+        let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
         if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
             continue;
         }
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -52,7 +52,8 @@
             era = announce_until_done(gateway);
         }
         let now = gateway.clock.now();
-        if gateway.drain.is_draining() || lock(&gateway.peers.candidates).first(now).is_some() {
+        if gateway.drain.is_draining() || lock(&gateway.peers.candidates).aggregator(now).is_some()
+        {
             continue;
         }
         if let Err(fault) = tidy(gateway, now.saturating_duration_since(began) > ROW_LEFT_BEHIND) {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -139,7 +139,7 @@
     /// Returns whether this instance reads the store at a pace: it has nobody to turn to, or others
     /// turn to it.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.knows_others(now) && lock(&self.candidates).first(now).is_none();
+        let alone = self.knows_others(now) && lock(&self.candidates).aggregator(now).is_none();
         alone || self.is_read_from(now)
     }
 
@@ -263,7 +263,7 @@
     let peers = &gateway.peers;
     for _ in 0..2 {
         let now = gateway.clock.now();
-        let first = lock(&peers.candidates).first(now).cloned();
+        let first = lock(&peers.candidates).aggregator(now).cloned();
         let Some(first) = first else {
             let sums = sums(gateway, now);
             take_loads(gateway, now, &sums.loads, None);
@@ -274,12 +274,12 @@
         };
         match ask(gateway, first.address, Asks::InTurn) {
             Ok(()) => {
-                lock(&peers.candidates).note_heard(&first.node);
+                lock(&peers.candidates).note_responsive(&first.node);
                 return;
             }
             Err(fault) => {
                 log::info!("event=peer_silent peer={} reason={fault:?}", first.node);
-                lock(&peers.candidates).note_silent(gateway.clock.now(), &first.node);
+                lock(&peers.candidates).note_unresponsive(gateway.clock.now(), &first.node);
             }
         }
     }
@@ -449,7 +449,7 @@
         take_list(gateway, list, news.list, as_of, news.list_era);
     }
     if let Some(instances) = news.instances {
-        lock(&gateway.peers.candidates).take(instances);
+        lock(&gateway.peers.candidates).apply_update(instances);
         gateway.instances_changed();
     }
 }
--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_keeper.rs
@@ -82,7 +82,7 @@
 
 /// Returns whether this is the instance that takes roll-outs further.
 fn is_turn(gateway: &Gateway, now: Instant) -> bool {
-    let is_first = lock(&gateway.peers.candidates).first(now).is_none();
+    let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
     is_first && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
 }
 
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -55,7 +55,7 @@
     if number >= DEPUTIES && !gateway.peers.is_reader(now) {
         return;
     }
-    let parts = fanout::first_parts(lock(&gateway.peers.candidates).heard(now));
+    let parts = fanout::first_parts(lock(&gateway.peers.candidates).responsive(now));
     hand_on(gateway, parts);
 }
 
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -47,14 +47,15 @@
     ranked: Vec<InstanceInfo>,
     version: u64,
     history: InstanceHistory,
-    silent: IndexMap<NodeName, (Instant, Duration)>,
+    unresponsive: IndexMap<NodeName, (Instant, Duration)>,
 }
 
 impl Candidates {
     /// Returns the candidates as an instance knows them that knows only itself.
     pub fn new(own: InstanceInfo) -> Candidates {
-        let (history, silent) = (InstanceHistory::default(), IndexMap::new());
-        let mut candidates = Candidates { own, ranked: Vec::new(), version: 0, history, silent };
+        let (history, unresponsive) = (InstanceHistory::default(), IndexMap::new());
+        let mut candidates =
+            Candidates { own, ranked: Vec::new(), version: 0, history, unresponsive };
         candidates.set([]);
         candidates
     }
@@ -87,7 +88,7 @@
     }
 
     /// Takes what another instance tells of the list; returns whether it has changed.
-    pub fn take(&mut self, news: InstanceListUpdate) -> bool {
+    pub fn apply_update(&mut self, news: InstanceListUpdate) -> bool {
         let before = self.version;
         match news {
             InstanceListUpdate::Whole(all) => self.set(all),
@@ -97,7 +98,7 @@
     }
 
     /// Returns what has changed in the list since it had `version`: all of it where that is too long ago.
-    pub fn since(&self, version: u64) -> InstanceListUpdate {
+    pub fn update_since(&self, version: u64) -> InstanceListUpdate {
         match self.history.since(version) {
             Some(change) if change.len() < self.ranked.len() => InstanceListUpdate::Changes(change),
             _ => InstanceListUpdate::Whole(self.ranked.clone()),
@@ -130,7 +131,7 @@
         gone.retain(|node| *node != self.own.node);
         put.retain(|instance| instance.node != self.own.node || *instance == self.own);
         if put.len() + gone.len() > RANKED_ANEW {
-            self.rank_anew(&put, &gone);
+            self.rerank(&put, &gone);
         } else {
             gone.iter().for_each(|node| self.remove(node));
             put.iter().for_each(|instance| self.insert(instance));
@@ -147,7 +148,7 @@
         self.ranked.insert(at, instance.clone());
     }
 
-    fn rank_anew(&mut self, put: &[InstanceInfo], gone: &[NodeName]) {
+    fn rerank(&mut self, put: &[InstanceInfo], gone: &[NodeName]) {
         let changed: HashSet<&NodeName> = gone.iter().chain(put.iter().map(|i| &i.node)).collect();
         self.ranked.retain(|known| !changed.contains(&known.node));
         self.ranked.extend(put.iter().cloned());
@@ -167,33 +168,33 @@
     }
 
     /// Returns the first instance that is not passed over; `None` for the own one.
-    pub fn first(&self, now: Instant) -> Option<&InstanceInfo> {
+    pub fn aggregator(&self, now: Instant) -> Option<&InstanceInfo> {
         self.ranked
             .iter()
-            .find(|i| i.node == self.own.node || !self.is_passed_over(now, i))
+            .find(|i| i.node == self.own.node || !self.is_skipped(now, i))
             .filter(|i| i.node != self.own.node)
     }
 
     /// Returns the other instances that are not passed over.
-    pub fn heard(&self, now: Instant) -> impl Iterator<Item = &InstanceInfo> {
+    pub fn responsive(&self, now: Instant) -> impl Iterator<Item = &InstanceInfo> {
         let others = self.ranked.iter().filter(|i| i.node != self.own.node);
-        others.filter(move |i| !self.is_passed_over(now, i))
+        others.filter(move |i| !self.is_skipped(now, i))
     }
 
-    fn is_passed_over(&self, now: Instant, instance: &InstanceInfo) -> bool {
-        self.silent.get(&instance.node).is_some_and(|(until, _)| now < *until)
+    fn is_skipped(&self, now: Instant, instance: &InstanceInfo) -> bool {
+        self.unresponsive.get(&instance.node).is_some_and(|(until, _)| now < *until)
     }
 
     /// Notes that an instance did not answer.
-    pub fn note_silent(&mut self, now: Instant, node: &NodeName) {
-        let pause = self.silent.get(node).map_or(Duration::ZERO, |(_, pause)| *pause);
+    pub fn note_unresponsive(&mut self, now: Instant, node: &NodeName) {
+        let pause = self.unresponsive.get(node).map_or(Duration::ZERO, |(_, pause)| *pause);
         let pause = (pause * 2).clamp(PAUSE_FIRST, PAUSE_MAX);
-        self.silent.insert(node.clone(), (now + pause, pause));
+        self.unresponsive.insert(node.clone(), (now + pause, pause));
     }
 
     /// Notes that an instance answered.
-    pub fn note_heard(&mut self, node: &NodeName) {
-        self.silent.shift_remove(node);
+    pub fn note_responsive(&mut self, node: &NodeName) {
+        self.unresponsive.shift_remove(node);
     }
 
     /// Returns all instances, the own one included.
--- a/src/routing/fallback_reader.rs
+++ b/src/routing/fallback_reader.rs
@@ -23,8 +23,8 @@
 impl FallbackReader {
     /// Returns the instance to ask now; `None` where no other answers.
     pub fn pick(&self, now: Instant, candidates: &Candidates) -> Option<InstanceInfo> {
-        let answering = candidates.heard(now).count();
-        candidates.heard(now).nth(self.skip.checked_rem(answering)?).cloned()
+        let answering = candidates.responsive(now).count();
+        candidates.responsive(now).nth(self.skip.checked_rem(answering)?).cloned()
     }
 
     /// Notes that the one that was asked did not answer or could not read either: another one is asked from now on.
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -307,9 +307,9 @@
         let (mut told, mut asks) = (fleet(count), fleet(count));
         assert_eq!(told.version(), asks.version());
         told.add(instance(count));
-        let news = told.since(asks.version());
+        let news = told.update_since(asks.version());
         let bytes = encode(&news).len();
-        assert!(asks.take(news));
+        assert!(asks.apply_update(news));
         assert_eq!((asks.version(), asks.all()), (told.version(), told.all()));
         bytes
     };
@@ -339,11 +339,11 @@
             }
         }
         if rng.bool() {
-            asks.take(told.since(asks.version()));
+            asks.apply_update(told.update_since(asks.version()));
             assert_eq!((asks.version(), asks.all()), (told.version(), told.all()));
         }
     }
-    let unknown = told.since(1);
+    let unknown = told.update_since(1);
     assert!(matches!(unknown, InstanceListUpdate::Whole(all) if all.len() == told.all().len()));
 }
 
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -189,7 +189,7 @@
     /// Exchanges as the instances do: with the first that answers, two at the most.
     fn exchange(&mut self, number: usize, mut now: Instant) -> Instant {
         for _ in 0..2 {
-            let first = self.all[number].candidates.first(now).cloned();
+            let first = self.all[number].candidates.aggregator(now).cloned();
             let Some(first) = first else { break };
             let other = self.infos.iter().position(|i| i.node == first.node).expect("known");
             if !self.is_cut(number, now) && !self.is_cut(other, now) {
@@ -197,12 +197,12 @@
                     self.queue.push(Reverse((now, Next::Woken(other))));
                 }
                 self.all[other].heard = Some(now);
-                self.all[number].candidates.note_heard(&first.node);
+                self.all[number].candidates.note_responsive(&first.node);
                 self.tell(other, number);
                 break;
             }
             now += UNANSWERED;
-            self.all[number].candidates.note_silent(now, &first.node);
+            self.all[number].candidates.note_unresponsive(now, &first.node);
         }
         now + PERIOD.mul_f64(0.9 + 0.2 * self.draw())
     }
@@ -213,7 +213,7 @@
         let instance = &mut self.all[number];
         let heard = instance.heard.is_some_and(|at| now - at < READS_FOR_OTHERS);
         let role = RosterRole {
-            reader: heard || instance.candidates.first(now).is_none(),
+            reader: heard || instance.candidates.aggregator(now).is_none(),
             position: instance.candidates.position(),
         };
         match instance.watch.next(now, &role, instance.as_of) {
