--- a/src/gateway/knowledge.rs
+++ b/src/gateway/knowledge.rs
@@ -242,7 +242,7 @@
         if !is_newer || !roster.note_era(now, era) {
             return RosterChange::default();
         }
-        let change = roster.observe(now, as_of, list);
+        let change = roster.apply_list(now, as_of, list);
         // Others are told what is believed, which is more than the list after an outage of the store.
         lock(&self.lists).push(roster.servers().map(|server| (**server).clone()).collect());
         drop(roster);
@@ -265,9 +265,9 @@
     }
 
     /// Notes that the entries of servers have been overwritten by something that is not understood.
-    pub fn overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
+    pub fn mark_overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
         let mut roster = lock(&self.roster);
-        keys.for_each(|key| roster.overwritten(key));
+        keys.for_each(|key| roster.mark_overwritten(key));
     }
 
     /// Runs `f` with the servers in force.
@@ -276,18 +276,18 @@
     }
 
     /// Has the servers of a zone count as cold for what `lasts` says of their service.
-    pub fn suspect_cold(
+    pub fn assume_cold(
         &self,
         now: Instant,
         zone: &ZoneName,
         lasts: impl Fn(&ServiceName) -> Option<Duration>,
     ) {
-        lock(&self.roster).suspect_cold(now, zone, lasts);
+        lock(&self.roster).assume_cold(now, zone, lasts);
     }
 
     /// Forgets a server whose address answered as another one.
     pub fn forget_server(&self, id: &Incarnation) {
-        lock(&self.roster).forget(id);
+        lock(&self.roster).remove(id);
     }
 
     /// Returns how old the servers' list is.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -264,7 +264,7 @@
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
             let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
-            self.knowledge.suspect_cold(now, zone, lasts);
+            self.knowledge.assume_cold(now, zone, lasts);
             self.servers_changed();
         }
         zones != former || rollouts_changed
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -93,11 +93,11 @@
     let skipped: Vec<SkippedEntry> = list.skipped().cloned().collect();
     let (servers, era) = (list.servers(), list.version.era);
     drop(kept);
-    if gateway.knowledge.with_servers(|roster| roster.lacks_version_of(&servers)) {
+    if gateway.knowledge.with_servers(|roster| roster.is_missing_version_of(&servers)) {
         look_for_orders(gateway);
     }
     lock(&gateway.skipped_log).tell(&skipped);
-    gateway.knowledge.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
+    gateway.knowledge.mark_overwritten(skipped.iter().map(|entry| entry.key.as_str()));
     take(gateway, servers, as_of, era, "store");
     if let Some(list) = lock(&gateway.list_read).as_mut() {
         list.set_told(gateway.knowledge.list_version());
@@ -158,7 +158,7 @@
         ("server_added", &change.added),
         ("server_leaving", &change.leaving),
         ("server_changed", &change.changed),
-        ("server_gone", &change.gone),
+        ("server_gone", &change.removed),
         ("server_cold", &change.cold),
     ] {
         if ids.len() > LOGGED_EACH {
--- a/src/routing/roster.rs
+++ b/src/routing/roster.rs
@@ -82,7 +82,7 @@
     /// Until when the store may not know what was known before it came back from a copy.
     settled_at: Option<Instant>,
     /// Servers that are gone, and when that became known.
-    gone: IndexMap<Incarnation, Instant>,
+    removed: IndexMap<Incarnation, Instant>,
     /// Until when servers are cold.
     cold: IndexMap<Incarnation, Instant>,
     /// Whether a server of the list in force has been forgotten, or counts as leaving, against what the list says.
@@ -99,7 +99,7 @@
     /// Servers that say something else of themselves: another address, that they no longer leave.
     pub changed: Vec<Incarnation>,
     /// Servers that are gone.
-    pub gone: Vec<Incarnation>,
+    pub removed: Vec<Incarnation>,
     /// Servers that say something new of how long they are cold.
     pub cold: Vec<Incarnation>,
 }
@@ -123,7 +123,7 @@
     }
 
     /// Takes a whole list that was current at `as_of`; an older one than is in force is ignored.
-    pub fn observe(
+    pub fn apply_list(
         &mut self,
         now: Instant,
         as_of: Instant,
@@ -135,7 +135,7 @@
         self.differs = false;
         let unsettled = self.settled_at.is_some_and(|at| now < at);
         let keeps = unsettled || self.keep_missing_until.is_some_and(|until| now < until);
-        self.gone.retain(|_, at| now.saturating_duration_since(*at) < GONE_KEPT);
+        self.removed.retain(|_, at| now.saturating_duration_since(*at) < GONE_KEPT);
         let mut change = RosterChange::default();
         let mut servers: IndexMap<Incarnation, Arc<BackendServer>> = IndexMap::new();
         let starts: HashMap<&ServerId, &Arc<BackendServer>> =
@@ -153,7 +153,7 @@
                     servers.insert(leaving.id.clone(), Arc::clone(leaving));
                     continue;
                 }
-                if self.gone.contains_key(&server.id) {
+                if self.removed.contains_key(&server.id) {
                     continue;
                 }
             }
@@ -190,8 +190,8 @@
             if keeps && !server.leaving && !replaced {
                 servers.insert(id.clone(), Arc::clone(server));
             } else {
-                change.gone.push(id.clone());
-                self.gone.insert(id.clone(), now);
+                change.removed.push(id.clone());
+                self.removed.insert(id.clone(), now);
             }
         }
         self.cold.retain(|id, until| servers.contains_key(id) && now < *until);
@@ -225,7 +225,7 @@
 
     /// Notes that the entry of a server has been overwritten by something that is not understood: the server is
     /// missing from the next list, and is not kept.
-    pub fn overwritten(&mut self, key: &str) {
+    pub fn mark_overwritten(&mut self, key: &str) {
         let known = self.servers.values_mut().find(|known| known.id.server.as_str() == key);
         if let Some(server) = known {
             Arc::make_mut(server).leaving = true;
@@ -234,13 +234,13 @@
     }
 
     /// Forgets one server until a list shows another entry with its address or id again.
-    pub fn forget(&mut self, id: &Incarnation) {
+    pub fn remove(&mut self, id: &Incarnation) {
         self.servers.shift_remove(id);
         self.differs = true;
     }
 
     /// Returns whether a list has servers of a version that no server of their service in force has.
-    pub fn lacks_version_of(&self, list: &[BackendServer]) -> bool {
+    pub fn is_missing_version_of(&self, list: &[BackendServer]) -> bool {
         let known: HashSet<_> = self.servers().map(|s| (&s.service, &s.version)).collect();
         list.iter().any(|server| !known.contains(&(&server.service, &server.version)))
     }
@@ -251,7 +251,7 @@
     }
 
     /// Has the servers of a zone count as cold: its return may have left them so, and their entries do not say it yet.
-    pub fn suspect_cold(
+    pub fn assume_cold(
         &mut self,
         now: Instant,
         zone: &ZoneName,
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -148,22 +148,22 @@
     let era = StoreEra::default();
     let mut roster = Roster::default();
     assert!(!roster.confirm(now, now, StoreEra(1)), "the era of a store that has come back");
-    roster.observe(now, now, servers(3));
+    roster.apply_list(now, now, servers(3));
     assert!(roster.confirm(at(100), at(100), era));
     let forgotten = servers(1).remove(0).id;
-    roster.forget(&forgotten);
+    roster.remove(&forgotten);
     assert!(!roster.confirm(at(200), at(200), era), "one is missing that the list has");
-    assert_eq!(roster.observe(at(200), at(200), servers(3)).added, [forgotten]);
+    assert_eq!(roster.apply_list(at(200), at(200), servers(3)).added, [forgotten]);
     assert!(roster.confirm(at(300), at(300), era));
-    roster.overwritten("s1");
+    roster.mark_overwritten("s1");
     assert!(!roster.confirm(at(400), at(400), era), "one counts as leaving");
-    roster.observe(at(400), at(400), servers(3));
+    roster.apply_list(at(400), at(400), servers(3));
     // Word that is older than what is known changes nothing.
     assert!(roster.confirm(at(500), at(350), era));
     assert_eq!(roster.as_of(), Some(at(400)));
     // After an outage what is missing from the first lists is still believed.
     assert!(roster.confirm(at(9000), at(9000), era));
-    assert_eq!(roster.observe(at(9100), at(9100), servers(2)), RosterChange::default());
+    assert_eq!(roster.apply_list(at(9100), at(9100), servers(2)), RosterChange::default());
 }
 
 // The counts of all instances were summed up for each that asked, so that the work of the one that is asked grew with the
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -206,18 +206,18 @@
     let now = Instant::now();
     let mut roster = Roster::default();
     let listed = |roster: &Roster| roster.servers().map(|s| s.id.to_string()).collect::<Vec<_>>();
-    roster.observe(now, now, [server("a@1000", 1)]);
-    let change = roster.observe(now + SECOND, now + SECOND, [server("a@2000", 2)]);
-    assert_eq!((change.added.len(), change.gone.len()), (1, 1));
-    let change = roster.observe(now + SECOND * 2, now + SECOND * 2, [server("a@1000", 1)]);
+    roster.apply_list(now, now, [server("a@1000", 1)]);
+    let change = roster.apply_list(now + SECOND, now + SECOND, [server("a@2000", 2)]);
+    assert_eq!((change.added.len(), change.removed.len()), (1, 1));
+    let change = roster.apply_list(now + SECOND * 2, now + SECOND * 2, [server("a@1000", 1)]);
     assert_eq!(listed(&roster), ["a@2000"]);
-    assert!(change.added.is_empty() && change.gone.is_empty());
+    assert!(change.added.is_empty() && change.removed.is_empty());
     // The clock of a server may be anywhere.
     for born in ["a@3", "b@0", "b@18446744073709551615"] {
-        roster.observe(now + SECOND * 3, now + SECOND * 3, [server(born, 3)]);
+        roster.apply_list(now + SECOND * 3, now + SECOND * 3, [server(born, 3)]);
     }
     let after = now + SECOND * 20;
-    roster.observe(after, after, [server("b@1", 3)]);
+    roster.apply_list(after, after, [server("b@1", 3)]);
     assert!(!listed(&roster).is_empty());
 }
 
@@ -225,13 +225,13 @@
 fn a_server_whose_entry_is_overwritten_is_not_kept_after_an_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
     let later = now + SECOND * 5;
-    roster.overwritten("b");
-    let change = roster.observe(later, later, [server("a", 1)]);
+    roster.mark_overwritten("b");
+    let change = roster.apply_list(later, later, [server("a", 1)]);
     let left: Vec<_> = roster.servers().map(|s| s.id.to_string()).collect();
     assert_eq!(left, ["a", "c"], "what is only missing may come back");
-    assert_eq!(change.gone, [server("b", 2).id]);
+    assert_eq!(change.removed, [server("b", 2).id]);
 }
 
 #[test]
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -54,10 +54,10 @@
 fn an_entry_that_is_missing_is_gone_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
-    let change = roster.observe(now + SECOND, now + SECOND, [server("a", 1)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
+    let change = roster.apply_list(now + SECOND, now + SECOND, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
-    assert_eq!(change.gone, ["b".parse::<Incarnation>().expect("an id")]);
+    assert_eq!(change.removed, ["b".parse::<Incarnation>().expect("an id")]);
 }
 
 /// hunt-b2a0-11: an instance that alone was turned away kept an entry that had truly gone.
@@ -65,13 +65,13 @@
 fn an_entry_missing_after_others_kept_the_list_fresh_is_gone_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
     for passed in [2, 4, 6] {
         let at = now + SECOND * passed;
-        roster.observe(at, at - SECOND, [server("a", 1), server("b", 2)]);
+        roster.apply_list(at, at - SECOND, [server("a", 1), server("b", 2)]);
     }
     let at = now + SECOND * 7;
-    roster.observe(at, at, [server("a", 1)]);
+    roster.apply_list(at, at, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
 }
 
@@ -79,15 +79,15 @@
 fn entries_that_lapsed_in_an_outage_are_kept_until_they_must_be_back() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
     let back = now + SECOND * 6;
-    roster.observe(back, back, [server("a", 1)]);
+    roster.apply_list(back, back, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a", "b", "c"]);
     let later = back + SECOND;
-    roster.observe(later, later, [server("a", 1), server("b", 2)]);
+    roster.apply_list(later, later, [server("a", 1), server("b", 2)]);
     assert_eq!(ids(&roster), ["a", "b", "c"]);
     let last = back + SECOND * 3;
-    roster.observe(last, last, [server("a", 1), server("b", 2)]);
+    roster.apply_list(last, last, [server("a", 1), server("b", 2)]);
     assert_eq!(ids(&roster), ["a", "b"]);
 }
 
@@ -95,9 +95,9 @@
 fn a_missing_entry_whose_address_another_has_is_gone_even_after_an_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
     let back = now + SECOND * 6;
-    roster.observe(back, back, [server("a", 1), server("new", 2)]);
+    roster.apply_list(back, back, [server("a", 1), server("new", 2)]);
     assert_eq!(ids(&roster), ["a", "new"]);
 }
 
@@ -105,8 +105,8 @@
 fn an_older_list_changes_nothing() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1)]);
-    let change = roster.observe(now + SECOND, now - SECOND, [server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1)]);
+    let change = roster.apply_list(now + SECOND, now - SECOND, [server("b", 2)]);
     assert_eq!(ids(&roster), ["a"]);
     assert!(change.added.is_empty());
 }
