--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -79,12 +79,13 @@
         let mut listed: IndexMap<NodeName, InstanceInfo> =
             instances.into_iter().map(|i| (i.node.clone(), i)).collect();
         listed.insert(own, self.own.clone());
-        let gone = |i: &&InstanceInfo| !listed.contains_key(&i.node);
-        let gone: Vec<NodeName> = self.ranked.iter().filter(gone).map(|i| i.node.clone()).collect();
+        let removed = |i: &&InstanceInfo| !listed.contains_key(&i.node);
+        let removed: Vec<NodeName> =
+            self.ranked.iter().filter(removed).map(|i| i.node.clone()).collect();
         let mut put: Vec<InstanceInfo> = listed.into_values().collect();
         let known = self.by_node();
         put.retain(|i| known.get(&i.node) != Some(&i));
-        self.change(put, gone);
+        self.change(put, removed);
     }
 
     /// Takes what another instance tells of the list; returns whether it has changed.
@@ -92,7 +93,9 @@
         let before = self.version;
         match news {
             InstanceListUpdate::Whole(all) => self.set(all),
-            InstanceListUpdate::Changes(InstanceChange { put, gone }) => self.change(put, gone),
+            InstanceListUpdate::Changes(InstanceChange { put, removed }) => {
+                self.change(put, removed)
+            }
         }
         self.version != before
     }
@@ -126,18 +129,18 @@
     }
 
     /// Changes the list.
-    fn change(&mut self, mut put: Vec<InstanceInfo>, mut gone: Vec<NodeName>) {
+    fn change(&mut self, mut put: Vec<InstanceInfo>, mut removed: Vec<NodeName>) {
         let before = self.version;
-        gone.retain(|node| *node != self.own.node);
+        removed.retain(|node| *node != self.own.node);
         put.retain(|instance| instance.node != self.own.node || *instance == self.own);
-        if put.len() + gone.len() > RANKED_ANEW {
-            self.rerank(&put, &gone);
+        if put.len() + removed.len() > RANKED_ANEW {
+            self.rerank(&put, &removed);
         } else {
-            gone.iter().for_each(|node| self.remove(node));
+            removed.iter().for_each(|node| self.remove(node));
             put.iter().for_each(|instance| self.insert(instance));
         }
         if self.version != before {
-            self.history.push(before, InstanceChange { put, gone });
+            self.history.push(before, InstanceChange { put, removed });
         }
     }
 
@@ -148,8 +151,9 @@
         self.ranked.insert(at, instance.clone());
     }
 
-    fn rerank(&mut self, put: &[InstanceInfo], gone: &[NodeName]) {
-        let changed: HashSet<&NodeName> = gone.iter().chain(put.iter().map(|i| &i.node)).collect();
+    fn rerank(&mut self, put: &[InstanceInfo], removed: &[NodeName]) {
+        let changed: HashSet<&NodeName> =
+            removed.iter().chain(put.iter().map(|i| &i.node)).collect();
         self.ranked.retain(|known| !changed.contains(&known.node));
         self.ranked.extend(put.iter().cloned());
         self.rank();
--- a/src/routing/incarnation.rs
+++ b/src/routing/incarnation.rs
@@ -10,7 +10,7 @@
 /// the clock may be ahead of this instance's or behind it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
 /// A backend server from one start to its end. What is known of one incarnation says nothing of the next, which
 /// may have the same id: it has none of the requests, and keeps none of the prompts.
@@ -19,35 +19,38 @@
     /// Id of the server.
     pub server: ServerId,
     /// When it started, if it says so.
-    pub born: Option<Born>,
+    #[serde(rename = "born")]
+    pub started_at: Option<StartTime>,
 }
 
 impl Incarnation {
     /// Returns the tag that stands for the server in rendezvous hashing. A server that starts again has its former
     /// place: its prompts come back to it, and those of the others stay where they are.
-    pub fn place(&self) -> Tag {
+    pub fn stable_tag(&self) -> Tag {
         Tag::of(self.server.as_str())
     }
 
     /// Returns the tag that stands for the incarnation in messages between instances.
     pub fn tag(&self) -> Tag {
-        match self.born {
-            None => self.place(),
+        match self.started_at {
+            None => self.stable_tag(),
             Some(_) => Tag::of(&self.to_string()),
         }
     }
 
     /// Returns whether `other` is of the same server and certainly started later.
     pub fn is_before(&self, other: &Incarnation) -> bool {
-        self.server == other.server && self.born.is_some() && self.born < other.born
+        self.server == other.server
+            && self.started_at.is_some()
+            && self.started_at < other.started_at
     }
 }
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
+        match self.started_at {
             None => self.server.fmt(f),
-            Some(Born(at)) => write!(f, "{}@{at}", self.server),
+            Some(StartTime(at)) => write!(f, "{}@{at}", self.server),
         }
     }
 }
@@ -57,9 +60,10 @@
 
     /// Understands an id, or an id with `@` and the time of its start behind it.
     fn from_str(text: &str) -> Result<Incarnation, IdError> {
-        let born = |at: &str| at.parse().ok().map(Born);
-        let parts = text.rsplit_once('@').and_then(|(id, at)| Some((id, born(at)?)));
-        let (id, born) = parts.map_or((text, None), |(id, born)| (id, Some(born)));
-        Ok(Incarnation { server: id.parse()?, born })
+        let started_at = |at: &str| at.parse().ok().map(StartTime);
+        let parts = text.rsplit_once('@').and_then(|(id, at)| Some((id, started_at(at)?)));
+        let (id, started_at) =
+            parts.map_or((text, None), |(id, started_at)| (id, Some(started_at)));
+        Ok(Incarnation { server: id.parse()?, started_at })
     }
 }
--- a/src/routing/instance_list.rs
+++ b/src/routing/instance_list.rs
@@ -21,7 +21,7 @@
     /// Instances that are new, or known by another address.
     pub put: Vec<InstanceInfo>,
     /// Instances that are gone.
-    pub gone: Vec<NodeName>,
+    pub removed: Vec<NodeName>,
 }
 
 /// What an instance is told of the list.
@@ -42,7 +42,7 @@
 impl InstanceChange {
     /// Returns how many instances it tells of.
     pub fn len(&self) -> usize {
-        self.put.len() + self.gone.len()
+        self.put.len() + self.removed.len()
     }
 
     /// Returns whether it changes nothing.
@@ -65,14 +65,14 @@
         let first = self.changes.iter().rposition(|(before, _)| *before == version)?;
         let mut merged: IndexMap<&NodeName, Option<&InstanceInfo>> = IndexMap::new();
         for (_, change) in self.changes.iter().skip(first) {
-            merged.extend(change.gone.iter().map(|node| (node, None)));
+            merged.extend(change.removed.iter().map(|node| (node, None)));
             merged.extend(change.put.iter().map(|put| (&put.node, Some(put))));
         }
         let mut change = InstanceChange::default();
         for (node, put) in merged {
             match put {
                 Some(put) => change.put.push(put.clone()),
-                None => change.gone.push(node.clone()),
+                None => change.removed.push(node.clone()),
             }
         }
         Some(change)
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -48,7 +48,7 @@
 pub use fleet_budget::{BudgetSum, FleetBudget, FleetSpentReport, RetrySpending, RunId};
 pub use health::Health;
 pub use home_regions::HomeRegions;
-pub use incarnation::{Born, Incarnation};
+pub use incarnation::{Incarnation, StartTime};
 pub use instance_list::{InstanceChange, InstanceHistory, InstanceListUpdate};
 pub use intent::{CallerLimits, Intent, IntentInForce, ServiceSpec};
 pub use intent_change::{IntentChange, IntentChangeError, PackedChange};
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -50,7 +50,7 @@
         let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, usual)).collect();
         let bound = self.bounds(self.mean_load(now, wanted.service, &loads)).spill;
         let rank = if self.has_few(wanted.service) {
-            rendezvous::ranked(key, pool.iter().map(|t| (t.server.place(), 1.0)))
+            rendezvous::ranked(key, pool.iter().map(|t| (t.server.stable_tag(), 1.0)))
         } else {
             // They come in their rank.
             (0..pool.len()).collect()
@@ -61,7 +61,7 @@
         let aim = aim(bound).max(scarce_aim);
         let home_crowded = is_scarce || rank.first().is_some_and(|&i| pool[i].load.is_crowded(now));
         let room = |&i: &usize| {
-            let (load, turn) = (&pool[i].load, self.turn(pool[i].server.place()));
+            let (load, turn) = (&pool[i].load, self.turn(pool[i].server.stable_tag()));
             let crowded = home_crowded || load.is_crowded(now);
             let allotted =
                 if crowded { load.allotted(now, aim, self.position, turn) } else { None };
@@ -140,7 +140,7 @@
         if !self.has_few(&picked.service) {
             return possible.next().map(|t| Arc::clone(&t.server));
         }
-        let score = |t: &Tracked| rendezvous::score(key, t.server.place(), 1.0);
+        let score = |t: &Tracked| rendezvous::score(key, t.server.stable_tag(), 1.0);
         let best = possible.max_by(|a, b| score(a).total_cmp(&score(b)));
         best.map(|t| Arc::clone(&t.server))
     }
--- a/src/routing/picker/members.rs
+++ b/src/routing/picker/members.rs
@@ -48,7 +48,7 @@
 
 impl Ring {
     fn push(&mut self, server: &BackendServer, at: usize) {
-        self.0.push((xxh3_64(&server.place().0.to_le_bytes()), at));
+        self.0.push((xxh3_64(&server.stable_tag().0.to_le_bytes()), at));
     }
 
     /// Returns the servers that so many probes find, the closest first.
--- a/src/routing/picker/places.rs
+++ b/src/routing/picker/places.rs
@@ -15,7 +15,7 @@
     /// saw the same free place, all would take it.
     pub(super) fn has_own_place(&self, now: Instant, tracked: &Tracked) -> bool {
         let Some(slots) = tracked.server.slots else { return true };
-        let turn = self.turn(tracked.server.place());
+        let turn = self.turn(tracked.server.stable_tag());
         let allotted = tracked.load.allotted(now, f64::from(slots), self.position, turn);
         allotted.is_none_or(|more| more > 0.0)
     }
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -123,7 +123,7 @@
 fn used_of<'s>(servers: impl Iterator<Item = &'s BackendServer>, most: usize) -> HashSet<Tag> {
     let mut zones: IndexMap<_, Vec<(Tag, Tag)>> = IndexMap::new();
     for server in servers {
-        zones.entry(&server.zone).or_default().push((server.place(), server.tag()));
+        zones.entry(&server.zone).or_default().push((server.stable_tag(), server.tag()));
     }
     zones.sort_unstable_keys();
     let mut turns: Vec<(usize, usize, Tag)> = Vec::new();
--- a/src/routing/roster.rs
+++ b/src/routing/roster.rs
@@ -64,8 +64,8 @@
     }
 
     /// Returns the tag that stands for the server in rendezvous hashing, whenever it started.
-    pub fn place(&self) -> Tag {
-        self.id.place()
+    pub fn stable_tag(&self) -> Tag {
+        self.id.stable_tag()
     }
 }
 
--- a/src/routing/server_list.rs
+++ b/src/routing/server_list.rs
@@ -36,7 +36,7 @@
         /// Entries that are new or changed.
         put: Vec<BackendServer>,
         /// Entries that are gone.
-        gone: Vec<Incarnation>,
+        removed: Vec<Incarnation>,
     },
     /// The whole list.
     Whole(Arc<PackedList>),
@@ -135,8 +135,8 @@
         let after: HashSet<&Incarnation> = list.iter().map(|s| &s.id).collect();
         let changed = |s: &&BackendServer| before.get(&s.id) != Some(s);
         let put = list.iter().filter(changed).cloned().collect();
-        let gone = old.iter().map(|s| &s.id).filter(|id| !after.contains(id)).cloned().collect();
-        ServerListUpdate::Changes { put, gone }
+        let removed = old.iter().map(|s| &s.id).filter(|id| !after.contains(id)).cloned().collect();
+        ServerListUpdate::Changes { put, removed }
     }
 }
 
@@ -150,9 +150,9 @@
         Ok(match self {
             ServerListUpdate::Same => old.to_vec(),
             ServerListUpdate::Whole(list) => list.unpack()?,
-            ServerListUpdate::Changes { put, gone } => {
+            ServerListUpdate::Changes { put, removed } => {
                 let stays = |s: &&BackendServer| {
-                    !gone.contains(&s.id) && !put.iter().any(|changed| changed.id == s.id)
+                    !removed.contains(&s.id) && !put.iter().any(|changed| changed.id == s.id)
                 };
                 let mut list: Vec<BackendServer> = old.iter().filter(stays).cloned().collect();
                 list.extend(put);
