--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -14,7 +14,7 @@
         store::{StoreFault, StoreRow, StoreRows},
     },
     routing::{
-        Confirmed, OrdersSnapshot, PackedChange, StoreVersion, WatchStep,
+        Confirmation, OrdersSnapshot, PackedChange, StoreVersion, WatchStep,
         startup::STARTUP_POLL_INTERVAL,
     },
 };
@@ -37,12 +37,12 @@
             WatchStep::Pause(time) => thread::sleep(time),
             WatchStep::Wait(longest) => knowledge.wait_told(longest),
             WatchStep::Read => read_step(gateway, || read(gateway)),
-            WatchStep::Follow { after, wait } => {
+            WatchStep::PollChanges { after, wait } => {
                 read_step(gateway, || follow(gateway, after, wait));
             }
-            WatchStep::Ask => {
+            WatchStep::AskPeers => {
                 peers::catch_up(gateway);
-                knowledge.with_watch(|watch| watch.asked(gateway.clock.now(), &role));
+                knowledge.with_watch(|watch| watch.peers_asked(gateway.clock.now(), &role));
             }
         }
     }
@@ -57,7 +57,7 @@
         Err(StoreFault::HistoryGone) => {
             // Whatever was missed is read whole.
             log::info!("event=history_gone table={INTENT_TABLE}");
-            gateway.knowledge.with_watch(|watch| watch.history_gone());
+            gateway.knowledge.with_watch(|watch| watch.history_expired());
         }
         Err(fault) => {
             let took = gateway.clock.now().saturating_duration_since(began);
@@ -143,7 +143,7 @@
 fn take(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
     let before = gateway.knowledge.version();
     let orders_changed = gateway.refresh_orders();
-    let confirmed = Confirmed { at, store: rows.version };
+    let confirmed = Confirmation { at, store: rows.version };
     let is_intent = |row: &&StoreRow| row.key == INTENT_KEY && !row.removed;
     let is_newer = match rows.rows.iter().rev().find(is_intent) {
         None => {
@@ -159,7 +159,7 @@
 }
 
 /// Decodes an intent that was the newest; returns whether it is newer than the one in force, which it then replaces.
-fn take_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmed) -> bool {
+fn take_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmation) -> bool {
     let began = gateway.clock.now();
     match intent::decode(&row.value) {
         Ok(decoded) => {
@@ -171,7 +171,7 @@
         }
         Err(fault) => {
             log::error!("event=intent_skipped source=store reason={fault}");
-            gateway.knowledge.with_watch(|watch| watch.seen(confirmed.store));
+            gateway.knowledge.with_watch(|watch| watch.note_store_version(confirmed.store));
             false
         }
     }
--- a/src/gateway/knowledge.rs
+++ b/src/gateway/knowledge.rs
@@ -12,7 +12,7 @@
 use crate::{
     names::{ServiceName, ZoneName},
     routing::{
-        BackendServer, Confirmed, Incarnation, Intent, IntentChange, IntentChangeError,
+        BackendServer, Confirmation, Incarnation, Intent, IntentChange, IntentChangeError,
         IntentHistory, IntentInForce, IntentWatch, ListHistory, ListVersion, OperatorOrders,
         OrderChange, OrdersSnapshot, PackedChange, Roster, ServerListUpdate, StoreEra,
         StoreVersion, roster::RosterChange,
@@ -108,7 +108,7 @@
     }
 
     /// Takes an intent that was the newest in the store; returns whether it is now in force.
-    pub fn offer_intent(&self, intent: Intent, confirmed: Confirmed) -> bool {
+    pub fn offer_intent(&self, intent: Intent, confirmed: Confirmation) -> bool {
         let version = intent.version;
         let old = self.intent();
         let new = self.put_in_force(intent);
@@ -160,7 +160,7 @@
                 return None;
             }
             self.current.store(Some(Arc::clone(&intent)));
-            lock(&self.watch).in_force(intent.version);
+            lock(&self.watch).set_active(intent.version);
         }
         self.note_progress();
         Some(intent)
@@ -168,7 +168,7 @@
 
     /// Notes that `version` was the newest, which says something of an intent in force that is no older: one that is
     /// behind would count as sure, and deny what the newer one allows.
-    pub fn confirm(&self, version: u64, confirmed: Confirmed) {
+    pub fn confirm(&self, version: u64, confirmed: Confirmation) {
         if version <= self.version() {
             lock(&self.watch).confirm(confirmed);
         }
@@ -176,7 +176,7 @@
 
     /// Notes that there is `version` of the intent.
     pub fn told_of(&self, now: Instant, version: u64) {
-        if lock(&self.watch).told(now, version) {
+        if lock(&self.watch).note_version(now, version) {
             self.watch_told.notify_all();
         }
     }
@@ -190,7 +190,7 @@
     pub fn wait_told(&self, longest: Duration) {
         let watch = lock(&self.watch);
         // Whatever ended the wait, the watch says what is next.
-        drop(self.watch_told.wait_timeout_while(watch, longest, |watch| !watch.is_behind()));
+        drop(self.watch_told.wait_timeout_while(watch, longest, |watch| !watch.is_outdated()));
     }
 
     /// Returns how long ago the intent in force was known to be the newest.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -338,7 +338,7 @@
     /// Returns whether a newer intent has been known to exist for longer than changes may take: new callers
     /// are better off with another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let behind = self.knowledge.with_watch(|watch| watch.behind_for(now));
+        let behind = self.knowledge.with_watch(|watch| watch.outdated_for(now));
         behind.is_some_and(|behind| behind > self.settings.bounds.intent_in_force)
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -32,7 +32,7 @@
         traffic::{Purpose, Traffic},
     },
     routing::{
-        Aggregate, Candidates, Confirmed, Crowded, FallbackReader, FleetBudget, FleetPosition,
+        Aggregate, Candidates, Confirmation, Crowded, FallbackReader, FleetBudget, FleetPosition,
         InFlightCount, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
         ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
@@ -442,7 +442,7 @@
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.knowledge.confirm(news.version, Confirmed { at, store });
+        gateway.knowledge.confirm(news.version, Confirmation { at, store });
     }
     gateway.knowledge.told_of(gateway.clock.now(), news.version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -37,20 +37,20 @@
         let as_of = gateway.knowledge.with_servers(|roster| roster.as_of());
         match watch.next(now, &role, as_of) {
             RosterStep::Wait(time) => gateway.reader_wanted.wait(time),
-            RosterStep::Ask => {
+            RosterStep::AskPeers => {
                 peers::catch_up(gateway);
-                watch.asked(gateway.clock.now());
+                watch.peers_asked(gateway.clock.now());
             }
             RosterStep::Read => match read_as(gateway, &role) {
                 Ok(()) => {
-                    watch.read(now);
+                    watch.store_read(now);
                     if std::mem::take(&mut lost) {
                         log::warn!("event=store_back");
                     }
                 }
                 Err(fault) => {
                     lost = true;
-                    watch.failed(gateway.clock.now());
+                    watch.store_failed(gateway.clock.now());
                     gateway.store_failed("servers", &fault);
                 }
             },
--- a/src/routing/intent_watch.rs
+++ b/src/routing/intent_watch.rs
@@ -41,7 +41,7 @@
 
 /// That the intent in force was the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Confirmed {
+pub struct Confirmation {
     /// At this moment.
     pub at: Instant,
     /// In the store of this version.
@@ -69,23 +69,23 @@
     /// Read the intent whole.
     Read,
     /// Ask the store what has changed since; wait so long for it.
-    Follow {
+    PollChanges {
         /// Version of the store up to which everything is known.
         after: StoreVersion,
         /// Longest wait for a change.
         wait: Duration,
     },
     /// Ask another instance.
-    Ask,
+    AskPeers,
 }
 
 /// A newer version than the one in force is known to exist.
 #[derive(Debug, Clone, Copy)]
-struct Behind {
+struct NewerVersion {
     newest: u64,
     since: Instant,
     /// Whether the log has been told.
-    told: bool,
+    is_reported: bool,
     /// Whether others were asked since the store was.
     asked: bool,
 }
@@ -95,9 +95,9 @@
 pub struct IntentWatch {
     bound: Duration,
     version: u64,
-    confirmed: Option<Confirmed>,
-    history_gone: bool,
-    behind: Option<Behind>,
+    confirmed: Option<Confirmation>,
+    history_expired: bool,
+    newer: Option<NewerVersion>,
     ask_next: bool,
     /// Pause after the next failed call.
     pause_failed: Duration,
@@ -113,8 +113,8 @@
             bound,
             version: 0,
             confirmed: None,
-            history_gone: false,
-            behind: None,
+            history_expired: false,
+            newer: None,
             ask_next: false,
             pause_failed: PAUSE_FAILED.0,
             not_before: None,
@@ -129,41 +129,41 @@
             return WatchStep::Pause(pause);
         }
         if self.ask_next {
-            return WatchStep::Ask;
+            return WatchStep::AskPeers;
         }
-        if let Some(behind) = self.behind.filter(|behind| !behind.asked) {
+        if let Some(newer) = self.newer.filter(|newer| !newer.asked) {
             let patience = HAND_ON.0.min(self.bound.mul_f64(HAND_ON.1));
-            let left = (behind.since + patience).saturating_duration_since(now);
-            return if left.is_zero() { WatchStep::Ask } else { WatchStep::Pause(left) };
+            let left = (newer.since + patience).saturating_duration_since(now);
+            return if left.is_zero() { WatchStep::AskPeers } else { WatchStep::Pause(left) };
         }
-        let (Some(age), false) = (self.age(now), self.history_gone) else {
+        let (Some(age), false) = (self.age(now), self.history_expired) else {
             return WatchStep::Read;
         };
         let own = self.read_age(role.position);
-        let due = self.behind.is_some() || role.reader || age >= own;
+        let due = self.newer.is_some() || role.reader || age >= own;
         if !due {
             return WatchStep::Wait(own.saturating_sub(age));
         }
         let after = self.confirmed.map_or(StoreVersion::default(), |confirmed| confirmed.store);
-        let waits = role.reader && self.behind.is_none();
+        let waits = role.reader && self.newer.is_none();
         let wait = if waits { self.wait(role).saturating_sub(age) } else { Duration::ZERO };
-        WatchStep::Follow { after, wait }
+        WatchStep::PollChanges { after, wait }
     }
 
     /// Notes the version in force.
-    pub fn in_force(&mut self, version: u64) {
+    pub fn set_active(&mut self, version: u64) {
         if version > self.version {
             self.unsettled_until = None;
         }
         self.version = self.version.max(version);
-        if self.behind.is_some_and(|behind| behind.newest <= self.version) {
-            self.behind = None;
+        if self.newer.is_some_and(|newer| newer.newest <= self.version) {
+            self.newer = None;
         }
     }
 
     /// Notes that the intent in force was the newest. What is told of an earlier era of the store says nothing of
     /// this one.
-    pub fn confirm(&mut self, confirmed: Confirmed) {
+    pub fn confirm(&mut self, confirmed: Confirmation) {
         let known = *self.confirmed.get_or_insert(confirmed);
         if confirmed.store.era < known.store.era {
             return;
@@ -171,10 +171,10 @@
         if confirmed.store.era > known.store.era {
             self.unsettled_until = Some(confirmed.at + SETTLING);
             // Whoever has the newer version in force tells of it again; if nobody does, it is lost.
-            self.behind = None;
+            self.newer = None;
         }
         let at = known.at.max(confirmed.at);
-        self.confirmed = Some(Confirmed { at, store: known.store.max(confirmed.store) });
+        self.confirmed = Some(Confirmation { at, store: known.store.max(confirmed.store) });
     }
 
     /// Returns whether nothing newer can have been lost with the store's return.
@@ -183,23 +183,23 @@
     }
 
     /// Notes that all of the store up to `store` was seen, whether it was understood or not.
-    pub fn seen(&mut self, store: StoreVersion) {
+    pub fn note_store_version(&mut self, store: StoreVersion) {
         if let Some(known) = &mut self.confirmed {
             known.store = known.store.max(store);
         }
     }
 
     /// Notes that there is `version`; returns whether that is news.
-    pub fn told(&mut self, now: Instant, version: u64) -> bool {
+    pub fn note_version(&mut self, now: Instant, version: u64) -> bool {
         if version <= self.version {
             return false;
         }
-        let since = self.behind.map_or(now, |behind| behind.since);
-        if self.behind.is_some_and(|behind| behind.newest >= version) {
+        let since = self.newer.map_or(now, |newer| newer.since);
+        if self.newer.is_some_and(|newer| newer.newest >= version) {
             return false;
         }
-        let asked = self.behind.is_some_and(|behind| behind.asked);
-        self.behind = Some(Behind { newest: version, since, told: false, asked });
+        let asked = self.newer.is_some_and(|newer| newer.asked);
+        self.newer = Some(NewerVersion { newest: version, since, is_reported: false, asked });
         // Whatever the store does, others can tell what is newer.
         self.not_before = self.not_before.map(|at| at.min(now + PAUSE_FAILED.0));
         true
@@ -207,7 +207,7 @@
 
     /// Notes that the store was read.
     pub fn store_read(&mut self, now: Instant) {
-        self.history_gone = false;
+        self.history_expired = false;
         self.pause_failed = PAUSE_FAILED.0;
         self.not_before = Some(now + PACE);
         self.ask_again();
@@ -220,31 +220,31 @@
     }
 
     /// Notes that the store no longer tells what has changed: it is read whole.
-    pub fn history_gone(&mut self) {
-        self.history_gone = true;
+    pub fn history_expired(&mut self) {
+        self.history_expired = true;
     }
 
     /// Notes that others were asked, whatever they said.
-    pub fn asked(&mut self, now: Instant, role: &WatchRole) {
+    pub fn peers_asked(&mut self, now: Instant, role: &WatchRole) {
         let pause = if self.ask_next { self.pause_failed } else { PAUSE_ASKED };
         self.not_before = Some(now + pause);
         if self.ask_next && !role.reader {
             self.pause_failed = (self.pause_failed * 2).min(PAUSE_FAILED.1);
         }
         self.ask_next = false;
-        if let Some(behind) = &mut self.behind {
-            behind.asked = true;
+        if let Some(newer) = &mut self.newer {
+            newer.asked = true;
         }
     }
 
     fn ask_again(&mut self) {
-        if let Some(behind) = &mut self.behind {
-            behind.asked = false;
+        if let Some(newer) = &mut self.newer {
+            newer.asked = false;
         }
     }
 
     /// Returns when the intent in force was last known to be the newest.
-    pub fn confirmed(&self) -> Option<Confirmed> {
+    pub fn confirmed(&self) -> Option<Confirmation> {
         self.confirmed
     }
 
@@ -255,27 +255,27 @@
 
     /// Returns the newest version that is known to exist.
     pub fn newest(&self) -> u64 {
-        self.behind.map_or(self.version, |behind| behind.newest)
+        self.newer.map_or(self.version, |newer| newer.newest)
     }
 
     /// Returns whether a newer version than the one in force is known to exist.
-    pub fn is_behind(&self) -> bool {
-        self.behind.is_some()
+    pub fn is_outdated(&self) -> bool {
+        self.newer.is_some()
     }
 
     /// Returns for how long a newer version has been known to exist without being in force.
-    pub fn behind_for(&self, now: Instant) -> Option<Duration> {
-        self.behind.map(|behind| now.saturating_duration_since(behind.since))
+    pub fn outdated_for(&self, now: Instant) -> Option<Duration> {
+        self.newer.map(|newer| now.saturating_duration_since(newer.since))
     }
 
     /// Returns how long the instance has been behind, once for each newer version, when that is longer than
     /// half of the operator's bound.
     pub fn take_overdue(&mut self, now: Instant) -> Option<Duration> {
         let late = self.bound / 2;
-        let behind = self.behind.as_mut().filter(|behind| !behind.told)?;
-        let since = now.saturating_duration_since(behind.since);
-        behind.told = since >= late;
-        behind.told.then_some(since)
+        let newer = self.newer.as_mut().filter(|newer| !newer.is_reported)?;
+        let since = now.saturating_duration_since(newer.since);
+        newer.is_reported = since >= late;
+        newer.is_reported.then_some(since)
     }
 
     /// Returns the age at which an instance reads the store itself.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -53,7 +53,7 @@
 pub use intent::{CallerLimits, Intent, IntentInForce, ServiceSpec};
 pub use intent_change::{IntentChange, IntentChangeError, PackedChange};
 pub use intent_history::IntentHistory;
-pub use intent_watch::{Confirmed, IntentWatch, WatchRole, WatchStep};
+pub use intent_watch::{Confirmation, IntentWatch, WatchRole, WatchStep};
 pub use load::{FleetPosition, Load, LoadReport};
 pub use notice::Notice;
 pub use operator_orders::{OperatorOrders, OrderChange, OrdersSnapshot};
--- a/src/routing/roster_watch.rs
+++ b/src/routing/roster_watch.rs
@@ -45,7 +45,7 @@
     /// The store is read.
     Read,
     /// Other instances are asked, since the store could not be read.
-    Ask,
+    AskPeers,
 }
 
 /// What an instance is to the others.
@@ -92,7 +92,7 @@
         if now < due {
             let ask_at = self.ask_at(role, as_of).filter(|at| *at < due);
             return match ask_at {
-                Some(at) if at <= now => RosterStep::Ask,
+                Some(at) if at <= now => RosterStep::AskPeers,
                 ask_at => RosterStep::Wait(ask_at.unwrap_or(due) - now),
             };
         }
@@ -100,7 +100,7 @@
         if now >= retry_at {
             RosterStep::Read
         } else if now >= ask_at {
-            RosterStep::Ask
+            RosterStep::AskPeers
         } else {
             RosterStep::Wait(retry_at.min(ask_at) - now)
         }
@@ -133,20 +133,20 @@
     }
 
     /// Notes that the store was read, which began at `began`.
-    pub fn read(&mut self, began: Instant) {
+    pub fn store_read(&mut self, began: Instant) {
         self.read_at = Some(began);
         self.failing = None;
     }
 
     /// Notes that the store could not be read: others are asked next.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn store_failed(&mut self, now: Instant) {
         let (first, longest) = PAUSE_FAILED;
         let pause = self.failing.map_or(first, |failing| (failing.pause * 2).min(longest));
         self.failing = Some(Failing { retry_at: now + pause, pause, ask_at: now });
     }
 
     /// Notes that others were asked, whatever they said.
-    pub fn asked(&mut self, now: Instant) {
+    pub fn peers_asked(&mut self, now: Instant) {
         self.asked_at = Some(now);
         if let Some(failing) = &mut self.failing {
             failing.ask_at = now + self.bound.mul_f64(ASK_PACE);
--- a/tests/suite/knowledge.rs
+++ b/tests/suite/knowledge.rs
@@ -6,7 +6,7 @@
 use cartvane::{
     clock::Clock,
     gateway::{GatewayHandle, knowledge::Knowledge},
-    routing::{Confirmed, Intent, StoreVersion, Wanted},
+    routing::{Confirmation, Intent, StoreVersion, Wanted},
 };
 use serde_json::json;
 use standins::{
@@ -289,9 +289,10 @@
     let later = now + Duration::from_secs(1);
     let knowledge = Knowledge::new(Duration::from_secs(2));
     let store = StoreVersion::default();
-    knowledge.offer_intent(Intent { version: 5, ..Intent::empty() }, Confirmed { at: now, store });
-    knowledge.confirm(9, Confirmed { at: later, store });
+    knowledge
+        .offer_intent(Intent { version: 5, ..Intent::empty() }, Confirmation { at: now, store });
+    knowledge.confirm(9, Confirmation { at: later, store });
     assert_eq!(knowledge.intent_age(later), Some(Duration::from_secs(1)));
-    knowledge.confirm(4, Confirmed { at: later, store });
+    knowledge.confirm(4, Confirmation { at: later, store });
     assert_eq!(knowledge.intent_age(later), Some(Duration::ZERO), "it was no older then");
 }
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -221,16 +221,16 @@
             RosterStep::Read if turned_away => {
                 instance.tried += 1;
                 let after = now + if cut { UNREAD } else { READ };
-                instance.watch.failed(after);
+                instance.watch.store_failed(after);
                 after
             }
             RosterStep::Read => {
                 instance.tried += 1;
                 instance.as_of = Some(now);
-                instance.watch.read(now);
+                instance.watch.store_read(now);
                 now + READ
             }
-            RosterStep::Ask if heard => {
+            RosterStep::AskPeers if heard => {
                 for _ in 0..fallback_reader::ASKED {
                     let instance = &self.all[number];
                     let fallback_reader = instance.fallback_reader.pick(now, &instance.candidates);
@@ -245,17 +245,17 @@
                     }
                     self.all[number].fallback_reader.failed();
                 }
-                self.all[number].watch.asked(now);
+                self.all[number].watch.peers_asked(now);
                 now + READ
             }
-            RosterStep::Ask => {
+            RosterStep::AskPeers => {
                 for _ in 0..2 {
                     let other = (self.draw() * self.case.instances as f64) as usize;
                     if !cut && !self.is_cut(other, now) {
                         self.tell(other, number);
                     }
                 }
-                self.all[number].watch.asked(now);
+                self.all[number].watch.peers_asked(now);
                 now + READ
             }
         }
