--- a/src/gateway/knowledge.rs
+++ b/src/gateway/knowledge.rs
@@ -12,8 +12,8 @@
 use crate::{
     names::{ServiceName, ZoneName},
     routing::{
-        BackendServer, Confirmation, Incarnation, Intent, IntentChange, IntentChangeError,
-        IntentHistory, IntentInForce, IntentWatch, ListHistory, ListVersion, OperatorOrders,
+        ActiveIntent, BackendServer, Confirmation, Incarnation, Intent, IntentChange,
+        IntentChangeError, IntentHistory, IntentWatch, ListHistory, ListVersion, OperatorOrders,
         OrderChange, OrdersSnapshot, PackedChange, Roster, ServerListUpdate, StoreEra,
         StoreVersion, roster::RosterChange,
     },
@@ -34,7 +34,7 @@
 /// An instance's beliefs.
 pub struct Knowledge {
     current: ArcSwapOption<Intent>,
-    in_force: Mutex<IntentInForce>,
+    in_force: Mutex<ActiveIntent>,
     roster: Mutex<Roster>,
     /// How sure it is that the intent in force is the newest.
     watch: Mutex<IntentWatch>,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -193,7 +193,7 @@
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
     pub fn ask_helper_for_rollouts(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
-        for _ in 0..fallback_reader::ASKED {
+        for _ in 0..fallback_reader::ATTEMPTS_MAX {
             let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
             match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, ask) {
                 Ok(TableReply::Failed(reason)) => {
@@ -323,7 +323,7 @@
 /// Has another instance read the store, for those that turn to this one.
 fn ask_helper(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
-    for _ in 0..fallback_reader::ASKED {
+    for _ in 0..fallback_reader::ATTEMPTS_MAX {
         let fallback_reader = lock(&peers.fallback_reader).pick(now, &lock(&peers.candidates));
         let Some(fallback_reader) = fallback_reader else { return };
         let Err(fault) = ask(gateway, fallback_reader.address, Asks::ToRead) else { return };
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -80,6 +80,6 @@
 impl GatewaySettings {
     /// Returns the pause between two reads of the servers' list.
     pub fn roster_period(&self) -> Duration {
-        roster_watch::pause(self.bounds.leaving_acted_on)
+        roster_watch::read_period(self.bounds.leaving_acted_on)
     }
 }
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -55,7 +55,7 @@
     if number >= DEPUTIES && !gateway.peers.is_reader(now) {
         return;
     }
-    let parts = fanout::first_parts(lock(&gateway.peers.candidates).responsive(now));
+    let parts = fanout::split_by_zone(lock(&gateway.peers.candidates).responsive(now));
     hand_on(gateway, parts);
 }
 
@@ -66,7 +66,7 @@
     let version = gateway.knowledge.version();
     gateway.knowledge.told_of(gateway.clock.now(), offer.version);
     if version >= offer.version {
-        hand_on(gateway, fanout::parts(offer.pass_on));
+        hand_on(gateway, fanout::split(offer.pass_on));
     }
     OfferReply { version }
 }
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -18,7 +18,7 @@
 
 /// Returns whether this instance has just started, and waits for others to tell it what there is.
 pub fn waits(gateway: &Gateway, now: Instant) -> bool {
-    gateway.peers.start.waits(now) && !gateway.knowledge.is_complete()
+    gateway.peers.start.is_waiting(now) && !gateway.knowledge.is_complete()
 }
 
 fn servers_age_ms(gateway: &Gateway) -> u128 {
--- a/src/routing/fallback_reader.rs
+++ b/src/routing/fallback_reader.rs
@@ -11,7 +11,7 @@
 
 /// Instances asked one after the other before the store is left alone for a while: of a store that turns away a
 /// third of them, all four are turned away once in eighty times.
-pub const ASKED: usize = 4;
+pub const ATTEMPTS_MAX: usize = 4;
 
 /// The instance that is asked to read.
 #[derive(Debug, Default)]
--- a/src/routing/fanout.rs
+++ b/src/routing/fanout.rs
@@ -12,7 +12,9 @@
 
 /// Returns the first parts of `instances`, which come in the order of their strength: those of one availability
 /// zone together, so that news cross between two zones once.
-pub fn first_parts<'a>(instances: impl Iterator<Item = &'a InstanceInfo>) -> Vec<Vec<SocketAddr>> {
+pub fn split_by_zone<'a>(
+    instances: impl Iterator<Item = &'a InstanceInfo>,
+) -> Vec<Vec<SocketAddr>> {
     let mut zones: IndexMap<_, Vec<SocketAddr>> = IndexMap::new();
     for instance in instances {
         zones.entry(&instance.zone).or_default().push(instance.address);
@@ -22,7 +24,7 @@
 }
 
 /// Returns the parts of what one that was handed news hands on.
-pub fn parts(instances: Vec<SocketAddr>) -> Vec<Vec<SocketAddr>> {
+pub fn split(instances: Vec<SocketAddr>) -> Vec<Vec<SocketAddr>> {
     deal(instances, FANOUT)
 }
 
--- a/src/routing/intent.rs
+++ b/src/routing/intent.rs
@@ -68,12 +68,12 @@
 
 /// The version in force, which never goes back.
 #[derive(Debug, Clone, Default)]
-pub struct IntentInForce {
+pub struct ActiveIntent {
     intent: Option<Arc<Intent>>,
-    former_idle_time: Duration,
+    previous_idle_time: Duration,
 }
 
-impl IntentInForce {
+impl ActiveIntent {
     /// Puts `intent` in force unless one as new already is; returns whether it did.
     pub fn offer(&mut self, intent: impl Into<Arc<Intent>>) -> bool {
         let intent = intent.into();
@@ -81,7 +81,7 @@
             return false;
         }
         if let Some(known) = &self.intent {
-            self.former_idle_time = known.limits.idle_time;
+            self.previous_idle_time = known.limits.idle_time;
         }
         self.intent = Some(intent);
         true
@@ -100,6 +100,6 @@
     /// Returns how long an idle connection stays open: callers may still go by the version before.
     pub fn idle_time(&self) -> Duration {
         let current = self.intent.as_ref().map_or(Duration::ZERO, |i| i.limits.idle_time);
-        current.max(self.former_idle_time)
+        current.max(self.previous_idle_time)
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -50,7 +50,7 @@
 pub use home_regions::HomeRegions;
 pub use incarnation::{Incarnation, StartTime};
 pub use instance_list::{InstanceChange, InstanceHistory, InstanceListUpdate};
-pub use intent::{CallerLimits, Intent, IntentInForce, ServiceSpec};
+pub use intent::{ActiveIntent, CallerLimits, Intent, ServiceSpec};
 pub use intent_change::{IntentChange, IntentChangeError, PackedChange};
 pub use intent_history::IntentHistory;
 pub use intent_watch::{Confirmation, IntentWatch, WatchRole, WatchStep};
--- a/src/routing/roster_watch.rs
+++ b/src/routing/roster_watch.rs
@@ -33,7 +33,7 @@
 
 /// Returns the pause between two reads of the instance that reads for others, where a leaving server is to be acted
 /// on within `bound`.
-pub fn pause(bound: Duration) -> Duration {
+pub fn read_period(bound: Duration) -> Duration {
     bound.mul_f64(PACE)
 }
 
@@ -110,7 +110,7 @@
     fn due(&self, role: &RosterRole, as_of: Option<Instant>) -> Option<Instant> {
         if role.reader {
             // One that others have just turned to reads at once, unless it knows what was read lately.
-            return self.read_at.max(as_of).map(|at| at + pause(self.bound));
+            return self.read_at.max(as_of).map(|at| at + read_period(self.bound));
         }
         as_of.map(|as_of| as_of + self.read_age(role.position))
     }
--- a/src/routing/startup.rs
+++ b/src/routing/startup.rs
@@ -22,15 +22,15 @@
 impl StartupWait {
     /// Returns the watch of an instance that starts now; `draw` is a number in [0, 1).
     ///
-    /// `is_asked` says that others turn to it, or that it has nobody to ask.
-    pub fn new(now: Instant, is_asked: bool, draw: f64) -> StartupWait {
+    /// `has_dependents` says that others turn to it, or that it has nobody to ask.
+    pub fn new(now: Instant, has_dependents: bool, draw: f64) -> StartupWait {
         let (least, most) = PATIENCE;
-        let until = (!is_asked).then(|| now + least + (most - least).mul_f64(draw));
+        let until = (!has_dependents).then(|| now + least + (most - least).mul_f64(draw));
         StartupWait { until }
     }
 
     /// Returns whether what is not known yet is waited for.
-    pub fn waits(&self, now: Instant) -> bool {
+    pub fn is_waiting(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 }
--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -149,7 +149,7 @@
         let silent: BTreeSet<SocketAddr> =
             instances.iter().map(|i| i.address).filter(|_| rng.f64() < silent_share).collect();
         let mut reached = BTreeMap::new();
-        for part in fanout::first_parts(instances.iter()) {
+        for part in fanout::split_by_zone(instances.iter()) {
             hand_on(&part, &silent, 1, &mut reached);
         }
         for instance in &instances {
@@ -184,7 +184,7 @@
     let Some(first) = part.iter().position(|address| !silent.contains(address)) else { return };
     let entry = reached.entry(part[first]).or_default();
     *entry = (entry.0 + 1, step);
-    for next in fanout::parts(part[first + 1..].to_vec()) {
+    for next in fanout::split(part[first + 1..].to_vec()) {
         hand_on(&next, silent, step + 1, reached);
     }
 }
@@ -195,7 +195,7 @@
         [(&[2, 2, 2, 2][..], 2), (&[16, 14, 17, 15], 3), (&[80, 72, 76, 74], 4), (&[36; 10], 4)]
     {
         let mut reached = BTreeMap::new();
-        let parts = fanout::first_parts(fleet(zones).iter());
+        let parts = fanout::split_by_zone(fleet(zones).iter());
         assert!(parts.len() >= fanout::FANOUT);
         parts.iter().for_each(|part| hand_on(part, &BTreeSet::new(), 1, &mut reached));
         let most = reached.values().map(|(_, step)| *step).max();
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -231,7 +231,7 @@
                 now + READ
             }
             RosterStep::AskPeers if heard => {
-                for _ in 0..fallback_reader::ASKED {
+                for _ in 0..fallback_reader::ATTEMPTS_MAX {
                     let instance = &self.all[number];
                     let fallback_reader = instance.fallback_reader.pick(now, &instance.candidates);
                     let node = fallback_reader.map(|fallback_reader| fallback_reader.node);
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -7,7 +7,7 @@
 };
 
 use cartvane::routing::{
-    BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent, IntentInForce,
+    ActiveIntent, BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent,
     ListHistory, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind, RouteTable,
     ServerListUpdate, ServiceShare, Teams, budget::BudgetTerms,
 };
@@ -180,7 +180,7 @@
 
 #[test]
 fn an_intent_never_goes_back() {
-    let mut force = IntentInForce::default();
+    let mut force = ActiveIntent::default();
     assert!(force.offer(intent(7, SECOND)));
     assert!(!force.offer(intent(3, SECOND)));
     assert!(!force.offer(intent(7, SECOND)));
@@ -190,7 +190,7 @@
 
 #[test]
 fn callers_that_know_the_idle_time_before_are_not_cut_off_by_a_shorter_one() {
-    let mut force = IntentInForce::default();
+    let mut force = ActiveIntent::default();
     force.offer(intent(1, SECOND * 15));
     force.offer(intent(2, SECOND * 5));
     assert_eq!(force.idle_time(), SECOND * 15);
