--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -66,7 +66,7 @@
     let version = gateway.knowledge.version();
     gateway.knowledge.told_of(gateway.clock.now(), offer.version);
     if version >= offer.version {
-        hand_on(gateway, fanout::split(offer.pass_on));
+        hand_on(gateway, fanout::split_evenly(offer.pass_on));
     }
     OfferReply { version }
 }
--- a/src/routing/fanout.rs
+++ b/src/routing/fanout.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the parts of what one that was handed news hands on.
-pub fn split(instances: Vec<SocketAddr>) -> Vec<Vec<SocketAddr>> {
+pub fn split_evenly(instances: Vec<SocketAddr>) -> Vec<Vec<SocketAddr>> {
     deal(instances, FANOUT)
 }
 
--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -184,7 +184,7 @@
     let Some(first) = part.iter().position(|address| !silent.contains(address)) else { return };
     let entry = reached.entry(part[first]).or_default();
     *entry = (entry.0 + 1, step);
-    for next in fanout::split(part[first + 1..].to_vec()) {
+    for next in fanout::split_evenly(part[first + 1..].to_vec()) {
         hand_on(&next, silent, step + 1, reached);
     }
 }
