--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -39,7 +39,7 @@
     loop {
         gateway.crash_suspects.verdicts_changed.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
-        let is_first = lock(&gateway.peers.candidates).first(now).is_none();
+        let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
         if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
             continue;
         }
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -9,7 +9,7 @@
         store::{Change, StoreFault, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
-    routing::{InstanceInfo, StoreEra, StoreVersion, start::QUESTION_PAUSE},
+    routing::{InstanceInfo, StoreEra, StoreVersion, startup::STARTUP_POLL_INTERVAL},
     utils::sync::lock,
 };
 
@@ -52,7 +52,8 @@
             era = announce_until_done(gateway);
         }
         let now = gateway.clock.now();
-        if gateway.drain.is_draining() || lock(&gateway.peers.candidates).first(now).is_some() {
+        if gateway.drain.is_draining() || lock(&gateway.peers.candidates).aggregator(now).is_some()
+        {
             continue;
         }
         if let Err(fault) = tidy(gateway, now.saturating_duration_since(began) > ROW_LEFT_BEHIND) {
@@ -117,7 +118,7 @@
         if peers::ask_seed(gateway, knows_others) {
             return;
         }
-        thread::sleep(QUESTION_PAUSE);
+        thread::sleep(STARTUP_POLL_INTERVAL);
     }
     if told {
         return;
@@ -152,7 +153,8 @@
     let (stay, gone): (Vec<InstanceInfo>, Vec<InstanceInfo>) = {
         let aggregate = lock(&gateway.peers.aggregate);
         let candidates = lock(&gateway.peers.candidates);
-        let lives = |i: &InstanceInfo| i == candidates.own() || aggregate.hears(now, &i.node);
+        let lives =
+            |i: &InstanceInfo| i == candidates.own() || aggregate.has_recent_report(now, &i.node);
         candidates.all().iter().cloned().partition(lives)
     };
     if gone.is_empty() {
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -32,9 +32,9 @@
         traffic::{Purpose, Traffic},
     },
     routing::{
-        Aggregate, Candidates, Confirmed, Count, Crowded, FleetBudget, FleetPosition, Helper,
-        InstanceInfo, Judgement, ListNews, ListVersion, RosterRole, RunId, ServiceLoad, StartWatch,
-        StoreEra, WatchRole, helper,
+        Aggregate, Candidates, Confirmation, Crowded, FallbackReader, FleetBudget, FleetPosition,
+        InFlightCount, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
+        ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
     utils::{recent::Recent, sync::lock},
 };
@@ -86,11 +86,11 @@
     joined: AtomicBool,
     started: Instant,
     /// Whether this instance waits for others as it starts.
-    pub(super) start: StartWatch,
+    pub(super) start: StartupWait,
     pub(super) sums: Recent<Sums>,
     last_round: Mutex<Option<Instant>>,
     /// The one that reads for this one while the store turns it away.
-    helper: Mutex<Helper>,
+    fallback_reader: Mutex<FallbackReader>,
 }
 
 impl Peers {
@@ -114,10 +114,10 @@
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartWatch::new(clock.now(), is_asked, fastrand::f64()),
+            start: StartupWait::new(clock.now(), is_asked, fastrand::f64()),
             sums: Recent::new(SUMS_AGE),
             last_round: Mutex::default(),
-            helper: Mutex::default(),
+            fallback_reader: Mutex::default(),
         }
     }
 
@@ -139,7 +139,7 @@
     /// Returns whether this instance reads the store at a pace: it has nobody to turn to, or others
     /// turn to it.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.knows_others(now) && lock(&self.candidates).first(now).is_none();
+        let alone = self.knows_others(now) && lock(&self.candidates).aggregator(now).is_none();
         alone || self.is_read_from(now)
     }
 
@@ -163,7 +163,7 @@
     /// Returns whether others have turned to this instance lately.
     pub(super) fn is_read_from(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
-        let heard = lock(&self.aggregate).last_heard(&own);
+        let heard = lock(&self.aggregate).last_report(&own);
         heard.is_some_and(|at| now.saturating_duration_since(at) < READS_FOR_OTHERS)
     }
 
@@ -197,18 +197,22 @@
         now: Instant,
         ask: &RolloutTableRequest,
     ) -> Option<RolloutTableReply> {
-        for _ in 0..helper::ASKED {
-            let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
-            match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, ask) {
+        for _ in 0..fallback_reader::ATTEMPTS_MAX {
+            let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
+            match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, ask) {
                 Ok(RolloutTableReply::Failed(reason)) => {
-                    log::info!("event=no_help peer={} reason={reason:?}", helper.node);
+                    log::info!("event=no_help peer={} reason={reason:?}", fallback_reader.node);
                 }
                 Ok(reply) => return Some(reply),
                 Err(fault) => {
-                    log::info!("event=no_help peer={} reason={:?}", helper.node, fault.to_string());
+                    log::info!(
+                        "event=no_help peer={} reason={:?}",
+                        fallback_reader.node,
+                        fault.to_string()
+                    );
                 }
             }
-            lock(&self.helper).failed();
+            lock(&self.fallback_reader).failed();
         }
         None
     }
@@ -263,7 +267,7 @@
     let peers = &gateway.peers;
     for _ in 0..2 {
         let now = gateway.clock.now();
-        let first = lock(&peers.candidates).first(now).cloned();
+        let first = lock(&peers.candidates).aggregator(now).cloned();
         let Some(first) = first else {
             let sums = sums(gateway, now);
             take_loads(gateway, now, &sums.loads, None);
@@ -274,12 +278,12 @@
         };
         match ask(gateway, first.address, Asks::InTurn) {
             Ok(()) => {
-                lock(&peers.candidates).note_heard(&first.node);
+                lock(&peers.candidates).note_responsive(&first.node);
                 return;
             }
             Err(fault) => {
                 log::info!("event=peer_silent peer={} reason={fault:?}", first.node);
-                lock(&peers.candidates).note_silent(gateway.clock.now(), &first.node);
+                lock(&peers.candidates).note_unresponsive(gateway.clock.now(), &first.node);
             }
         }
     }
@@ -323,12 +327,12 @@
 /// Has another instance read the store, for those that turn to this one.
 fn ask_helper(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
-    for _ in 0..helper::ASKED {
-        let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
-        let Some(helper) = helper else { return };
-        let Err(fault) = ask(gateway, helper.address, Asks::ToRead) else { return };
-        log::info!("event=no_help peer={} reason={fault:?}", helper.node);
-        lock(&peers.helper).failed();
+    for _ in 0..fallback_reader::ATTEMPTS_MAX {
+        let fallback_reader = lock(&peers.fallback_reader).pick(now, &lock(&peers.candidates));
+        let Some(fallback_reader) = fallback_reader else { return };
+        let Err(fault) = ask(gateway, fallback_reader.address, Asks::ToRead) else { return };
+        log::info!("event=no_help peer={} reason={fault:?}", fallback_reader.node);
+        lock(&peers.fallback_reader).failed();
     }
 }
 
@@ -400,7 +404,12 @@
 
 /// Takes what all instances have in flight; `told` is what this one had told of its own, where that is
 /// not what it has now.
-fn take_loads(gateway: &Gateway, now: Instant, loads: &[ServiceLoad], told: Option<Vec<Count>>) {
+fn take_loads(
+    gateway: &Gateway,
+    now: Instant,
+    loads: &[ServiceLoad],
+    told: Option<Vec<InFlightCount>>,
+) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
         let own = told.unwrap_or_else(|| picker.own_counts());
@@ -415,12 +424,12 @@
 fn take_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    news: ListNews,
+    news: ServerListUpdate,
     as_of: Instant,
     era: StoreEra,
 ) {
     let knowledge = &gateway.knowledge;
-    let is_same = matches!(news, ListNews::Same);
+    let is_same = matches!(news, ServerListUpdate::Same);
     if is_same && knowledge.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
@@ -438,14 +447,14 @@
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.knowledge.confirm(news.version, Confirmed { at, store });
+        gateway.knowledge.confirm(news.version, Confirmation { at, store });
     }
     gateway.knowledge.told_of(gateway.clock.now(), news.version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
         take_list(gateway, list, news.list, as_of, news.list_era);
     }
     if let Some(instances) = news.instances {
-        lock(&gateway.peers.candidates).take(instances);
+        lock(&gateway.peers.candidates).apply_update(instances);
         gateway.instances_changed();
     }
 }
--- a/src/routing/helper.rs
+++ b/src/routing/fallback_reader.rs
@@ -11,20 +11,20 @@
 
 /// Instances asked one after the other before the store is left alone for a while: of a store that turns away a
 /// third of them, all four are turned away once in eighty times.
-pub const ASKED: usize = 4;
+pub const ATTEMPTS_MAX: usize = 4;
 
 /// The instance that is asked to read.
 #[derive(Debug, Default)]
-pub struct Helper {
+pub struct FallbackReader {
     /// How many of the instances that answer are passed over, the strongest first.
     skip: usize,
 }
 
-impl Helper {
+impl FallbackReader {
     /// Returns the instance to ask now; `None` where no other answers.
     pub fn pick(&self, now: Instant, candidates: &Candidates) -> Option<InstanceInfo> {
-        let answering = candidates.heard(now).count();
-        candidates.heard(now).nth(self.skip.checked_rem(answering)?).cloned()
+        let answering = candidates.responsive(now).count();
+        candidates.responsive(now).nth(self.skip.checked_rem(answering)?).cloned()
     }
 
     /// Notes that the one that was asked did not answer or could not read either: another one is asked from now on.
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -8,7 +8,9 @@
 use cartvane::{
     gateway::knowledge::Knowledge,
     names::ServiceName,
-    routing::{BackendServer, ListNews, LoadReport, PickRequest, Picker, ServiceLoad, StoreEra},
+    routing::{
+        BackendServer, LoadReport, PickRequest, Picker, ServerListUpdate, ServiceLoad, StoreEra,
+    },
 };
 use fastrand::Rng;
 use serde_json::json;
@@ -34,7 +36,7 @@
     let mut picker = Picker::new("z0".parse().expect("a name"), 2.0);
     picker.set_servers(now, servers.iter());
     let counts = servers.iter().step_by(10).map(|server| (server.tag(), 1)).collect();
-    let load = ServiceLoad { service: service.clone(), mean: 0.1, counts, whole: true };
+    let load = ServiceLoad { service: service.clone(), mean: 0.1, counts, is_complete: true };
     for server in servers.iter().step_by(7) {
         picker.report(now, &server.id, LoadReport { running: 1, waiting: 0, slots: 16 });
     }
@@ -66,7 +68,7 @@
     let version = knowledge.list_version();
     let at = |round: u32| now + Duration::from_millis(1) * round;
     let look = |round| {
-        let same = knowledge.apply_list_news(version, ListNews::Same);
+        let same = knowledge.apply_list_news(version, ServerListUpdate::Same);
         same.map(|list| knowledge.observe_servers(at(round), at(round), era, list))
     };
     let looked: Vec<Duration> = (1..20).map(|round| timed(|| drop(look(round)))).collect();
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -15,9 +15,9 @@
     },
     names::Tag,
     routing::{
-        BudgetSum, InstanceInfo, InstanceNews, Intent, IntentChange, ListHistory, ListNews,
-        ListVersion, PackedChange, RolloutOrder, RunId, ServiceLoad, Spending, StoreEra,
-        StoreVersion, ToldOrders,
+        BudgetSum, InstanceInfo, InstanceListUpdate, Intent, IntentChange, ListHistory,
+        ListVersion, OrdersSnapshot, PackedChange, RetrySpending, RolloutOrder, RunId,
+        ServerListUpdate, ServiceLoad, StoreEra, StoreVersion,
     },
 };
 use indexmap::IndexSet;
@@ -29,14 +29,14 @@
     StoreVersion { era: StoreEra(2), counter: 412 }
 }
 
-fn orders() -> ToldOrders {
+fn orders() -> OrdersSnapshot {
     let rollout =
         RolloutOrder { to: "v2".parse().expect("a version"), time_limit: Duration::from_secs(12) };
-    ToldOrders {
+    OrdersSnapshot {
         as_of: store(),
         zones: ["north".parse().expect("a zone")].into(),
         rollouts: [("llm".parse().expect("a name"), rollout)].into(),
-        unread: ["app".parse().expect("a name")].into(),
+        unparsed: ["app".parse().expect("a name")].into(),
     }
 }
 
@@ -55,7 +55,7 @@
         counts: vec![(Tag(7), 3)],
         silent: vec![Tag(9)],
         run: RunId(5),
-        spending: Vec::<Spending>::new(),
+        spending: Vec::<RetrySpending>::new(),
         rollouts: Vec::new(),
         rollout_states: Vec::new(),
         crash_suspects: Default::default(),
@@ -67,10 +67,15 @@
     }
 }
 
-fn news(list: ListNews) -> News {
+fn news(list: ServerListUpdate) -> News {
     let service = "llm".parse().expect("a name");
     News {
-        loads: vec![ServiceLoad { service, mean: 2.5, counts: vec![(Tag(7), 4)], whole: true }],
+        loads: vec![ServiceLoad {
+            service,
+            mean: 2.5,
+            counts: vec![(Tag(7), 4)],
+            is_complete: true,
+        }],
         silent: vec![Tag(9)],
         budgets: Vec::<BudgetSum>::new(),
         run: RunId(6),
@@ -84,7 +89,7 @@
         list,
         list_age_ms: Some(250),
         list_era: StoreEra(2),
-        instances: Some(InstanceNews::Whole(vec![instance()])),
+        instances: Some(InstanceListUpdate::Whole(vec![instance()])),
     }
 }
 
@@ -162,9 +167,9 @@
     let [report_bytes, news_bytes, permit, orders_bytes] = KEPT.map(|(_, hex)| bytes_of(hex));
     let same = |read: Vec<u8>, now: Vec<u8>| assert_eq!(read, now);
     same(encode(&decode::<Report>(&report_bytes).expect("a report")), encode(&report()));
-    let without = ToldOrders { unread: IndexSet::new(), ..orders() };
+    let without = OrdersSnapshot { unparsed: IndexSet::new(), ..orders() };
     let read = decode::<News>(&news_bytes).expect("news");
     assert_eq!((read.version, &read.orders), (12, &without));
     assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
-    assert_eq!(decode::<ToldOrders>(&orders_bytes).expect("orders"), without);
+    assert_eq!(decode::<OrdersSnapshot>(&orders_bytes).expect("orders"), without);
 }
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -10,8 +10,8 @@
 use cartvane::{
     gateway::knowledge::Knowledge,
     routing::{
-        BackendServer, Candidates, Helper, InstanceInfo, ListNews, RosterRole, RosterStep,
-        RosterWatch, StoreEra, helper,
+        BackendServer, Candidates, FallbackReader, InstanceInfo, RosterRole, RosterStep,
+        RosterWatch, ServerListUpdate, StoreEra, fallback_reader,
     },
 };
 use proptest::{
@@ -89,7 +89,7 @@
     as_of: Option<Instant>,
     /// When another one last turned to it.
     heard: Option<Instant>,
-    helper: Helper,
+    fallback_reader: FallbackReader,
     /// Reads of the store that were tried.
     tried: u32,
 }
@@ -131,7 +131,7 @@
             watch: RosterWatch::new(BOUND),
             as_of: None,
             heard: None,
-            helper: Helper::default(),
+            fallback_reader: FallbackReader::default(),
             tried: 0,
         };
         let all = infos.iter().map(instance).collect();
@@ -189,7 +189,7 @@
     /// Exchanges as the instances do: with the first that answers, two at the most.
     fn exchange(&mut self, number: usize, mut now: Instant) -> Instant {
         for _ in 0..2 {
-            let first = self.all[number].candidates.first(now).cloned();
+            let first = self.all[number].candidates.aggregator(now).cloned();
             let Some(first) = first else { break };
             let other = self.infos.iter().position(|i| i.node == first.node).expect("known");
             if !self.is_cut(number, now) && !self.is_cut(other, now) {
@@ -197,12 +197,12 @@
                     self.queue.push(Reverse((now, Next::Woken(other))));
                 }
                 self.all[other].heard = Some(now);
-                self.all[number].candidates.note_heard(&first.node);
+                self.all[number].candidates.note_responsive(&first.node);
                 self.tell(other, number);
                 break;
             }
             now += UNANSWERED;
-            self.all[number].candidates.note_silent(now, &first.node);
+            self.all[number].candidates.note_unresponsive(now, &first.node);
         }
         now + PERIOD.mul_f64(0.9 + 0.2 * self.draw())
     }
@@ -213,7 +213,7 @@
         let instance = &mut self.all[number];
         let heard = instance.heard.is_some_and(|at| now - at < READS_FOR_OTHERS);
         let role = RosterRole {
-            reader: heard || instance.candidates.first(now).is_none(),
+            reader: heard || instance.candidates.aggregator(now).is_none(),
             position: instance.candidates.position(),
         };
         match instance.watch.next(now, &role, instance.as_of) {
@@ -221,20 +221,20 @@
             RosterStep::Read if turned_away => {
                 instance.tried += 1;
                 let after = now + if cut { UNREAD } else { READ };
-                instance.watch.failed(after);
+                instance.watch.store_failed(after);
                 after
             }
             RosterStep::Read => {
                 instance.tried += 1;
                 instance.as_of = Some(now);
-                instance.watch.read(now);
+                instance.watch.store_read(now);
                 now + READ
             }
-            RosterStep::Ask if heard => {
-                for _ in 0..helper::ASKED {
+            RosterStep::AskPeers if heard => {
+                for _ in 0..fallback_reader::ATTEMPTS_MAX {
                     let instance = &self.all[number];
-                    let helper = instance.helper.pick(now, &instance.candidates);
-                    let node = helper.map(|helper| helper.node);
+                    let fallback_reader = instance.fallback_reader.pick(now, &instance.candidates);
+                    let node = fallback_reader.map(|fallback_reader| fallback_reader.node);
                     let other = self.infos.iter().position(|i| Some(&i.node) == node.as_ref());
                     let other = other.expect("others answer");
                     if !cut && !self.is_hit(other, now, |_| true) {
@@ -243,19 +243,19 @@
                         self.tell(other, number);
                         break;
                     }
-                    self.all[number].helper.failed();
+                    self.all[number].fallback_reader.failed();
                 }
-                self.all[number].watch.asked(now);
+                self.all[number].watch.peers_asked(now);
                 now + READ
             }
-            RosterStep::Ask => {
+            RosterStep::AskPeers => {
                 for _ in 0..2 {
                     let other = (self.draw() * self.case.instances as f64) as usize;
                     if !cut && !self.is_cut(other, now) {
                         self.tell(other, number);
                     }
                 }
-                self.all[number].watch.asked(now);
+                self.all[number].watch.peers_asked(now);
                 now + READ
             }
         }
@@ -387,8 +387,8 @@
         let others = (0..150).map(|number| server(&format!("s{number}"), 1));
         [server("marker", read)].into_iter().chain(others).collect()
     };
-    let marked = |news: ListNews| match news {
-        ListNews::Whole(list) => list
+    let marked = |news: ServerListUpdate| match news {
+        ServerListUpdate::Whole(list) => list
             .unpack()
             .expect("a list")
             .iter()
