--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -78,7 +78,7 @@
         self.forbids_retry_by(|| request.fingerprint(), || request.digest())
     }
 
-    /// As [`Suspicion::ends_here`]; neither look nor digest is worked out while none is sought.
+    /// As [`CrashSuspects::forbids_retry`]; neither look nor digest is worked out while none is sought.
     pub fn forbids_retry_by(
         &self,
         fingerprint: impl FnOnce() -> RequestFingerprint,
