--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -12,10 +12,10 @@
 use crate::{
     names::{ServiceName, ZoneName},
     routing::{
-        BackendServer, ChangeFault, Confirmed, Incarnation, Intent, IntentChange, IntentHistory,
-        IntentInForce, IntentWatch, ListHistory, ListNews, ListVersion, OperatorOrders,
-        OrderChange, PackedChange, Roster, StoreEra, StoreVersion, ToldOrders,
-        roster::RosterChange,
+        ActiveIntent, BackendServer, Confirmation, Incarnation, Intent, IntentChange,
+        IntentChangeError, IntentHistory, IntentWatch, ListHistory, ListVersion, OperatorOrders,
+        OrderChange, OrdersSnapshot, PackedChange, Roster, ServerListUpdate, StoreEra,
+        StoreVersion, roster::RosterChange,
     },
     utils::sync::lock,
 };
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct ServerListReply {
     /// Update from the version that the requester has.
-    pub update: ListNews,
+    pub update: ServerListUpdate,
     /// Time since the list was current.
     pub age: Option<Duration>,
     /// Era of the store that the list was read from.
@@ -34,7 +34,7 @@
 /// The newest intent, orders and servers that an instance has received, from the store or from other instances.
 pub struct ClusterState {
     current: ArcSwapOption<Intent>,
-    active: Mutex<IntentInForce>,
+    active: Mutex<ActiveIntent>,
     roster: Mutex<Roster>,
     /// When the active intent was last confirmed as the newest, and what to read next.
     watch: Mutex<IntentWatch>,
@@ -107,7 +107,7 @@
     }
 
     /// Activates an intent that was the newest in the store; returns whether it is newer than the active one was.
-    pub fn offer_intent(&self, intent: Intent, confirmed: Confirmed) -> bool {
+    pub fn offer_intent(&self, intent: Intent, confirmed: Confirmation) -> bool {
         let version = intent.version;
         let old = self.intent();
         let new = self.activate(intent);
@@ -126,7 +126,7 @@
     /// # Errors
     ///
     /// A change cannot be applied. The changes before it have been applied.
-    pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, ChangeFault> {
+    pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, IntentChangeError> {
         let mut intent = self.intent().unwrap_or_else(|| Arc::new(Intent::empty()));
         let before = intent.version;
         let mut result = Ok(());
@@ -160,7 +160,7 @@
                 return None;
             }
             self.current.store(Some(Arc::clone(&intent)));
-            lock(&self.watch).in_force(intent.version);
+            lock(&self.watch).set_active(intent.version);
         }
         self.update_complete();
         Some(intent)
@@ -168,7 +168,7 @@
 
     /// Notes that `version` was confirmed as the newest. Ignored if the active intent is older than `version`: it would
     /// count as up to date, and requests that the newer intent allows would be denied.
-    pub fn confirm(&self, version: u64, confirmed: Confirmed) {
+    pub fn confirm(&self, version: u64, confirmed: Confirmation) {
         if version <= self.version() {
             lock(&self.watch).confirm(confirmed);
         }
@@ -177,7 +177,7 @@
     /// Notes that `version` of the intent exists, and wakes the reader of the intent if it is newer than the active
     /// one.
     pub fn note_version(&self, now: Instant, version: u64) {
-        if lock(&self.watch).told(now, version) {
+        if lock(&self.watch).note_version(now, version) {
             self.newer_intent.notify_all();
         }
     }
@@ -191,7 +191,7 @@
     pub fn wait_for_newer(&self, timeout: Duration) {
         let watch = lock(&self.watch);
         // The result is not needed: the watch decides the next step, whatever ended the wait.
-        drop(self.newer_intent.wait_timeout_while(watch, timeout, |watch| !watch.is_behind()));
+        drop(self.newer_intent.wait_timeout_while(watch, timeout, |watch| !watch.is_outdated()));
     }
 
     /// Returns the time since the active intent was last confirmed as the newest.
@@ -200,7 +200,7 @@
     }
 
     /// Takes a snapshot of operators' orders that was read or received; returns whether it is newer than the last.
-    pub fn offer_orders(&self, now: Instant, snapshot: ToldOrders) -> bool {
+    pub fn offer_orders(&self, now: Instant, snapshot: OrdersSnapshot) -> bool {
         lock(&self.orders).take(now, snapshot)
     }
 
@@ -211,22 +211,22 @@
         as_of: StoreVersion,
         changes: impl IntoIterator<Item = OrderChange>,
     ) -> bool {
-        lock(&self.orders).follow(now, as_of, changes)
+        lock(&self.orders).apply_changes(now, as_of, changes)
     }
 
     /// Returns the evacuated zones, which receive no new requests.
     pub fn evacuated_zones(&self, now: Instant) -> IndexSet<ZoneName> {
-        lock(&self.orders).in_force(now).zones
+        lock(&self.orders).active(now).zones
     }
 
     /// Runs `apply` with the active orders, under the lock: no other thread can apply older ones at the same time.
-    pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(ToldOrders) -> T) -> T {
+    pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(OrdersSnapshot) -> T) -> T {
         let orders = lock(&self.orders);
-        apply(orders.in_force(now))
+        apply(orders.active(now))
     }
 
     /// Returns the newest snapshot of operators' orders, for other instances.
-    pub fn orders(&self) -> ToldOrders {
+    pub fn orders(&self) -> OrdersSnapshot {
         lock(&self.orders).newest().clone()
     }
 
@@ -244,7 +244,7 @@
         if !is_newer || !roster.note_era(now, era) {
             return RosterChange::default();
         }
-        let change = roster.observe(now, as_of, list);
+        let change = roster.apply_list(now, as_of, list);
         // Other instances receive the merged list: after an outage of the store it keeps servers that the list lacks.
         lock(&self.lists).push(roster.servers().map(|server| (**server).clone()).collect());
         drop(roster);
@@ -267,9 +267,9 @@
     }
 
     /// Marks servers whose entries in the store have been overwritten by ones that cannot be parsed.
-    pub fn overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
+    pub fn mark_overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
         let mut roster = lock(&self.roster);
-        keys.for_each(|key| roster.overwritten(key));
+        keys.for_each(|key| roster.mark_overwritten(key));
     }
 
     /// Runs `f` with the current list of servers.
@@ -278,18 +278,18 @@
     }
 
     /// Treats the servers of a zone as cold for the time that `lasts` returns for their service.
-    pub fn suspect_cold(
+    pub fn assume_cold(
         &self,
         now: Instant,
         zone: &ZoneName,
         lasts: impl Fn(&ServiceName) -> Option<Duration>,
     ) {
-        lock(&self.roster).suspect_cold(now, zone, lasts);
+        lock(&self.roster).assume_cold(now, zone, lasts);
     }
 
     /// Removes a server whose address now belongs to another one.
     pub fn remove_server(&self, id: &Incarnation) {
-        lock(&self.roster).forget(id);
+        lock(&self.roster).remove(id);
     }
 
     /// Returns the age of the list of servers.
@@ -339,13 +339,13 @@
     pub fn apply_list_update(
         &self,
         version: Option<ListVersion>,
-        update: ListNews,
+        update: ServerListUpdate,
     ) -> Option<Vec<BackendServer>> {
         let lists = lock(&self.lists);
         let list = match lists.newest() {
             Some((known, list)) if Some(*known) == version => update.apply(list),
             // The newest list is no longer the one that the update starts from; a whole list needs none.
-            _ if matches!(update, ListNews::Whole(_)) => update.apply(&[]),
+            _ if matches!(update, ServerListUpdate::Whole(_)) => update.apply(&[]),
             _ => return None,
         };
         list.inspect_err(|fault| log::info!("event=list_skipped source=peer reason={fault}")).ok()
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -21,7 +21,7 @@
         answer::{AnswerNote, send_whole},
         http1::Conn,
     },
-    routing::{AnswerSeen, AnswerTimes, Incarnation, Picked, RouteKind, Wanted},
+    routing::{Incarnation, PickRequest, Picked, ResponseObservation, ResponseTimes, RouteKind},
     utils::sync::lock,
 };
 
@@ -110,7 +110,7 @@
                 self.tries.out_of_time();
                 return None;
             }
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 service: &self.request.service,
                 affinity: self.request.affinity(),
                 spread: self.request.spread(),
@@ -147,10 +147,10 @@
         let server = &picked.server.id;
         let mut picker = lock(&self.gateway.picker);
         match fault {
-            AttemptFault::Connect => picker.unreachable(now, server),
+            AttemptFault::Connect => picker.note_unreachable(now, server),
             AttemptFault::CallerGone | AttemptFault::Withheld | AttemptFault::BeforeSend => {}
             // A refusal counts too: each further request there would spend a repeat.
-            _ => picker.bad(now, server),
+            _ => picker.note_failure(now, server),
         }
         drop(picker);
         self.note_version_fault(picked, fault);
@@ -184,22 +184,22 @@
         let now = self.gateway.clock.now();
         let waited = self.sent_at.map(|at| now.saturating_duration_since(at));
         let seen = match (fault, waited) {
-            (AttemptFault::Garbage, _) => AnswerSeen::Failed,
-            (AttemptFault::HeadTimeout, Some(waited)) => AnswerSeen::Took(waited),
+            (AttemptFault::Garbage, _) => ResponseObservation::Failed,
+            (AttemptFault::HeadTimeout, Some(waited)) => ResponseObservation::Took(waited),
             _ => return,
         };
         self.note_version(picked, seen);
     }
 
     /// Notes what an answer says of the version of the server's software.
-    pub fn note_version(&self, picked: &Picked, seen: AnswerSeen) {
-        self.gateway.rollouts.note_answer(&self.request.route.name, &picked.server, seen);
+    pub fn note_version(&self, picked: &Picked, seen: ResponseObservation) {
+        self.gateway.rollouts.note_response(&self.request.route.name, &picked.server, seen);
     }
 
     fn note_lost(&mut self, picked: &Picked) {
-        let suspicion = &self.gateway.suspicion;
-        suspicion.note_lost(self.gateway, self.request, picked, self.has_run_on());
-        if suspicion.ends_here(self.request) {
+        let crash_suspects = &self.gateway.crash_suspects;
+        crash_suspects.note_disconnect(self.gateway, self.request, picked, self.has_run_on());
+        if crash_suspects.forbids_retry(self.request) {
             self.tries.hold();
         }
     }
@@ -288,7 +288,7 @@
         // A caller that leaves ends only what may run again or is a stream: ending anything else
         // leaves its outcome in doubt.
         let watched = if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
-        let silence = lock(&gateway.picker).overload(&request.service).silence(picked.wait);
+        let silence = lock(&gateway.picker).admission(&request.service).stall_timeout(picked.wait);
         let silence = Silence::new(gateway, &server.id, silence.map(|time| now + time));
         let patience = self.patience(now, &server.id);
         let longer = || {
@@ -367,7 +367,7 @@
         }
         let mut tried = self.tries.servers().to_vec();
         tried.push(server.clone());
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &self.request.service,
             affinity: None,
             spread: self.request.spread(),
@@ -401,8 +401,8 @@
         };
         self.keep_connection(&picked.server.id, answer);
         if whole.status.is_server_error() {
-            lock(&self.gateway.picker).bad(self.gateway.clock.now(), &picked.server.id);
-            self.note_version(&picked, AnswerSeen::Failed);
+            lock(&self.gateway.picker).note_failure(self.gateway.clock.now(), &picked.server.id);
+            self.note_version(&picked, ResponseObservation::Failed);
             self.tries.answered_with_error(&picked.server.id);
             log::info!(
                 "event=server_error request={} server={} status={}",
@@ -415,22 +415,22 @@
         }
         self.note_good(&picked, times.0, times.1);
         let took = times.1.saturating_duration_since(times.0);
-        self.note_version(&picked, AnswerSeen::Took(took));
+        self.note_version(&picked, ResponseObservation::Took(took));
         Some(self.send_whole(conn, &whole, "answered"))
     }
 
     /// Notes a good answer to a request sent at `sent`, whose head came at `head` and whose end now.
     pub fn note_good(&self, picked: &Picked, sent: Instant, head: Instant) {
         let now = self.gateway.clock.now();
-        let times = AnswerTimes {
+        let times = ResponseTimes {
             head: head.saturating_duration_since(sent),
-            rest: now.saturating_duration_since(head),
+            body: now.saturating_duration_since(head),
         };
         let mut picker = lock(&self.gateway.picker);
-        picker.good(now, &picked.server.id);
-        picker.overload(&self.request.service).note_answer(times, !picked.wait.is_zero());
+        picker.note_success(now, &picked.server.id);
+        picker.admission(&self.request.service).note_response(times, !picked.wait.is_zero());
         drop(picker);
-        self.gateway.suspicion.note_answered(now, self.request);
+        self.gateway.crash_suspects.note_success(now, self.request);
         self.gateway.metrics.attempt(&self.request.service, None);
     }
 
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -9,7 +9,7 @@
         store::{Change, StoreFault, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
-    routing::{InstanceInfo, StoreEra, StoreVersion, start::QUESTION_PAUSE},
+    routing::{InstanceInfo, StoreEra, StoreVersion, startup::STARTUP_POLL_INTERVAL},
     utils::sync::lock,
 };
 
@@ -55,7 +55,8 @@
             era = announce_until_done(gateway);
         }
         let now = gateway.clock.now();
-        if gateway.drain.is_draining() || lock(&gateway.peers.candidates).first(now).is_some() {
+        if gateway.drain.is_draining() || lock(&gateway.peers.candidates).aggregator(now).is_some()
+        {
             continue;
         }
         if let Err(fault) =
@@ -122,7 +123,7 @@
         if peers::query_seeds(gateway, knows_others) {
             return;
         }
-        thread::sleep(QUESTION_PAUSE);
+        thread::sleep(STARTUP_POLL_INTERVAL);
     }
     if discovered {
         return;
@@ -159,7 +160,8 @@
     let (live, stale): (Vec<InstanceInfo>, Vec<InstanceInfo>) = {
         let aggregate = lock(&gateway.peers.aggregate);
         let candidates = lock(&gateway.peers.candidates);
-        let is_live = |i: &InstanceInfo| i == candidates.own() || aggregate.hears(now, &i.node);
+        let is_live =
+            |i: &InstanceInfo| i == candidates.own() || aggregate.has_recent_report(now, &i.node);
         candidates.all().iter().cloned().partition(is_live)
     };
     if stale.is_empty() {
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use super::{Gateway, intent_relay, peers, rollout_keeper, start};
+use super::{Gateway, intent_relay, peers, rollout_controller, start};
 use crate::{
     adapter::{
         calls::{INTENT_KEY, INTENT_TABLE},
@@ -14,7 +14,8 @@
         store::{StoreFault, StoreRow, StoreRows},
     },
     routing::{
-        Confirmed, PackedChange, StoreVersion, ToldOrders, WatchStep, start::QUESTION_PAUSE,
+        Confirmation, OrdersSnapshot, PackedChange, StoreVersion, WatchStep,
+        startup::STARTUP_POLL_INTERVAL,
     },
 };
 
@@ -25,23 +26,23 @@
     loop {
         let now = gateway.clock.now();
         if start::is_waiting(gateway, now) {
-            thread::sleep(QUESTION_PAUSE);
+            thread::sleep(STARTUP_POLL_INTERVAL);
             continue;
         }
         log_overdue(gateway, now);
         gateway.refresh_orders();
-        rollout_keeper::spawn_if_due(gateway);
+        rollout_controller::spawn_if_needed(gateway);
         let role = gateway.peers.watch_role(now);
         match cluster_state.with_watch(|watch| watch.next(now, &role)) {
             WatchStep::Pause(time) => thread::sleep(time),
             WatchStep::Wait(longest) => cluster_state.wait_for_newer(longest),
             WatchStep::Read => run_store_step(gateway, || read(gateway)),
-            WatchStep::Follow { after, wait } => {
+            WatchStep::PollChanges { after, wait } => {
                 run_store_step(gateway, || poll_changes(gateway, after, wait));
             }
-            WatchStep::Ask => {
+            WatchStep::AskPeers => {
                 peers::catch_up(gateway);
-                cluster_state.with_watch(|watch| watch.asked(gateway.clock.now(), &role));
+                cluster_state.with_watch(|watch| watch.peers_asked(gateway.clock.now(), &role));
             }
         }
     }
@@ -57,7 +58,7 @@
         Err(StoreFault::HistoryGone) => {
             // The next step reads the whole intent.
             log::info!("event=history_gone table={INTENT_TABLE}");
-            gateway.cluster_state.with_watch(|watch| watch.history_gone());
+            gateway.cluster_state.with_watch(|watch| watch.history_expired());
         }
         Err(fault) => {
             let took = gateway.clock.now().saturating_duration_since(began);
@@ -94,7 +95,7 @@
 fn read(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
     let at = gateway.clock.now();
     let rows = gateway.store.rows(INTENT_TABLE)?;
-    let snapshot = ToldOrders::read(rows.version, orders::decode(&rows.rows));
+    let snapshot = OrdersSnapshot::from_changes(rows.version, orders::decode(&rows.rows));
     gateway.cluster_state.offer_orders(at, snapshot);
     apply_rows(gateway, &rows, at);
     Ok(())
@@ -149,7 +150,7 @@
 fn apply_rows(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
     let before = gateway.cluster_state.version();
     let orders_changed = gateway.refresh_orders();
-    let confirmed = Confirmed { at, store: rows.version };
+    let confirmed = Confirmation { at, store: rows.version };
     let is_intent = |row: &&StoreRow| row.key == INTENT_KEY && !row.removed;
     let is_newer = match rows.rows.iter().rev().find(is_intent) {
         None => {
@@ -165,7 +166,7 @@
 }
 
 /// Decodes an intent that was the newest, and activates it if it is newer than the active one; returns whether it is.
-fn apply_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmed) -> bool {
+fn apply_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmation) -> bool {
     let began = gateway.clock.now();
     match intent::decode(&row.value) {
         Ok(decoded) => {
@@ -177,7 +178,7 @@
         }
         Err(fault) => {
             log::error!("event=intent_skipped source=store reason={fault}");
-            gateway.cluster_state.with_watch(|watch| watch.seen(confirmed.store));
+            gateway.cluster_state.with_watch(|watch| watch.note_store_version(confirmed.store));
             false
         }
     }
--- a/src/gateway/intent_relay.rs
+++ b/src/gateway/intent_relay.rs
@@ -10,7 +10,7 @@
 
 use super::{Gateway, intent_reader};
 use crate::{
-    routing::{PackedChange, ToldOrders, spread},
+    routing::{OrdersSnapshot, PackedChange, fanout},
     utils::sync::lock,
 };
 
@@ -35,7 +35,7 @@
     /// Version that is to become active at the receiver.
     pub version: u64,
     /// Operators' orders, which are few and sent with every offer.
-    pub orders: ToldOrders,
+    pub orders: OrdersSnapshot,
     /// Changes that lead to the version, if they are small or the receiver lacks them.
     pub changes: Vec<Arc<PackedChange>>,
     /// Addresses to which the receiver relays the offer.
@@ -57,7 +57,7 @@
     if number >= BACKUP_PUBLISHERS && !gateway.peers.is_reader(now) {
         return;
     }
-    let parts = spread::first_parts(lock(&gateway.peers.candidates).heard(now));
+    let parts = fanout::split_by_zone(lock(&gateway.peers.candidates).responsive(now));
     relay(gateway, parts);
 }
 
@@ -68,7 +68,7 @@
     let version = gateway.cluster_state.version();
     gateway.cluster_state.note_version(gateway.clock.now(), offer.version);
     if version >= offer.version {
-        relay(gateway, spread::parts(offer.relay_to));
+        relay(gateway, fanout::split_evenly(offer.relay_to));
     }
     OfferReply { version }
 }
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -10,13 +10,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::suspicion::SuspicionReport;
+use super::crash_suspects::CrashSuspectsReport;
 use crate::{
     names::Tag,
     routing::{
-        BudgetSum, Count, InstanceInfo, InstanceNews, ListNews, ListVersion, PackedChange,
-        RolloutReport, RunId, ServiceLoad, Spending, StoreEra, StoreVersion, ToldOrders,
-        ToldRollout, ToldVerdict,
+        BudgetSum, InFlightCount, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
+        PackedChange, RetrySpending, RolloutReport, RolloutUpdate, RunId, ServerListUpdate,
+        ServiceLoad, StoreEra, StoreVersion, VerdictUpdate,
     },
 };
 
@@ -40,19 +40,19 @@
     /// The sender.
     pub from: InstanceInfo,
     /// The sender's requests in flight, by server.
-    pub counts: Vec<Count>,
+    pub counts: Vec<InFlightCount>,
     /// Servers that do not respond to the sender, or that asked it to send no more requests.
     pub unresponsive: Vec<Tag>,
     /// Run id of the sender's process.
     pub run: RunId,
     /// Retries that the sender has spent.
-    pub spending: Vec<Spending>,
+    pub spending: Vec<RetrySpending>,
     /// What the sender has observed of roll-outs.
     pub rollouts: Vec<RolloutReport>,
     /// Progress of roll-outs, as the sender last received it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// Requests that the sender had in flight at servers that crashed, and verdicts on requests that crash servers.
-    pub suspicion: SuspicionReport,
+    pub crash_suspects: CrashSuspectsReport,
     /// Version of the intent that is active at the sender.
     pub intent_version: u64,
     /// Whether the sender requests changes of the intent of any size.
@@ -79,7 +79,7 @@
     /// Whether servers have crashed recently.
     pub crash_alert: bool,
     /// Requests that are held or watched.
-    pub verdicts: Vec<ToldVerdict>,
+    pub verdicts: Vec<VerdictUpdate>,
     /// Version of the intent that is active at the replying instance.
     pub intent_version: u64,
     /// Changes of the intent since the reported version, if they are small or were requested.
@@ -87,17 +87,17 @@
     /// When the replying instance last confirmed its intent to be the newest.
     pub confirmed: Option<ConfirmedAgo>,
     /// Operators' orders, as the replying instance last received them.
-    pub orders: ToldOrders,
+    pub orders: OrdersSnapshot,
     /// Progress of roll-outs, as the replying instance last received it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// Update of the list of servers since the reported version.
-    pub list: ListNews,
+    pub list: ServerListUpdate,
     /// Milliseconds since the list was current.
     pub list_age_ms: Option<u64>,
     /// Era of the store that the list was read from.
     pub list_era: StoreEra,
     /// Update of the list of instances, if its hash differs from the reported one.
-    pub instances: Option<InstanceNews>,
+    pub instances: Option<InstanceListUpdate>,
 }
 
 /// Confirmation that a version of the intent was the newest in the store.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 pub mod cluster_state;
 pub mod cold_permits;
 pub mod connection;
+pub mod crash_suspects;
 pub mod drain;
 pub mod exchange;
 pub mod flight;
@@ -24,7 +25,7 @@
 pub mod peers;
 pub mod reply;
 pub mod request;
-pub mod rollout_keeper;
+pub mod rollout_controller;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
@@ -35,7 +36,6 @@
 pub mod skipped_log;
 pub mod start;
 pub mod stream;
-pub mod suspicion;
 pub mod tries;
 pub mod unpicked;
 
@@ -51,10 +51,10 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cluster_state::ClusterState, cold_permits::ColdPermits, drain::Drain, flight::Flight,
-    peers::Peers, request::Request, rollouts::Rollouts, server_conns::ServerConns,
-    server_list_cache::ServerListCache, settings::GatewaySettings, skipped_log::SkippedLog,
-    suspicion::Suspicion,
+    cluster_state::ClusterState, cold_permits::ColdPermits, crash_suspects::CrashSuspects,
+    drain::Drain, flight::Flight, peers::Peers, request::Request, rollouts::Rollouts,
+    server_conns::ServerConns, server_list_cache::ServerListCache, settings::GatewaySettings,
+    skipped_log::SkippedLog,
 };
 use crate::{
     adapter::store::{Store, StoreFault},
@@ -62,8 +62,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, Picked, Picker, RetryBudget, Spending, StoreShare,
-        ToldOrders, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, OrdersSnapshot, PickError, PickRequest, Picked, Picker,
+        RetryBudget, RetrySpending, StoreShare,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -90,7 +90,7 @@
     /// Other instances.
     pub peers: Peers,
     /// Requests that crash servers.
-    pub suspicion: Suspicion,
+    pub crash_suspects: CrashSuspects,
     /// Roll-outs of versions.
     pub rollouts: Rollouts,
     /// Permits for requests to cold servers.
@@ -129,7 +129,7 @@
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
-            suspicion: Suspicion::default(),
+            crash_suspects: CrashSuspects::default(),
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
             drain: Drain::open().context("cannot create a pipe")?,
@@ -161,7 +161,7 @@
         let service = &request.service;
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).request(now, terms);
+        self.budget_of(&mut budgets, service).record_request(now, terms);
         drop(budgets);
         let target = request.route.target_latency;
         lock(&self.picker).note_request(now, service, request.priority, target);
@@ -176,12 +176,12 @@
     pub fn pick(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
-    ) -> Result<(Picked, Flight<'_>), Unpicked> {
+        wanted: &PickRequest<'_>,
+    ) -> Result<(Picked, Flight<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
-        picker.begin(now, &server);
+        picker.start_request(now, &server);
         Ok((picked, Flight { gateway: self, server }))
     }
 
@@ -190,11 +190,11 @@
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).has(now, terms, instances, reserve)
+        self.budget_of(&mut budgets, service).allows(now, terms, instances, reserve)
     }
 
     /// Returns the retries that this instance has spent at each service, for the sums over all instances.
-    pub fn spending(&self, now: Instant) -> Vec<Spending> {
+    pub fn spending(&self, now: Instant) -> Vec<RetrySpending> {
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
         budgets.iter_mut().map(|(service, budget)| budget.spending(now, terms, service)).collect()
@@ -205,7 +205,7 @@
         let mut budgets = lock(&self.budgets);
         for sum in sums {
             let service = sum.service.clone();
-            self.budget_of(&mut budgets, &service).set_sum(now, sum, fastrand::f64());
+            self.budget_of(&mut budgets, &service).set_fleet_sum(now, sum, fastrand::f64());
         }
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Applies a snapshot of operators' orders that was read or received.
-    pub fn accept_orders(&self, snapshot: ToldOrders, source: &str) {
+    pub fn accept_orders(&self, snapshot: OrdersSnapshot, source: &str) {
         if self.cluster_state.offer_orders(self.clock.now(), snapshot) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
@@ -263,8 +263,9 @@
         }
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
-            self.cluster_state.suspect_cold(now, zone, lasts);
+            let lasts =
+                |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
+            self.cluster_state.assume_cold(now, zone, lasts);
             self.servers_changed();
         }
         zones != former || rollouts_changed
@@ -324,7 +325,7 @@
             self.metrics.rollout_share(&service, share);
         }
         self.metrics.cold_servers(lock(&self.picker).cold_count(now));
-        self.metrics.held_requests(self.suspicion.held_count());
+        self.metrics.held_requests(self.crash_suspects.held_count());
         self.metrics.log_lines_left_out(log_sink::take_dropped());
     }
 
@@ -339,7 +340,7 @@
     /// Returns whether the active intent has been outdated for longer than a change may take to apply. New callers
     /// should then use another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let outdated = self.cluster_state.with_watch(|watch| watch.behind_for(now));
+        let outdated = self.cluster_state.with_watch(|watch| watch.outdated_for(now));
         outdated.is_some_and(|time| time > self.settings.bounds.intent_apply_time)
     }
 }
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -24,7 +24,7 @@
         traffic::Purpose,
     },
     names::Tag,
-    routing::{BudgetSum, ServiceLoad, ToldVerdict},
+    routing::{BudgetSum, ServiceLoad, VerdictUpdate},
     utils::sync::lock,
 };
 
@@ -59,7 +59,7 @@
         let after = candidates.version();
         // An incomplete list would be taken for the list of all instances.
         let sends_update = after != report.instances_hash && gateway.peers.has_joined(now);
-        (sends_update.then(|| candidates.since(report.instances_hash)), after != before)
+        (sends_update.then(|| candidates.update_since(report.instances_hash)), after != before)
     };
     if has_changed {
         gateway.instances_changed();
@@ -67,20 +67,25 @@
     if report.purpose == ExchangePurpose::Aggregate {
         let was_inactive = !gateway.peers.is_aggregator(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
-        aggregate.take(now, report.from.node.clone(), report.counts);
-        aggregate.take_silent(now, report.from.node.clone(), report.unresponsive);
+        aggregate.record_counts(now, report.from.node.clone(), report.counts);
+        aggregate.record_unresponsive(now, report.from.node.clone(), report.unresponsive);
         drop(aggregate);
-        lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
-        gateway.suspicion.take_report(now, &report.suspicion);
+        lock(&gateway.peers.budget).record_report(
+            now,
+            &report.from.node,
+            report.run,
+            report.spending,
+        );
+        gateway.crash_suspects.apply_report(now, &report.crash_suspects);
         if was_inactive {
             log::info!("event=reads_for_others servers_age_ms={}", servers_age_ms(gateway, now));
             gateway.store_read_requested.set();
         }
     }
-    gateway.rollouts.take_told(gateway, &report.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &report.rollout_states, "peer");
     if purpose == ExchangePurpose::Aggregate {
         let (node, run) = (&report.from.node, report.run);
-        gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
+        gateway.rollouts.apply_reports(gateway, node, run, report.rollouts);
     }
     let sums = fleet_sums(gateway, now);
     let list = cluster_state.server_list_reply(now, report.list_version);
@@ -93,7 +98,7 @@
             Vec::new()
         },
         run: gateway.peers.run,
-        crash_alert: gateway.suspicion.is_alert(now),
+        crash_alert: gateway.crash_suspects.is_alert(now),
         verdicts: verdicts(gateway, now, purpose),
         intent_version: cluster_state.version(),
         changes,
@@ -104,7 +109,7 @@
             }
         }),
         orders: cluster_state.orders(),
-        rollout_states: gateway.rollouts.told(now),
+        rollout_states: gateway.rollouts.updates(now),
         list: list.update,
         list_age_ms: list.age.map(millis),
         list_era: list.era,
@@ -113,10 +118,10 @@
 }
 
 /// Returns the verdicts on requests that crash servers, for an exchange of this purpose.
-fn verdicts(gateway: &Gateway, now: Instant, purpose: ExchangePurpose) -> Vec<ToldVerdict> {
-    let mut verdicts = gateway.suspicion.lasting(now);
+fn verdicts(gateway: &Gateway, now: Instant, purpose: ExchangePurpose) -> Vec<VerdictUpdate> {
+    let mut verdicts = gateway.crash_suspects.verdict_updates(now);
     if purpose == ExchangePurpose::Aggregate {
-        verdicts.extend(gateway.suspicion.watched(now));
+        verdicts.extend(gateway.crash_suspects.watched(now));
     }
     verdicts
 }
@@ -150,7 +155,7 @@
 fn service_loads(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
     let own_counts = lock(&gateway.picker).own_counts();
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take(now, gateway.settings.node.clone(), own_counts);
+    aggregate.record_counts(now, gateway.settings.node.clone(), own_counts);
     gateway
         .cluster_state
         .with_servers(|roster| aggregate.summary(now, roster.servers().map(|server| &**server)))
@@ -159,15 +164,15 @@
 fn budget_sums(gateway: &Gateway, now: Instant) -> Vec<BudgetSum> {
     let own = gateway.spending(now);
     let mut budget = lock(&gateway.peers.budget);
-    budget.take(now, &gateway.settings.node, gateway.peers.run, own);
+    budget.record_report(now, &gateway.settings.node, gateway.peers.run, own);
     budget.sums(now)
 }
 
 fn unresponsive_servers(gateway: &Gateway, now: Instant) -> Vec<Tag> {
-    let own = lock(&gateway.picker).own_silent(now);
+    let own = lock(&gateway.picker).own_unresponsive(now);
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take_silent(now, gateway.settings.node.clone(), own);
-    aggregate.silent()
+    aggregate.record_unresponsive(now, gateway.settings.node.clone(), own);
+    aggregate.unresponsive()
 }
 
 /// Reads the store for an instance that it rejects.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -21,7 +21,7 @@
     intent_relay::{OFFER_PATH, Offer, OfferReply},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
     peer_server::{FleetSums, SUMS_MAX_AGE, fleet_sums},
-    rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
+    rollout_table::{ROLLOUT_PATH, RolloutTableReply, RolloutTableRequest},
     roster_reader,
     settings::GatewaySettings,
 };
@@ -32,9 +32,9 @@
         traffic::{Purpose, Traffic},
     },
     routing::{
-        Aggregate, Candidates, Confirmed, Count, Crowded, FleetBudget, FleetPosition, Helper,
-        InstanceInfo, Judgement, ListNews, ListVersion, RosterRole, RunId, ServiceLoad, StartWatch,
-        StoreEra, WatchRole, helper,
+        Aggregate, Candidates, Confirmation, Crowded, FallbackReader, FleetBudget, FleetPosition,
+        InFlightCount, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
+        ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
     utils::{recent::Recent, sync::lock},
 };
@@ -87,11 +87,11 @@
     joined: AtomicBool,
     started: Instant,
     /// How long this instance waits for seeds at its start.
-    pub(super) start: StartWatch,
+    pub(super) start: StartupWait,
     pub(super) fleet_sums: Recent<FleetSums>,
     last_round: Mutex<Option<Instant>>,
     /// Chooses an instance that reads the store while it rejects this one.
-    helper: Mutex<Helper>,
+    fallback_reader: Mutex<FallbackReader>,
 }
 
 impl Peers {
@@ -115,10 +115,10 @@
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartWatch::new(clock.now(), is_seed, fastrand::f64()),
+            start: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
             fleet_sums: Recent::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
-            helper: Mutex::default(),
+            fallback_reader: Mutex::default(),
         }
     }
 
@@ -139,7 +139,7 @@
 
     /// Returns whether this instance reads the store periodically: it is the aggregator, or no other instance responds.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.has_joined(now) && lock(&self.candidates).first(now).is_none();
+        let alone = self.has_joined(now) && lock(&self.candidates).aggregator(now).is_none();
         alone || self.is_aggregator(now)
     }
 
@@ -163,7 +163,7 @@
     /// Returns whether other instances have reported to this one within [`AGGREGATOR_TTL`].
     pub(super) fn is_aggregator(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
-        let last = lock(&self.aggregate).last_heard(&own);
+        let last = lock(&self.aggregate).last_report(&own);
         last.is_some_and(|at| now.saturating_duration_since(at) < AGGREGATOR_TTL)
     }
 
@@ -192,19 +192,27 @@
     }
 
     /// Has another instance access the store's table of roll-outs; `None` if none could.
-    pub fn forward_rollout_request(&self, now: Instant, request: &TableAsk) -> Option<TableReply> {
-        for _ in 0..helper::ASKED {
-            let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
-            match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, request) {
-                Ok(TableReply::Failed(reason)) => {
-                    log::info!("event=no_help peer={} reason={reason:?}", helper.node);
+    pub fn forward_rollout_request(
+        &self,
+        now: Instant,
+        request: &RolloutTableRequest,
+    ) -> Option<RolloutTableReply> {
+        for _ in 0..fallback_reader::ATTEMPTS_MAX {
+            let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
+            match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, request) {
+                Ok(RolloutTableReply::Failed(reason)) => {
+                    log::info!("event=no_help peer={} reason={reason:?}", fallback_reader.node);
                 }
                 Ok(reply) => return Some(reply),
                 Err(fault) => {
-                    log::info!("event=no_help peer={} reason={:?}", helper.node, fault.to_string());
+                    log::info!(
+                        "event=no_help peer={} reason={:?}",
+                        fallback_reader.node,
+                        fault.to_string()
+                    );
                 }
             }
-            lock(&self.helper).failed();
+            lock(&self.fallback_reader).failed();
         }
         None
     }
@@ -266,23 +274,23 @@
     let peers = &gateway.peers;
     for _ in 0..2 {
         let now = gateway.clock.now();
-        let aggregator = lock(&peers.candidates).first(now).cloned();
+        let aggregator = lock(&peers.candidates).aggregator(now).cloned();
         let Some(aggregator) = aggregator else {
             let sums = fleet_sums(gateway, now);
             apply_loads(gateway, now, &sums.loads, None);
-            lock(&gateway.picker).told_silent(now, &sums.unresponsive);
+            lock(&gateway.picker).note_reported_unresponsive(now, &sums.unresponsive);
             gateway.set_budget_sums(now, sums.budgets.clone());
             take_own_crash_report(gateway, now);
             return;
         };
         match exchange_with(gateway, aggregator.address, ExchangePurpose::Aggregate) {
             Ok(()) => {
-                lock(&peers.candidates).note_heard(&aggregator.node);
+                lock(&peers.candidates).note_responsive(&aggregator.node);
                 return;
             }
             Err(fault) => {
                 log::info!("event=peer_silent peer={} reason={fault:?}", aggregator.node);
-                lock(&peers.candidates).note_silent(gateway.clock.now(), &aggregator.node);
+                lock(&peers.candidates).note_unresponsive(gateway.clock.now(), &aggregator.node);
             }
         }
     }
@@ -290,16 +298,16 @@
 
 /// Applies the aggregator's own report on servers that crashed.
 fn take_own_crash_report(gateway: &Gateway, now: Instant) {
-    let suspicion = &gateway.suspicion;
+    let crash_suspects = &gateway.crash_suspects;
     if !gateway.settings.first_start && gateway.peers.has_joined(now) {
-        suspicion.want_table();
+        crash_suspects.request_table_read();
     }
-    let report = suspicion.report(now);
-    suspicion.take_report(now, &report);
-    suspicion.note_told(gateway.peers.run, &report);
-    suspicion.watch(now, &suspicion.watched(now));
-    if suspicion.is_alert(now) {
-        suspicion.alert(now);
+    let report = crash_suspects.report(now);
+    crash_suspects.apply_report(now, &report);
+    crash_suspects.mark_reported(gateway.peers.run, &report);
+    crash_suspects.watch(now, &crash_suspects.watched(now));
+    if crash_suspects.is_alert(now) {
+        crash_suspects.alert(now);
     }
 }
 
@@ -327,14 +335,16 @@
 /// Has another instance read the store for the aggregator, which the store rejects.
 fn request_store_read(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
-    for _ in 0..helper::ASKED {
-        let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
-        let Some(helper) = helper else { return };
-        let Err(fault) = exchange_with(gateway, helper.address, ExchangePurpose::ReadStore) else {
+    for _ in 0..fallback_reader::ATTEMPTS_MAX {
+        let fallback_reader = lock(&peers.fallback_reader).pick(now, &lock(&peers.candidates));
+        let Some(fallback_reader) = fallback_reader else { return };
+        let Err(fault) =
+            exchange_with(gateway, fallback_reader.address, ExchangePurpose::ReadStore)
+        else {
             return;
         };
-        log::info!("event=no_help peer={} reason={fault:?}", helper.node);
-        lock(&peers.helper).failed();
+        log::info!("event=no_help peer={} reason={fault:?}", fallback_reader.node);
+        lock(&peers.fallback_reader).failed();
     }
 }
 
@@ -366,21 +376,21 @@
     };
     let (counts, unresponsive) = {
         let picker = lock(&gateway.picker);
-        (picker.own_counts(), picker.own_silent(sent_at))
+        (picker.own_counts(), picker.own_unresponsive(sent_at))
     };
     // Only the aggregator receives the reports of all instances; the sums of another one would be incomplete.
     let to_aggregator = purpose == ExchangePurpose::Aggregate;
-    let suspicion =
-        if to_aggregator { gateway.suspicion.report(sent_at) } else { Default::default() };
+    let crash_suspects =
+        if to_aggregator { gateway.crash_suspects.report(sent_at) } else { Default::default() };
     let report = ExchangeReport {
         from,
         counts: counts.clone(),
         unresponsive,
         run: peers.run,
-        suspicion,
+        crash_suspects,
         spending: if to_aggregator { gateway.spending(sent_at) } else { Vec::new() },
         rollouts: if to_aggregator { gateway.rollouts.reports(gateway) } else { Vec::new() },
-        rollout_states: gateway.rollouts.told(sent_at),
+        rollout_states: gateway.rollouts.updates(sent_at),
         intent_version: version,
         // An instance that starts, or that could not read the store, accepts changes of any size.
         wants_intent: !to_aggregator || version == 0,
@@ -395,15 +405,15 @@
     let received_at = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
         reply.verdicts.iter().partition(|verdict| verdict.judgement == Judgement::Watched);
-    gateway.suspicion.take_verdicts(received_at, &lasting, "peer");
+    gateway.crash_suspects.apply_verdicts(received_at, &lasting, "peer");
     if to_aggregator {
-        gateway.suspicion.note_told(reply.run, &report.suspicion);
-        gateway.suspicion.watch(received_at, &watched);
+        gateway.crash_suspects.mark_reported(reply.run, &report.crash_suspects);
+        gateway.crash_suspects.watch(received_at, &watched);
         if reply.crash_alert {
-            gateway.suspicion.alert(received_at);
+            gateway.crash_suspects.alert(received_at);
         }
         apply_loads(gateway, received_at, &reply.loads, Some(counts));
-        lock(&gateway.picker).told_silent(received_at, &reply.unresponsive);
+        lock(&gateway.picker).note_reported_unresponsive(received_at, &reply.unresponsive);
         gateway.set_budget_sums(received_at, std::mem::take(&mut reply.budgets));
     }
     apply_reply(gateway, reply, list, sent_at);
@@ -416,7 +426,7 @@
     gateway: &Gateway,
     now: Instant,
     loads: &[ServiceLoad],
-    reported: Option<Vec<Count>>,
+    reported: Option<Vec<InFlightCount>>,
 ) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
@@ -432,12 +442,12 @@
 fn apply_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    update: ListNews,
+    update: ServerListUpdate,
     as_of: Instant,
     era: StoreEra,
 ) {
     let cluster_state = &gateway.cluster_state;
-    let is_same = matches!(update, ListNews::Same);
+    let is_same = matches!(update, ServerListUpdate::Same);
     if is_same && cluster_state.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
@@ -454,20 +464,20 @@
 ) {
     // Orders come first: the intent or the list may make this instance ready.
     gateway.accept_orders(reply.orders, "peer");
-    gateway.rollouts.take_told(gateway, &reply.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &reply.rollout_states, "peer");
     intent_reader::apply_changes(gateway, &reply.changes);
     let then = |age_ms: u64| sent_at.checked_sub(Duration::from_millis(age_ms));
     if let Some(ConfirmedAgo { age_ms, store }) = reply.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.cluster_state.confirm(reply.intent_version, Confirmed { at, store });
+        gateway.cluster_state.confirm(reply.intent_version, Confirmation { at, store });
     }
     gateway.cluster_state.note_version(gateway.clock.now(), reply.intent_version);
     if let Some(as_of) = reply.list_age_ms.and_then(then) {
         apply_list(gateway, list, reply.list, as_of, reply.list_era);
     }
     if let Some(instances) = reply.instances {
-        lock(&gateway.peers.candidates).take(instances);
+        lock(&gateway.peers.candidates).apply_update(instances);
         gateway.instances_changed();
     }
 }
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -14,7 +14,7 @@
     adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
     routing::{
         BackendServer, RosterRole, RosterStep, RosterWatch, StoreEra, roster::RosterChange,
-        start::QUESTION_PAUSE,
+        startup::STARTUP_POLL_INTERVAL,
     },
     utils::sync::lock,
 };
@@ -30,7 +30,7 @@
     loop {
         let now = gateway.clock.now();
         if start::is_waiting(gateway, now) {
-            gateway.store_read_requested.wait(QUESTION_PAUSE);
+            gateway.store_read_requested.wait(STARTUP_POLL_INTERVAL);
             continue;
         }
         let role = gateway.peers.roster_role(now);
@@ -38,20 +38,20 @@
         let as_of = gateway.cluster_state.with_servers(|roster| roster.as_of());
         match watch.next(now, &role, as_of) {
             RosterStep::Wait(time) => gateway.store_read_requested.wait(time),
-            RosterStep::Ask => {
+            RosterStep::AskPeers => {
                 peers::catch_up(gateway);
-                watch.asked(gateway.clock.now());
+                watch.peers_asked(gateway.clock.now());
             }
             RosterStep::Read => match read_and_log(gateway, &role) {
                 Ok(()) => {
-                    watch.read(now);
+                    watch.store_read(now);
                     if std::mem::take(&mut store_lost) {
                         log::warn!("event=store_back");
                     }
                 }
                 Err(fault) => {
                     store_lost = true;
-                    watch.failed(gateway.clock.now());
+                    watch.store_failed(gateway.clock.now());
                     gateway.store_failed("servers", &fault);
                 }
             },
@@ -99,11 +99,11 @@
     let skipped: Vec<SkippedEntry> = list.skipped().cloned().collect();
     let (servers, era) = (list.servers(), list.version.era);
     drop(cache);
-    if gateway.cluster_state.with_servers(|roster| roster.lacks_version_of(&servers)) {
+    if gateway.cluster_state.with_servers(|roster| roster.is_missing_version_of(&servers)) {
         read_orders_first(gateway);
     }
     lock(&gateway.skipped_log).log_new(&skipped);
-    gateway.cluster_state.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
+    gateway.cluster_state.mark_overwritten(skipped.iter().map(|entry| entry.key.as_str()));
     apply_list(gateway, servers, as_of, era, "store");
     if let Some(list) = lock(&gateway.server_list_cache).as_mut() {
         list.mark_applied(gateway.cluster_state.list_version());
@@ -164,7 +164,7 @@
         ("server_added", &change.added),
         ("server_leaving", &change.leaving),
         ("server_changed", &change.changed),
-        ("server_gone", &change.gone),
+        ("server_gone", &change.removed),
         ("server_cold", &change.cold),
     ] {
         if ids.len() > SINGLE_LINES_MAX {
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     names::{NodeName, RegionName, ZoneName},
-    routing::{RolloutTerms, StoreRates, budget::BudgetTerms, roster_watch},
+    routing::{ExposureLimit, StoreRates, budget::BudgetTerms, roster_watch},
 };
 
 /// Everything an instance needs to know to start.
@@ -72,7 +72,7 @@
     /// Maximum load of a server, as a multiple of the mean over its service.
     pub load: f64,
     /// Share of a service's requests that a failing new version may receive.
-    pub rollouts: RolloutTerms,
+    pub rollouts: ExposureLimit,
     /// The fleet's retry budget.
     pub retries: BudgetTerms,
 }
@@ -80,6 +80,6 @@
 impl GatewaySettings {
     /// Returns the time between two reads of the list of servers.
     pub fn roster_period(&self) -> Duration {
-        roster_watch::pause(self.bounds.server_drain_time)
+        roster_watch::read_period(self.bounds.server_drain_time)
     }
 }
--- a/src/routing/blame/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -8,15 +8,15 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::{RequestDigest, RequestLook};
+use super::{RequestDigest, RequestFingerprint};
 
 /// How long a request is held back: time for operators to see it, and a bound on what a wrong verdict costs. One that
 /// still ends servers after that ends three more in ten minutes.
-pub const HELD_FOR: Duration = Duration::from_secs(600);
+pub const HOLD_DURATION: Duration = Duration::from_secs(600);
 
 /// How long it counts that a request was cleared: late news of ends before that change nothing, and one that ends servers
 /// all the same is held back again.
-pub const CLEARED_FOR: Duration = Duration::from_secs(60);
+pub const CLEARED_DURATION: Duration = Duration::from_secs(60);
 
 /// Most verdicts kept, and told in a message: 3 KB.
 const KEPT_MAX: usize = 128;
@@ -35,19 +35,19 @@
 impl Judgement {
     fn life(self) -> Duration {
         match self {
-            Judgement::Watched | Judgement::Held => HELD_FOR,
-            Judgement::Cleared => CLEARED_FOR,
+            Judgement::Watched | Judgement::Held => HOLD_DURATION,
+            Judgement::Cleared => CLEARED_DURATION,
         }
     }
 }
 
 /// A verdict as instances tell it each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldVerdict {
+pub struct VerdictUpdate {
     /// The request.
     pub digest: RequestDigest,
     /// Its look.
-    pub look: RequestLook,
+    pub fingerprint: RequestFingerprint,
     /// What is said of it.
     pub judgement: Judgement,
     /// Milliseconds since that was first said.
@@ -56,7 +56,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Verdict {
-    look: RequestLook,
+    fingerprint: RequestFingerprint,
     judgement: Judgement,
     since: Instant,
 }
@@ -66,35 +66,35 @@
 pub struct Verdicts {
     known: IndexMap<RequestDigest, Verdict>,
     /// Looks of requests that are held or watched.
-    looks: HashSet<RequestLook>,
+    fingerprints: HashSet<RequestFingerprint>,
 }
 
 impl Verdicts {
     /// Returns whether no request is looked for, so that none needs a look.
     pub fn is_idle(&self) -> bool {
-        self.looks.is_empty()
+        self.fingerprints.is_empty()
     }
 
     /// Returns for how long a request is held back still; its body is read, by `digest`, only where its look is known.
     pub fn held(
         &self,
         now: Instant,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<(RequestDigest, Duration)> {
-        let digest = self.looks.contains(&look).then(digest)?;
+        let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         let verdict = self.known.get(&digest).filter(|known| known.judgement == Judgement::Held)?;
-        let left = HELD_FOR.checked_sub(now.saturating_duration_since(verdict.since))?;
+        let left = HOLD_DURATION.checked_sub(now.saturating_duration_since(verdict.since))?;
         Some((digest, left))
     }
 
     /// Returns what is said of a request.
     pub fn judgement(
         &self,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<Judgement> {
-        let digest = self.looks.contains(&look).then(digest)?;
+        let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         self.known.get(&digest).map(|known| known.judgement)
     }
 
@@ -102,15 +102,15 @@
     pub fn answered(
         &mut self,
         now: Instant,
-        look: RequestLook,
+        fingerprint: RequestFingerprint,
         digest: impl FnOnce() -> RequestDigest,
     ) -> Option<RequestDigest> {
-        let digest = self.looks.contains(&look).then(digest)?;
+        let digest = self.fingerprints.contains(&fingerprint).then(digest)?;
         let known = self.known.get(&digest)?.judgement;
         match known {
             Judgement::Watched => {
                 self.known.shift_remove(&digest);
-                self.looks_changed();
+                self.update_fingerprints();
             }
             Judgement::Held => self.clear(now, digest),
             Judgement::Cleared => return None,
@@ -124,11 +124,11 @@
             verdict.judgement = Judgement::Cleared;
             verdict.since = now;
         }
-        self.looks_changed();
+        self.update_fingerprints();
     }
 
     /// Takes verdicts that another instance tells, or this one has found; returns those that are new here.
-    pub fn take(&mut self, now: Instant, told: &[ToldVerdict]) -> Vec<ToldVerdict> {
+    pub fn take(&mut self, now: Instant, told: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
         let mut news = Vec::new();
         for said in told {
             let age = Duration::from_millis(said.age_ms);
@@ -137,13 +137,14 @@
                 continue;
             }
             let since = now.checked_sub(age).unwrap_or(now);
-            let verdict = Verdict { look: said.look, judgement: said.judgement, since };
+            let verdict =
+                Verdict { fingerprint: said.fingerprint, judgement: said.judgement, since };
             self.known.insert(said.digest, verdict);
             news.push(*said);
         }
         if !news.is_empty() {
             self.forget_most();
-            self.looks_changed();
+            self.update_fingerprints();
         }
         news
     }
@@ -151,31 +152,31 @@
     /// Takes the requests that are to be watched from now on, instead of those before.
     ///
     /// Returns those that were not watched before.
-    pub fn watch(&mut self, now: Instant, watched: &[ToldVerdict]) -> Vec<ToldVerdict> {
+    pub fn watch(&mut self, now: Instant, watched: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
         let before = self.known.len();
         self.known.retain(|digest, known| {
             known.judgement != Judgement::Watched || watched.iter().any(|w| w.digest == *digest)
         });
         if self.known.len() != before {
-            self.looks_changed();
+            self.update_fingerprints();
         }
         self.take(now, watched)
     }
 
     /// Returns what is held back, or was until lately, for other instances.
-    pub fn told(&mut self, now: Instant) -> Vec<ToldVerdict> {
+    pub fn updates(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         let before = self.known.len();
         self.known
             .retain(|_, known| now.saturating_duration_since(known.since) < known.judgement.life());
         if self.known.len() != before {
-            self.looks_changed();
+            self.update_fingerprints();
         }
         let lasting = self.known.iter().filter(|(_, known)| known.judgement != Judgement::Watched);
         let told = |(digest, known): (&RequestDigest, &Verdict)| {
             let age = now.saturating_duration_since(known.since).as_millis();
-            let (look, judgement) = (known.look, known.judgement);
+            let (fingerprint, judgement) = (known.fingerprint, known.judgement);
             let age_ms = u64::try_from(age).unwrap_or(u64::MAX);
-            ToldVerdict { digest: *digest, look, judgement, age_ms }
+            VerdictUpdate { digest: *digest, fingerprint, judgement, age_ms }
         };
         lasting.map(told).collect()
     }
@@ -200,8 +201,8 @@
         }
     }
 
-    fn looks_changed(&mut self) {
+    fn update_fingerprints(&mut self) {
         let sought = self.known.values().filter(|known| known.judgement != Judgement::Cleared);
-        self.looks = sought.map(|known| known.look).collect();
+        self.fingerprints = sought.map(|known| known.fingerprint).collect();
     }
 }
--- a/src/routing/picker/places.rs
+++ b/src/routing/picker/places.rs
@@ -15,22 +15,22 @@
     /// saw the same free place, all would take it.
     pub(super) fn has_own_place(&self, now: Instant, tracked: &Tracked) -> bool {
         let Some(slots) = tracked.server.slots else { return true };
-        let turn = self.turn(tracked.server.place());
+        let turn = self.turn(tracked.server.stable_tag());
         let allotted = tracked.load.allotted(now, f64::from(slots), self.position, turn);
         allotted.is_none_or(|more| more > 0.0)
     }
 
     /// Returns how long a request waits for a place at a server with `load` in flight.
     pub(super) fn wait(&self, now: Instant, tracked: &Tracked, load: f64) -> Duration {
-        let (Some(overload), Some(slots)) =
-            (self.overload.get(&tracked.server.service), tracked.server.slots)
+        let (Some(admission), Some(slots)) =
+            (self.admission.get(&tracked.server.service), tracked.server.slots)
         else {
             return Duration::ZERO;
         };
         // By counts that are older than a request takes, all would leave a server and flood another.
-        if !overload.is_current(now) {
+        if !admission.is_current(now) {
             return Duration::ZERO;
         }
-        overload.wait(tracked.load.queued(now, load, slots), slots)
+        admission.wait(tracked.load.queued(now, load, slots), slots)
     }
 }
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -8,7 +8,9 @@
 use cartvane::{
     gateway::cluster_state::ClusterState,
     names::ServiceName,
-    routing::{BackendServer, ListNews, LoadReport, Picker, ServiceLoad, StoreEra, Wanted},
+    routing::{
+        BackendServer, LoadReport, PickRequest, Picker, ServerListUpdate, ServiceLoad, StoreEra,
+    },
 };
 use fastrand::Rng;
 use serde_json::json;
@@ -34,7 +36,7 @@
     let mut picker = Picker::new("z0".parse().expect("a name"), 2.0);
     picker.set_servers(now, servers.iter());
     let counts = servers.iter().step_by(10).map(|server| (server.tag(), 1)).collect();
-    let load = ServiceLoad { service: service.clone(), mean: 0.1, counts, whole: true };
+    let load = ServiceLoad { service: service.clone(), mean: 0.1, counts, is_complete: true };
     for server in servers.iter().step_by(7) {
         picker.report(now, &server.id, LoadReport { running: 1, waiting: 0, slots: 16 });
     }
@@ -49,7 +51,7 @@
         for _ in 0..CHOICES {
             let (key, spread) = (rng.u64(..), rng.u64(..));
             let affinity = has_prompt.then_some(key);
-            let wanted = Wanted { affinity, spread, ..Wanted::of(&service) };
+            let wanted = PickRequest { affinity, spread, ..PickRequest::new(&service) };
             took.push(timed(|| drop(picker.pick(now, &wanted))));
         }
         figures.extend(spread(&format!("choice {name}, {size} servers"), &took));
@@ -66,7 +68,7 @@
     let version = cluster_state.list_version();
     let at = |round: u32| now + Duration::from_millis(1) * round;
     let look = |round| {
-        let same = cluster_state.apply_list_update(version, ListNews::Same);
+        let same = cluster_state.apply_list_update(version, ServerListUpdate::Same);
         same.map(|list| cluster_state.apply_server_list(at(round), at(round), era, list))
     };
     let looked: Vec<Duration> = (1..20).map(|round| timed(|| drop(look(round)))).collect();
--- a/tests/suite/cluster_state.rs
+++ b/tests/suite/cluster_state.rs
@@ -5,7 +5,7 @@
 use cartvane::{
     clock::Clock,
     gateway::{GatewayHandle, cluster_state::ClusterState},
-    routing::{Confirmed, Intent, StoreVersion, Wanted},
+    routing::{Confirmation, Intent, PickRequest, StoreVersion},
 };
 use serde_json::json;
 use standins::{
@@ -212,13 +212,13 @@
         .collect();
     let service = "app".parse().expect("a name");
     eventually("the other counts them", || {
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &service,
             affinity: None,
             spread: 5,
             tried: &[],
             admission: None,
-            ..Wanted::of(&service)
+            ..PickRequest::new(&service)
         };
         let now = Clock::system().now();
         let picker = two.gateway().picker.lock().expect("the picker");
@@ -293,10 +293,10 @@
     let cluster_state = ClusterState::new(Duration::from_secs(2));
     let store = StoreVersion::default();
     cluster_state
-        .offer_intent(Intent { version: 5, ..Intent::empty() }, Confirmed { at: now, store });
-    cluster_state.confirm(9, Confirmed { at: later, store });
+        .offer_intent(Intent { version: 5, ..Intent::empty() }, Confirmation { at: now, store });
+    cluster_state.confirm(9, Confirmation { at: later, store });
     assert_eq!(cluster_state.intent_age(later), Some(Duration::from_secs(1)));
-    cluster_state.confirm(4, Confirmed { at: later, store });
+    cluster_state.confirm(4, Confirmation { at: later, store });
     assert_eq!(
         cluster_state.intent_age(later),
         Some(Duration::ZERO),
--- a/tests/suite/deadly_drawn.rs
+++ b/tests/suite/crashing_requests_random.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    gateway::suspicion::Suspicion,
+    gateway::crash_suspects::CrashSuspects,
     names::ServiceName,
-    routing::{Incarnation, RequestDigest, RequestLook, RunId, Suspect},
+    routing::{Incarnation, RequestDigest, RequestFingerprint, RunId, Suspect},
 };
 
 const STEP: Duration = Duration::from_millis(10);
@@ -76,7 +76,7 @@
     day: &'d Day,
     start: Instant,
     state: u64,
-    nodes: Vec<Suspicion>,
+    nodes: Vec<CrashSuspects>,
     servers: Vec<Server>,
     flights: Vec<Flight>,
     service: ServiceName,
@@ -87,8 +87,8 @@
     played: Played,
 }
 
-fn digest_of(request: u64) -> (RequestLook, RequestDigest) {
-    (RequestLook(request as u32), RequestDigest(request))
+fn digest_of(request: u64) -> (RequestFingerprint, RequestDigest) {
+    (RequestFingerprint(request as u32), RequestDigest(request))
 }
 
 impl Play<'_> {
@@ -109,8 +109,8 @@
     /// Sends a request to the first server of its rank that runs; all requests have one of four ranks.
     fn send(&mut self, step: usize, mut flight: Flight) {
         let node = &self.nodes[flight.instance];
-        let (look, digest) = digest_of(flight.request);
-        if node.held_by(self.now(step), || look, || digest).is_some() {
+        let (fingerprint, digest) = digest_of(flight.request);
+        if node.held_by(self.now(step), || fingerprint, || digest).is_some() {
             let is_hot = flight.request == HOT;
             self.played.hot_held += usize::from(is_hot);
             self.played.others_held += usize::from(flight.deadly.is_none() && !is_hot);
@@ -163,19 +163,22 @@
             std::mem::take(&mut self.flights).into_iter().partition(|f| f.server == server);
         self.flights = others;
         for flight in here {
-            let (look, digest) = digest_of(flight.request);
-            let suspect =
-                Suspect { look, digest, ran_on: flight.first.saturating_add(RUN_ON) <= step };
+            let (fingerprint, digest) = digest_of(flight.request);
+            let suspect = Suspect {
+                fingerprint,
+                digest,
+                long_running: flight.first.saturating_add(RUN_ON) <= step,
+            };
             let now = self.now(step);
-            self.nodes[flight.instance].note_end(now, &id, &self.service, suspect);
+            self.nodes[flight.instance].note_crash(now, &id, &self.service, suspect);
             self.try_again(step, flight);
         }
     }
 
     fn try_again(&mut self, step: usize, flight: Flight) {
         let node = &self.nodes[flight.instance];
-        let (look, digest) = digest_of(flight.request);
-        if flight.tried < SERVERS_TRIED && !node.ends_here_by(|| look, || digest) {
+        let (fingerprint, digest) = digest_of(flight.request);
+        if flight.tried < SERVERS_TRIED && !node.forbids_retry_by(|| fingerprint, || digest) {
             return self.send(step, Flight { tried: flight.tried + 1, ..flight });
         }
         if !flight.again {
@@ -191,10 +194,10 @@
         let now = self.now(step);
         let report = self.nodes[node].report(now);
         let collector = &self.nodes[self.collector];
-        collector.take_report(now, &report);
+        collector.apply_report(now, &report);
         let (lasting, watched) = (collector.report(now).verdicts, collector.watched(now));
-        self.nodes[node].take_verdicts(now, &lasting, "peer");
-        self.nodes[node].note_told(RunId(self.collector as u64), &report);
+        self.nodes[node].apply_verdicts(now, &lasting, "peer");
+        self.nodes[node].mark_reported(RunId(self.collector as u64), &report);
         self.nodes[node].watch(now, &watched);
         if self.nodes[self.collector].is_alert(now) {
             self.nodes[node].alert(now);
@@ -232,7 +235,7 @@
     /// of 0.3 s each that nobody answered.
     fn lose_collector(&mut self, step: usize) {
         if self.day.collector_lost && self.collector == 0 {
-            self.nodes[0] = Suspicion::default();
+            self.nodes[0] = CrashSuspects::default();
             self.collector = 1;
             self.silent_until = step + 60;
         }
@@ -245,8 +248,8 @@
         let now = self.now(step);
         for flight in done {
             let Some(number) = flight.deadly else {
-                let (look, digest) = digest_of(flight.request);
-                self.nodes[flight.instance].clear_answered(now, look, || digest);
+                let (fingerprint, digest) = digest_of(flight.request);
+                self.nodes[flight.instance].note_success_by(now, fingerprint, || digest);
                 continue;
             };
             let server = flight.server;
@@ -271,7 +274,7 @@
         day,
         start: Instant::now(),
         state: day.seed,
-        nodes: (0..day.instances).map(|_| Suspicion::default()).collect(),
+        nodes: (0..day.instances).map(|_| CrashSuspects::default()).collect(),
         servers: Vec::new(),
         flights: Vec::new(),
         service: "app".parse().expect("a name"),
--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -16,8 +16,9 @@
     gateway::{cluster_state::ClusterState, server_list_cache::ServerListCache},
     names::Tag,
     routing::{
-        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceNews, Picker,
-        Roster, StoreEra, StoreRates, StoreShare, StoreVersion, Wanted, roster::RosterChange,
+        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceListUpdate,
+        PickRequest, Picker, Roster, StoreEra, StoreRates, StoreShare, StoreVersion,
+        roster::RosterChange,
     },
     units::Rate,
     utils::recent::Recent,
@@ -48,7 +49,7 @@
 
 fn wanted(picker: &Picker, affinity: Option<u64>, spread: u64) -> cartvane::routing::Picked {
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted { affinity, spread, ..Wanted::of(&service) };
+    let wanted = PickRequest { affinity, spread, ..PickRequest::new(&service) };
     picker.pick(Instant::now(), &wanted).expect("a server")
 }
 
@@ -115,7 +116,7 @@
     for spread in 0..requests {
         let picked = wanted(&picker, None, spread);
         near += u64::from(picked.server.zone.as_str() == "north");
-        picker.begin(now, &picked.server.id);
+        picker.start_request(now, &picked.server.id);
     }
     let most = picker.in_flight().map(|(_, count)| count).max().unwrap_or_default();
     assert!(most <= 2, "{most} at one server");
@@ -148,22 +149,22 @@
     let era = StoreEra::default();
     let mut roster = Roster::default();
     assert!(!roster.confirm(now, now, StoreEra(1)), "the era of a store that has come back");
-    roster.observe(now, now, servers(3));
+    roster.apply_list(now, now, servers(3));
     assert!(roster.confirm(at(100), at(100), era));
     let forgotten = servers(1).remove(0).id;
-    roster.forget(&forgotten);
+    roster.remove(&forgotten);
     assert!(!roster.confirm(at(200), at(200), era), "one is missing that the list has");
-    assert_eq!(roster.observe(at(200), at(200), servers(3)).added, [forgotten]);
+    assert_eq!(roster.apply_list(at(200), at(200), servers(3)).added, [forgotten]);
     assert!(roster.confirm(at(300), at(300), era));
-    roster.overwritten("s1");
+    roster.mark_overwritten("s1");
     assert!(!roster.confirm(at(400), at(400), era), "one counts as leaving");
-    roster.observe(at(400), at(400), servers(3));
+    roster.apply_list(at(400), at(400), servers(3));
     // Word that is older than what is known changes nothing.
     assert!(roster.confirm(at(500), at(350), era));
     assert_eq!(roster.as_of(), Some(at(400)));
     // After an outage what is missing from the first lists is still believed.
     assert!(roster.confirm(at(9000), at(9000), era));
-    assert_eq!(roster.observe(at(9100), at(9100), servers(2)), RosterChange::default());
+    assert_eq!(roster.apply_list(at(9100), at(9100), servers(2)), RosterChange::default());
 }
 
 // The counts of all instances were summed up for each that asked, so that the work of the one that is asked grew with the
@@ -315,9 +316,9 @@
         let (mut told, mut asks) = (fleet(count), fleet(count));
         assert_eq!(told.version(), asks.version());
         told.add(instance(count));
-        let news = told.since(asks.version());
+        let news = told.update_since(asks.version());
         let bytes = encode(&news).len();
-        assert!(asks.take(news));
+        assert!(asks.apply_update(news));
         assert_eq!((asks.version(), asks.all()), (told.version(), told.all()));
         bytes
     };
@@ -347,12 +348,12 @@
             }
         }
         if rng.bool() {
-            asks.take(told.since(asks.version()));
+            asks.apply_update(told.update_since(asks.version()));
             assert_eq!((asks.version(), asks.all()), (told.version(), told.all()));
         }
     }
-    let unknown = told.since(1);
-    assert!(matches!(unknown, InstanceNews::Whole(all) if all.len() == told.all().len()));
+    let unknown = told.update_since(1);
+    assert!(matches!(unknown, InstanceListUpdate::Whole(all) if all.len() == told.all().len()));
 }
 
 // A process took the connections of 800 other instances, whatever it could bear: of 986 some found none, took the one that
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -7,9 +7,9 @@
 };
 
 use cartvane::routing::{
-    BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent, IntentInForce,
-    ListHistory, ListNews, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind,
-    RouteTable, ServiceShare, Teams, budget::BudgetTerms,
+    ActiveIntent, BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent,
+    ListHistory, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind, RouteTable,
+    ServerListUpdate, ServiceShare, Teams, budget::BudgetTerms,
 };
 use indexmap::IndexMap;
 use proptest::{
@@ -54,10 +54,10 @@
 fn an_entry_that_is_missing_is_gone_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
-    let change = roster.observe(now + SECOND, now + SECOND, [server("a", 1)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
+    let change = roster.apply_list(now + SECOND, now + SECOND, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
-    assert_eq!(change.gone, ["b".parse::<Incarnation>().expect("an id")]);
+    assert_eq!(change.removed, ["b".parse::<Incarnation>().expect("an id")]);
 }
 
 /// hunt-b2a0-11: an instance that alone was turned away kept an entry that had truly gone.
@@ -65,13 +65,13 @@
 fn an_entry_missing_after_others_kept_the_list_fresh_is_gone_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
     for passed in [2, 4, 6] {
         let at = now + SECOND * passed;
-        roster.observe(at, at - SECOND, [server("a", 1), server("b", 2)]);
+        roster.apply_list(at, at - SECOND, [server("a", 1), server("b", 2)]);
     }
     let at = now + SECOND * 7;
-    roster.observe(at, at, [server("a", 1)]);
+    roster.apply_list(at, at, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
 }
 
@@ -79,15 +79,15 @@
 fn entries_that_lapsed_in_an_outage_are_kept_until_they_must_be_back() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
     let back = now + SECOND * 6;
-    roster.observe(back, back, [server("a", 1)]);
+    roster.apply_list(back, back, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a", "b", "c"]);
     let later = back + SECOND;
-    roster.observe(later, later, [server("a", 1), server("b", 2)]);
+    roster.apply_list(later, later, [server("a", 1), server("b", 2)]);
     assert_eq!(ids(&roster), ["a", "b", "c"]);
     let last = back + SECOND * 3;
-    roster.observe(last, last, [server("a", 1), server("b", 2)]);
+    roster.apply_list(last, last, [server("a", 1), server("b", 2)]);
     assert_eq!(ids(&roster), ["a", "b"]);
 }
 
@@ -95,9 +95,9 @@
 fn a_missing_entry_whose_address_another_has_is_gone_even_after_an_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
     let back = now + SECOND * 6;
-    roster.observe(back, back, [server("a", 1), server("new", 2)]);
+    roster.apply_list(back, back, [server("a", 1), server("new", 2)]);
     assert_eq!(ids(&roster), ["a", "new"]);
 }
 
@@ -105,8 +105,8 @@
 fn an_older_list_changes_nothing() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1)]);
-    let change = roster.observe(now + SECOND, now - SECOND, [server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1)]);
+    let change = roster.apply_list(now + SECOND, now - SECOND, [server("b", 2)]);
     assert_eq!(ids(&roster), ["a"]);
     assert!(change.added.is_empty());
 }
@@ -180,7 +180,7 @@
 
 #[test]
 fn an_intent_never_goes_back() {
-    let mut force = IntentInForce::default();
+    let mut force = ActiveIntent::default();
     assert!(force.offer(intent(7, SECOND)));
     assert!(!force.offer(intent(3, SECOND)));
     assert!(!force.offer(intent(7, SECOND)));
@@ -190,7 +190,7 @@
 
 #[test]
 fn callers_that_know_the_idle_time_before_are_not_cut_off_by_a_shorter_one() {
-    let mut force = IntentInForce::default();
+    let mut force = ActiveIntent::default();
     force.offer(intent(1, SECOND * 15));
     force.offer(intent(2, SECOND * 5));
     assert_eq!(force.idle_time(), SECOND * 15);
@@ -211,7 +211,7 @@
             let (mut requests, mut repeats) = (Vec::new(), Vec::new());
             for (instance, gap, tries) in events {
                 now += Duration::from_millis(gap);
-                budgets[instance].request(now, &TERMS);
+                budgets[instance].record_request(now, &TERMS);
                 requests.push(now);
                 if tries && budgets[instance].take(now, &TERMS, 8, 0.0) {
                     repeats.push(now);
@@ -231,7 +231,7 @@
 fn repeats_for_slowness_leave_some_for_failures() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(None);
-    (0..100).for_each(|_| budget.request(now, &TERMS));
+    (0..100).for_each(|_| budget.record_request(now, &TERMS));
     let spent = |budget: &mut RetryBudget, reserve| {
         (0..1000).filter(|_| budget.take(now, &TERMS, 8, reserve)).count()
     };
@@ -251,9 +251,9 @@
         b"id: 5\ndata: x\n\nid: 6\ndata: y\n\n"
     );
     assert_eq!(splitter.last_id(), Some("6"));
-    splitter.drop_rest();
+    splitter.discard_partial();
     assert_eq!(splitter.push(b"id: 7\n\n"), b"id: 7\n\n");
-    assert_eq!(splitter.rest(), b"");
+    assert_eq!(splitter.take_remainder(), b"");
 }
 
 /// However the bytes are cut, the events come out whole, once, in order.
@@ -288,7 +288,7 @@
     let mut health = Health::default();
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        health.unreachable(now);
+        health.note_unreachable(now);
         let from = now;
         while health.is_paused(now) {
             now += Duration::from_millis(10);
@@ -298,8 +298,8 @@
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
     assert_eq!(pauses[0], Duration::from_millis(500));
     assert_eq!(pauses[5], Duration::from_secs(4));
-    health.good(now);
-    health.unreachable(now);
+    health.note_success(now);
+    health.note_unreachable(now);
     assert!(!health.is_paused(now + Duration::from_millis(500)), "a good answer starts anew");
 }
 
@@ -307,17 +307,17 @@
 fn a_report_ages_and_own_requests_count_at_once() {
     let now = Instant::now();
     let mut load = Load::default();
-    load.begin();
+    load.start_request();
     load.report(now, LoadReport { running: 20, waiting: 0, slots: 64 });
     let fresh = load.estimate(now, 5.0);
     assert!((fresh - 20.0).abs() < 0.01, "{fresh}");
-    load.begin();
+    load.start_request();
     assert!((load.estimate(now, 5.0) - 21.0).abs() < 0.01);
     let old = load.estimate(now + SECOND * 20, 5.0);
     assert!((old - 5.0).abs() < 0.1, "{old}");
-    load.end();
-    load.end();
-    load.end();
+    load.finish_request();
+    load.finish_request();
+    load.finish_request();
     assert_eq!(load.own(), 0);
 }
 
@@ -348,7 +348,7 @@
             let news = history.since(version);
             prop_assert_eq!(sorted(news.apply(&old).expect("a list")), sorted(new.clone()));
             let stranger = history.since(None);
-            prop_assert!(matches!(&stranger, ListNews::Whole(_)));
+            prop_assert!(matches!(&stranger, ServerListUpdate::Whole(_)));
             prop_assert_eq!(sorted(stranger.apply(&[]).expect("a list")), sorted(new));
             Ok(())
         })
