--- a/src/gateway/cluster_state.rs
+++ b/src/gateway/cluster_state.rs
@@ -277,14 +277,14 @@
         f(&lock(&self.roster))
     }
 
-    /// Treats the servers of a zone as cold for the time that `lasts` returns for their service.
+    /// Treats the servers of a zone as cold for the time that `duration` returns for their service.
     pub fn assume_cold(
         &self,
         now: Instant,
         zone: &ZoneName,
-        lasts: impl Fn(&ServiceName) -> Option<Duration>,
+        duration: impl Fn(&ServiceName) -> Option<Duration>,
     ) {
-        lock(&self.roster).assume_cold(now, zone, lasts);
+        lock(&self.roster).assume_cold(now, zone, duration);
     }
 
     /// Removes a server whose address now belongs to another one.
@@ -307,11 +307,11 @@
     /// `max_bytes`.
     pub fn small_changes_since(&self, version: u64, max_bytes: usize) -> Vec<Arc<PackedChange>> {
         let Some(newest) = self.intent() else { return Vec::new() };
-        let mut kept = lock(&self.changes).kept_since(version, &newest);
-        if kept.iter().map(|change| change.len()).sum::<usize>() > max_bytes {
-            kept.clear();
+        let mut changes = lock(&self.changes).kept_since(version, &newest);
+        if changes.iter().map(|change| change.len()).sum::<usize>() > max_bytes {
+            changes.clear();
         }
-        kept
+        changes
     }
 
     /// Returns the last change of the intent.
--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -9,7 +9,7 @@
     listeners::{serve_callers, serve_metrics, serve_peers, serve_readiness},
     peers, roster_reader,
     settings::GatewaySettings,
-    start,
+    startup,
 };
 use crate::{
     clock::Clock,
@@ -40,7 +40,7 @@
         let metrics = serve_metrics(&gateway, &idle);
         let peers = serve_peers(&gateway, &idle)?;
         gateway.peers.advertise(peers.address());
-        spawn_thread(&gateway, "start", start::run)?;
+        spawn_thread(&gateway, "start", startup::run)?;
         spawn_thread(&gateway, "intent", intent_reader::run)?;
         spawn_thread(&gateway, "roster", roster_reader::run)?;
         spawn_thread(&gateway, "peers", peers::run)?;
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use super::{Gateway, intent_relay, peers, rollout_controller, start};
+use super::{Gateway, intent_relay, peers, rollout_controller, startup};
 use crate::{
     adapter::{
         calls::{INTENT_KEY, INTENT_TABLE},
@@ -25,7 +25,7 @@
     let cluster_state = &gateway.cluster_state;
     loop {
         let now = gateway.clock.now();
-        if start::is_waiting(gateway, now) {
+        if startup::is_waiting(gateway, now) {
             thread::sleep(STARTUP_POLL_INTERVAL);
             continue;
         }
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -55,10 +55,10 @@
     idle: &IdleConns,
     address: SocketAddr,
     what: &str,
-    answer: impl Fn() -> SmallAnswer + Send + Sync + 'static,
+    respond: impl Fn() -> SmallAnswer + Send + Sync + 'static,
 ) -> anyhow::Result<Listener> {
     let rules = idle_rules(idle, |since| since + STATUS_IDLE_TIMEOUT, false);
-    let serve = move |conn: Conn| small::serve(conn, &answer);
+    let serve = move |conn: Conn| small::serve(conn, &respond);
     Listener::bind_idling(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
         .with_context(|| format!("cannot listen for {what} on {address}"))
 }
@@ -69,26 +69,26 @@
     let rules = idle_rules(idle, |since| since + peer::IDLE_TIME, false);
     let serving = Arc::clone(gateway);
     let serve = move |conn: Conn| peer_server::serve(&serving, conn);
-    let most = gateway.settings.peer_connections;
-    Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
+    let max_connections = gateway.settings.peer_connections;
+    Listener::bind_idling(listen, gateway.clock.clone(), max_connections, rules, serve)
         .with_context(|| format!("cannot listen for other instances on {listen}"))
 }
 
 /// Serves callers.
 pub(super) fn serve_callers(gateway: &Arc<Gateway>, idle: &IdleConns) -> anyhow::Result<Listener> {
     let listen = gateway.settings.addresses.callers;
-    let most = gateway.settings.connections;
+    let max_connections = gateway.settings.connections;
     let (waiting, serving) = (Arc::clone(gateway), Arc::clone(gateway));
     let rules = idle_rules(idle, move |since| connection::idle_until(&waiting, since), true);
     let serve = move |conn: Conn| -> Served { connection::serve(&serving, conn) };
-    Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
+    Listener::bind_idling(listen, gateway.clock.clone(), max_connections, rules, serve)
         .with_context(|| format!("cannot listen for callers on {listen}"))
 }
 
 fn idle_rules(
-    watch: &IdleConns,
+    idle: &IdleConns,
     until: impl Fn(Instant) -> Instant + Send + Sync + 'static,
     is_callers: bool,
 ) -> IdleRules {
-    IdleRules { watch: watch.clone(), until: Arc::new(until), is_callers }
+    IdleRules { watch: idle.clone(), until: Arc::new(until), is_callers }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -34,7 +34,7 @@
 pub mod settings;
 pub mod silence;
 pub mod skipped_log;
-pub mod start;
+pub mod startup;
 pub mod stream;
 pub mod tries;
 pub mod unpicked;
@@ -102,7 +102,7 @@
     /// Requests in flight and bytes of their bodies.
     pub usage: Usage,
     /// Start of this process, unless all instances start for the first time.
-    restarted: Option<Instant>,
+    restarted_at: Option<Instant>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
     store_share: Arc<Mutex<StoreShare>>,
     store_lost: Mutex<bool>,
@@ -135,7 +135,7 @@
             drain: Drain::open().context("cannot create a pipe")?,
             store_read_requested: Signal::default(),
             usage: Usage::default(),
-            restarted: (!settings.first_start).then(|| clock.now()),
+            restarted_at: (!settings.first_start).then(|| clock.now()),
             budgets: Mutex::default(),
             store_lost: Mutex::default(),
             skipped_log: Mutex::default(),
@@ -222,7 +222,7 @@
         budgets: &'b mut IndexMap<ServiceName, RetryBudget>,
         service: &ServiceName,
     ) -> &'b mut RetryBudget {
-        budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(self.restarted))
+        budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(self.restarted_at))
     }
 
     /// Returns the maximum number of connections that a server of `service` accepts from all instances together.
@@ -254,21 +254,21 @@
     /// evacuated do, and roll-outs start or stop. Returns whether anything has changed.
     pub fn refresh_orders(&self) -> bool {
         let now = self.clock.now();
-        let (zones, former, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
-            let former = lock(&self.picker).set_evacuated(orders.zones.clone());
-            (orders.zones, former, self.rollouts.set_orders(self, &orders.rollouts))
+        let (zones, previous, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
+            let previous = lock(&self.picker).set_evacuated(orders.zones.clone());
+            (orders.zones, previous, self.rollouts.set_orders(self, &orders.rollouts))
         });
-        for zone in zones.difference(&former) {
+        for zone in zones.difference(&previous) {
             log::warn!("event=zone_evacuated zone={zone}");
         }
-        for zone in former.difference(&zones) {
+        for zone in previous.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts =
+            let duration =
                 |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
-            self.cluster_state.assume_cold(now, zone, lasts);
+            self.cluster_state.assume_cold(now, zone, duration);
             self.servers_changed();
         }
-        zones != former || rollouts_changed
+        zones != previous || rollouts_changed
     }
 
     /// Removes a server whose address now belongs to another one.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -87,7 +87,7 @@
     joined: AtomicBool,
     started: Instant,
     /// How long this instance waits for seeds at its start.
-    pub(super) start: StartupWait,
+    pub(super) startup_wait: StartupWait,
     pub(super) fleet_sums: Recent<FleetSums>,
     last_round: Mutex<Option<Instant>>,
     /// Chooses an instance that reads the store while it rejects this one.
@@ -115,7 +115,7 @@
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
+            startup_wait: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
             fleet_sums: Recent::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
             fallback_reader: Mutex::default(),
@@ -154,7 +154,7 @@
     }
 
     /// Returns whether the list of instances counts as complete: they have been discovered, or the time for that is
-    /// over. Before, an instance that knows no other one may not be the only one.
+    /// over. Until then, an instance without known peers need not be the only one.
     pub(super) fn has_joined(&self, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.started) >= JOIN_TIMEOUT;
         waited || self.joined.load(Ordering::Relaxed)
@@ -224,10 +224,10 @@
     /// The reason why it did not reply, for logs.
     pub fn request_permit(
         &self,
-        of: SocketAddr,
+        from: SocketAddr,
         request: &PermitAsk,
     ) -> Result<PermitReply, String> {
-        let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, request);
+        let reply = self.permit_links.call(Purpose::Permits, from, PERMIT_PATH, request);
         reply.map_err(|fault| fault.to_string())
     }
 
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -8,7 +8,7 @@
 use super::{
     Gateway, intent_reader, peers,
     server_list_cache::{PAGE_ROWS, ServerListCache},
-    start,
+    startup,
 };
 use crate::{
     adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
@@ -29,7 +29,7 @@
     let mut store_lost = false;
     loop {
         let now = gateway.clock.now();
-        if start::is_waiting(gateway, now) {
+        if startup::is_waiting(gateway, now) {
             gateway.store_read_requested.wait(STARTUP_POLL_INTERVAL);
             continue;
         }
--- a/src/gateway/start.rs
+++ b/src/gateway/startup.rs
@@ -18,7 +18,7 @@
 
 /// Returns whether this instance has just started, and still waits for the seeds to send it the cluster state.
 pub fn is_waiting(gateway: &Gateway, now: Instant) -> bool {
-    gateway.peers.start.is_waiting(now) && !gateway.cluster_state.is_complete()
+    gateway.peers.startup_wait.is_waiting(now) && !gateway.cluster_state.is_complete()
 }
 
 fn servers_age_ms(gateway: &Gateway) -> u128 {
