--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -139,8 +139,9 @@
 
     /// Returns whether this instance reads the store periodically: it is the aggregator, or no other instance responds.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.has_joined(now) && lock(&self.candidates).aggregator(now).is_none();
-        alone || self.is_aggregator(now)
+        let has_no_aggregator =
+            self.has_joined(now) && lock(&self.candidates).aggregator(now).is_none();
+        has_no_aggregator || self.is_aggregator(now)
     }
 
     /// Returns whether this instance is one of `seeds`.
--- a/tests/suite/cluster_state.rs
+++ b/tests/suite/cluster_state.rs
@@ -212,7 +212,7 @@
         .collect();
     let service = "app".parse().expect("a name");
     eventually("the other counts them", || {
-        let wanted = PickRequest {
+        let request = PickRequest {
             service: &service,
             affinity: None,
             spread: 5,
@@ -222,7 +222,7 @@
         };
         let now = Clock::system().now();
         let picker = two.gateway().picker.lock().expect("the picker");
-        picker.pick(now, &wanted).expect("a server").load >= 2.0
+        picker.pick(now, &request).expect("a server").load >= 2.0
     });
     busy.into_iter().for_each(|call| assert_eq!(call.join().expect("a response").status, 200));
 }
