--- a/src/gateway/log_sink.rs
+++ b/src/gateway/log_sink.rs
@@ -20,7 +20,8 @@
 /// Maximum number of queued lines; further ones are dropped and counted.
 const QUEUE_LINES_MAX: usize = 2000;
 
-/// Maximum number of lines per second below the level of warnings; further ones are dropped and counted.
+/// Maximum number of lines per second below the level of warnings; further ones are dropped and counted. Warnings and
+/// errors are not limited.
 const INFO_LINE_RATE: Rate = Rate(300.0);
 
 /// Time between two writes, so that one write has many lines.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -85,7 +85,7 @@
     pub(super) run: RunId,
     /// Whether the other instances have been discovered.
     joined: AtomicBool,
-    started: Instant,
+    started_at: Instant,
     /// How long this instance waits for seeds at its start.
     pub(super) startup_wait: StartupWait,
     pub(super) fleet_sums: Recent<FleetSums>,
@@ -114,7 +114,7 @@
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
-            started: clock.now(),
+            started_at: clock.now(),
             startup_wait: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
             fleet_sums: Recent::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
@@ -157,7 +157,7 @@
     /// Returns whether the list of instances counts as complete: they have been discovered, or the time for that is
     /// over. Until then, an instance without known peers need not be the only one.
     pub(super) fn has_joined(&self, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(self.started) >= JOIN_TIMEOUT;
+        let waited = now.saturating_duration_since(self.started_at) >= JOIN_TIMEOUT;
         waited || self.joined.load(Ordering::Relaxed)
     }
 
--- a/src/gateway/server_list_cache.rs
+++ b/src/gateway/server_list_cache.rs
@@ -28,7 +28,7 @@
     /// Version of the store.
     pub version: StoreVersion,
     /// When the whole list was last read.
-    whole_at: Instant,
+    whole_read_at: Instant,
     /// Whether rows have been read that differ from the list last applied.
     has_changes: bool,
     /// Version of the list last applied, which other instances receive.
@@ -43,7 +43,7 @@
         let (servers, skipped) = (IndexMap::new(), IndexMap::new());
         ServerListCache {
             version,
-            whole_at: at,
+            whole_read_at: at,
             has_changes: true,
             applied: None,
             servers,
@@ -54,7 +54,7 @@
     /// Returns whether reading the changes is cheaper than the whole list, and the store still has their history.
     pub fn can_read_changes(&self, now: Instant) -> bool {
         let is_long = self.servers.len() + self.skipped.len() > PAGE_ROWS;
-        is_long && now.saturating_duration_since(self.whole_at) < WHOLE_READ_INTERVAL
+        is_long && now.saturating_duration_since(self.whole_read_at) < WHOLE_READ_INTERVAL
     }
 
     /// Applies rows that are new, changed or removed. Nearly all of them are heartbeats, which change nothing in the
