--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -1,4 +1,4 @@
-//! Where an instance listens: for callers, other instances, readiness checks and metrics.
+//! The listeners of an instance: for callers, other instances, readiness checks and metrics.
 
 use std::{
     net::SocketAddr,
@@ -9,7 +9,7 @@
 use anyhow::Context as _;
 use http::StatusCode;
 
-use super::{Gateway, answering, connection};
+use super::{Gateway, connection, peer_server};
 use crate::link::{
     caller::{IdleRules, Listener, Served},
     http1::Conn,
@@ -18,12 +18,12 @@
     small::{self, SmallAnswer},
 };
 
-/// Connections of those who look at readiness or metrics, at once, for each: the platform's and an operator's,
-/// with room for what they leave open.
-const SMALL_CONNECTIONS: usize = 32;
+/// Maximum number of concurrent connections for readiness checks, and for metrics: those of the platform and of an
+/// operator, with headroom for connections that they leave open.
+const STATUS_CONNECTIONS_MAX: usize = 32;
 
-/// How long such a connection may be idle: a look each five seconds, twice.
-const SMALL_IDLE: Duration = Duration::from_secs(10);
+/// Idle timeout of such a connection: twice the interval of checks each five seconds.
+const STATUS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves readiness checks at any path.
 pub(super) fn serve_readiness(
@@ -32,34 +32,34 @@
 ) -> anyhow::Result<Listener> {
     let address = gateway.settings.addresses.readiness;
     let serving = Arc::clone(gateway);
-    serve_small(gateway, idle, address, "readiness", move || {
+    serve_status(gateway, idle, address, "readiness", move || {
         let ready = serving.is_ready();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         SmallAnswer { status, text: String::new() }
     })
 }
 
-/// Serves the metrics at any path; an address that is taken costs the metrics, not the instance.
+/// Serves the metrics at any path. If their address is in use, the instance runs without metrics.
 pub(super) fn serve_metrics(gateway: &Arc<Gateway>, idle: &IdleConns) -> Option<Listener> {
     let serving = Arc::clone(gateway);
     let address = gateway.settings.addresses.metrics;
-    let served = serve_small(gateway, idle, address, "metrics", move || {
-        serving.show_gauges();
+    let served = serve_status(gateway, idle, address, "metrics", move || {
+        serving.update_gauges();
         SmallAnswer { status: StatusCode::OK, text: serving.metrics.text() }
     });
     served.inspect_err(|fault| log::error!("event=no_metrics reason=\"{fault:#}\"")).ok()
 }
 
-fn serve_small(
+fn serve_status(
     gateway: &Gateway,
     idle: &IdleConns,
     address: SocketAddr,
     what: &str,
     answer: impl Fn() -> SmallAnswer + Send + Sync + 'static,
 ) -> anyhow::Result<Listener> {
-    let rules = idle_rules(idle, |since| since + SMALL_IDLE, false);
+    let rules = idle_rules(idle, |since| since + STATUS_IDLE_TIMEOUT, false);
     let serve = move |conn: Conn| small::serve(conn, &answer);
-    Listener::bind_idling(address, gateway.clock.clone(), SMALL_CONNECTIONS, rules, serve)
+    Listener::bind_idling(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
         .with_context(|| format!("cannot listen for {what} on {address}"))
 }
 
@@ -68,7 +68,7 @@
     let listen = gateway.settings.addresses.peers;
     let rules = idle_rules(idle, |since| since + peer::IDLE_TIME, false);
     let serving = Arc::clone(gateway);
-    let serve = move |conn: Conn| answering::serve(&serving, conn);
+    let serve = move |conn: Conn| peer_server::serve(&serving, conn);
     let most = gateway.settings.peer_connections;
     Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
         .with_context(|| format!("cannot listen for other instances on {listen}"))
--- /dev/null
+++ b/src/gateway/peer_server.rs
@@ -0,0 +1,234 @@
+//! Serves other instances: replies to their reports and, as the aggregator, sums up the reports of all.
+
+use std::{
+    sync::Arc,
+    time::{Duration, Instant},
+};
+
+use super::{
+    Gateway,
+    cold_permits::{PERMIT_PATH, PermitReply},
+    intent_reader,
+    intent_relay::{self, OFFER_PATH},
+    messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
+    peers::{EXCHANGE_PATH, EXCHANGE_TIMEOUT},
+    rollout_table::{ROLLOUT_PATH, perform_for_another},
+    roster_reader,
+};
+use crate::{
+    configs::fleet::chunks::{decode, encode},
+    link::{
+        caller::Served,
+        http1::Conn,
+        peer::{self, PeerService},
+        traffic::Purpose,
+    },
+    names::Tag,
+    routing::{BudgetSum, ServiceLoad, VerdictUpdate},
+    utils::sync::lock,
+};
+
+/// Time for which the sums over all instances are cached, a small part of the exchange's period. Without the cache,
+/// each exchange would sum up the reports of all instances, and the work would grow with the square of their number.
+pub(super) const SUMS_MAX_AGE: Duration = Duration::from_millis(50);
+
+/// Size up to which changes of the intent are sent unrequested. Larger ones would saturate the link of the aggregator,
+/// which sends them to all instances.
+const UNREQUESTED_CHANGES_MAX_BYTES: usize = 16 << 10;
+
+/// Time that a thread waits for the next message before it returns the connection to the idle ones. The first message
+/// follows the connection at once, the next one an exchange period later.
+const NEXT_MESSAGE_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// Applies a report and returns the reply.
+fn reply_to(gateway: &Gateway, report: ExchangeReport) -> ExchangeReply {
+    let now = gateway.clock.now();
+    let cluster_state = &gateway.cluster_state;
+    let millis = |age: Duration| u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
+    let purpose = report.purpose;
+    cluster_state.note_version(now, report.intent_version);
+    let changes = if report.wants_intent {
+        cluster_state.changes_since(report.intent_version)
+    } else {
+        cluster_state.small_changes_since(report.intent_version, UNREQUESTED_CHANGES_MAX_BYTES)
+    };
+    let (instances, has_changed) = {
+        let mut candidates = lock(&gateway.peers.candidates);
+        let before = candidates.version();
+        candidates.add(report.from.clone());
+        let after = candidates.version();
+        // An incomplete list would be taken for the list of all instances.
+        let sends_update = after != report.instances_hash && gateway.peers.has_joined(now);
+        (sends_update.then(|| candidates.update_since(report.instances_hash)), after != before)
+    };
+    if has_changed {
+        gateway.instances_changed();
+    }
+    if report.purpose == ExchangePurpose::Aggregate {
+        let was_inactive = !gateway.peers.is_aggregator(now);
+        let mut aggregate = lock(&gateway.peers.aggregate);
+        aggregate.record_counts(now, report.from.node.clone(), report.counts);
+        aggregate.record_unresponsive(now, report.from.node.clone(), report.unresponsive);
+        drop(aggregate);
+        lock(&gateway.peers.budget).record_report(
+            now,
+            &report.from.node,
+            report.run,
+            report.spending,
+        );
+        gateway.crash_suspects.apply_report(now, &report.crash_suspects);
+        if was_inactive {
+            log::info!("event=reads_for_others servers_age_ms={}", servers_age_ms(gateway, now));
+            gateway.store_read_requested.set();
+        }
+    }
+    gateway.rollouts.apply_updates(gateway, &report.rollout_states, "peer");
+    if purpose == ExchangePurpose::Aggregate {
+        let (node, run) = (&report.from.node, report.run);
+        gateway.rollouts.apply_reports(gateway, node, run, report.rollouts);
+    }
+    let sums = fleet_sums(gateway, now);
+    let list = cluster_state.server_list_reply(now, report.list_version);
+    ExchangeReply {
+        loads: sums.loads.clone(),
+        unresponsive: sums.unresponsive.clone(),
+        budgets: if purpose == ExchangePurpose::Aggregate {
+            sums.budgets.clone()
+        } else {
+            Vec::new()
+        },
+        run: gateway.peers.run,
+        crash_alert: gateway.crash_suspects.is_alert(now),
+        verdicts: verdicts(gateway, now, purpose),
+        intent_version: cluster_state.version(),
+        changes,
+        confirmed: cluster_state.with_watch(|watch| watch.confirmed()).map(|confirmed| {
+            ConfirmedAgo {
+                age_ms: millis(now.saturating_duration_since(confirmed.at)),
+                store: confirmed.store,
+            }
+        }),
+        orders: cluster_state.orders(),
+        rollout_states: gateway.rollouts.updates(now),
+        list: list.update,
+        list_age_ms: list.age.map(millis),
+        list_era: list.era,
+        instances,
+    }
+}
+
+/// Returns the verdicts on requests that crash servers, for an exchange of this purpose.
+fn verdicts(gateway: &Gateway, now: Instant, purpose: ExchangePurpose) -> Vec<VerdictUpdate> {
+    let mut verdicts = gateway.crash_suspects.verdict_updates(now);
+    if purpose == ExchangePurpose::Aggregate {
+        verdicts.extend(gateway.crash_suspects.watched(now));
+    }
+    verdicts
+}
+
+/// Returns the age of the list of servers in milliseconds, or -1 if there is none, for log lines.
+fn servers_age_ms(gateway: &Gateway, now: Instant) -> i64 {
+    let age = gateway.cluster_state.servers_age(now);
+    age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
+}
+
+/// Sums over the reports of all instances.
+#[derive(Debug)]
+pub(super) struct FleetSums {
+    /// Load of each service.
+    pub(super) loads: Vec<ServiceLoad>,
+    /// Servers that several instances have reported as unresponsive.
+    pub(super) unresponsive: Vec<Tag>,
+    /// Retries spent at each service.
+    pub(super) budgets: Vec<BudgetSum>,
+}
+
+/// Returns the sums over all instances including this one, from a cache that is at most [`SUMS_MAX_AGE`] old.
+pub(super) fn fleet_sums(gateway: &Gateway, now: Instant) -> Arc<FleetSums> {
+    gateway.peers.fleet_sums.get(now, || FleetSums {
+        loads: service_loads(gateway, now),
+        unresponsive: unresponsive_servers(gateway, now),
+        budgets: budget_sums(gateway, now),
+    })
+}
+
+fn service_loads(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
+    let own_counts = lock(&gateway.picker).own_counts();
+    let mut aggregate = lock(&gateway.peers.aggregate);
+    aggregate.record_counts(now, gateway.settings.node.clone(), own_counts);
+    gateway
+        .cluster_state
+        .with_servers(|roster| aggregate.summary(now, roster.servers().map(|server| &**server)))
+}
+
+fn budget_sums(gateway: &Gateway, now: Instant) -> Vec<BudgetSum> {
+    let own = gateway.spending(now);
+    let mut budget = lock(&gateway.peers.budget);
+    budget.record_report(now, &gateway.settings.node, gateway.peers.run, own);
+    budget.sums(now)
+}
+
+fn unresponsive_servers(gateway: &Gateway, now: Instant) -> Vec<Tag> {
+    let own = lock(&gateway.picker).own_unresponsive(now);
+    let mut aggregate = lock(&gateway.peers.aggregate);
+    aggregate.record_unresponsive(now, gateway.settings.node.clone(), own);
+    aggregate.unresponsive()
+}
+
+/// Reads the store for an instance that it rejects.
+///
+/// # Errors
+///
+/// Status 503 if the store cannot be read here either.
+fn read_store_for_peer(gateway: &Arc<Gateway>) -> Result<(), u16> {
+    let servers = roster_reader::read(gateway);
+    let intent = servers.and_then(|()| intent_reader::read_changes(gateway));
+    intent.map_err(|fault| {
+        gateway.store_failed("for_another", &fault);
+        503
+    })
+}
+
+/// Serves a connection of another instance, as long as messages follow each other closely.
+pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> Served {
+    let service = PeerService {
+        accepted: None,
+        timeout: EXCHANGE_TIMEOUT,
+        traffic: &gateway.peers.traffic,
+        answer: |path: &str, body: &[u8]| {
+            if gateway.drain.is_draining() {
+                // The others switch to the next aggregator before this instance stops.
+                return Err(503);
+            }
+            match path {
+                EXCHANGE_PATH => {
+                    let report: ExchangeReport = decode(body).map_err(|_| 400_u16)?;
+                    if report.purpose == ExchangePurpose::ReadStore {
+                        read_store_for_peer(gateway)?;
+                    }
+                    Ok(encode(&reply_to(gateway, report)))
+                }
+                PERMIT_PATH => {
+                    let request = decode(body).map_err(|_| 400_u16)?;
+                    Ok(encode(&PermitReply { granted: gateway.grant(&request) }))
+                }
+                ROLLOUT_PATH => {
+                    let request = decode(body).map_err(|_| 400_u16)?;
+                    Ok(encode(&perform_for_another(gateway, &request)))
+                }
+                OFFER_PATH => {
+                    let offer = decode(body).map_err(|_| 400_u16)?;
+                    Ok(encode(&intent_relay::accept_offer(gateway, offer)))
+                }
+                _ => Err(404),
+            }
+        },
+        stream: |_, _| {},
+        purpose: |path| match path {
+            OFFER_PATH | ROLLOUT_PATH => Purpose::Config,
+            PERMIT_PATH => Purpose::Permits,
+            _ => Purpose::Loads,
+        },
+    };
+    peer::serve_while_busy(conn, &service, NEXT_MESSAGE_TIMEOUT)
+}
--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -84,7 +84,7 @@
 /// Returns whether this is the instance that takes roll-outs further.
 fn is_controller(gateway: &Gateway, now: Instant) -> bool {
     let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
-    is_first && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
+    is_first && gateway.peers.has_joined(now) && !gateway.drain.is_draining()
 }
 
 fn advance_service(
@@ -242,7 +242,7 @@
     service: &ServiceName,
     to: &SoftwareVersion,
 ) -> IndexSet<SoftwareVersion> {
-    gateway.knowledge.with_servers(|roster| {
+    gateway.cluster_state.with_servers(|roster| {
         let servers = roster.servers().filter(|server| server.service == *service);
         servers
             .filter_map(|server| server.version.clone())
@@ -284,7 +284,7 @@
     let (at, ms) = held.clock;
     let before = Duration::from_millis(ms.saturating_sub(record.first_seen_ms));
     let to = &record.order.to;
-    let (servers_new, servers_old) = gateway.knowledge.with_servers(|roster| {
+    let (servers_new, servers_old) = gateway.cluster_state.with_servers(|roster| {
         let servers = roster.servers().filter(|s| s.service == held.row.service && !s.leaving);
         let usable = servers
             .filter(|s| s.version.as_ref().is_none_or(|version| !record.barred.contains(version)));
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the list of backend servers, at a pace.
+//! Reads the list of backend servers periodically.
 
 use std::{
     sync::Arc,
@@ -6,9 +6,9 @@
 };
 
 use super::{
-    Gateway, intent_reader,
-    list_read::{ListRead, PAGE_ROWS},
-    peers, start,
+    Gateway, intent_reader, peers,
+    server_list_cache::{PAGE_ROWS, ServerListCache},
+    start,
 };
 use crate::{
     adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
@@ -19,37 +19,38 @@
     utils::sync::lock,
 };
 
-/// Most replies of one look at what has changed: some seconds' heartbeats of ten thousand servers.
-const REPLIES_MAX: usize = 16;
+/// Maximum number of replies read in one poll for changes: they hold the heartbeats of 10,000 servers over some
+/// seconds.
+const CHANGE_REPLIES_MAX: usize = 16;
 
-/// Keeps the list fresh until the process ends: does what `routing::roster_watch` says is next.
+/// Keeps the list up to date until the process ends: carries out the steps that `routing::roster_watch` decides on.
 pub fn run(gateway: &Arc<Gateway>) {
-    let mut watch = RosterWatch::new(gateway.settings.bounds.leaving_acted_on);
-    let mut lost = false;
+    let mut watch = RosterWatch::new(gateway.settings.bounds.server_drain_time);
+    let mut store_lost = false;
     loop {
         let now = gateway.clock.now();
-        if start::waits(gateway, now) {
-            gateway.reader_wanted.wait(STARTUP_POLL_INTERVAL);
+        if start::is_waiting(gateway, now) {
+            gateway.store_read_requested.wait(STARTUP_POLL_INTERVAL);
             continue;
         }
         let role = gateway.peers.roster_role(now);
         lock(&gateway.store_share).set_reads_for_others(role.reader);
-        let as_of = gateway.knowledge.with_servers(|roster| roster.as_of());
+        let as_of = gateway.cluster_state.with_servers(|roster| roster.as_of());
         match watch.next(now, &role, as_of) {
-            RosterStep::Wait(time) => gateway.reader_wanted.wait(time),
+            RosterStep::Wait(time) => gateway.store_read_requested.wait(time),
             RosterStep::AskPeers => {
                 peers::catch_up(gateway);
                 watch.peers_asked(gateway.clock.now());
             }
-            RosterStep::Read => match read_as(gateway, &role) {
+            RosterStep::Read => match read_and_log(gateway, &role) {
                 Ok(()) => {
                     watch.store_read(now);
-                    if std::mem::take(&mut lost) {
+                    if std::mem::take(&mut store_lost) {
                         log::warn!("event=store_back");
                     }
                 }
                 Err(fault) => {
-                    lost = true;
+                    store_lost = true;
                     watch.store_failed(gateway.clock.now());
                     gateway.store_failed("servers", &fault);
                 }
@@ -58,10 +59,10 @@
     }
 }
 
-/// Reads the list, and says so where the news of others should have done.
-fn read_as(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
+/// Reads the list, and logs that the updates have stopped if the aggregator should have sent them.
+fn read_and_log(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
     if !role.reader
-        && let Some(age) = gateway.knowledge.servers_age(gateway.clock.now())
+        && let Some(age) = gateway.cluster_state.servers_age(gateway.clock.now())
     {
         log::info!("event=news_stopped servers_age_ms={}", age.as_millis());
     }
@@ -75,57 +76,62 @@
 /// The store cannot be read.
 pub fn read(gateway: &Gateway) -> Result<(), StoreFault> {
     let as_of = gateway.clock.now();
-    let mut kept = lock(&gateway.list_read);
-    let list = match kept.as_mut().filter(|kept| kept.can_be_followed(as_of)) {
-        Some(known) => match follow(gateway, known) {
-            Err(StoreFault::HistoryGone) => kept.insert(read_whole(gateway, as_of)?),
-            followed => followed.map(|()| known)?,
+    let mut cache = lock(&gateway.server_list_cache);
+    let list = match cache.as_mut().filter(|list| list.can_read_changes(as_of)) {
+        Some(cached) => match read_changes(gateway, cached) {
+            Err(StoreFault::HistoryGone) => cache.insert(read_whole_list(gateway, as_of)?),
+            result => result.map(|()| cached)?,
         },
-        None => kept.insert(read_whole(gateway, as_of)?),
+        None => cache.insert(read_whole_list(gateway, as_of)?),
     };
-    gateway.store_answered();
-    // The work of a look that brings nothing is not to grow with the servers.
-    if let Some(told) = list.told()
-        && gateway.knowledge.confirm_list(gateway.clock.now(), Some(told), as_of, list.version.era)
+    gateway.store_responded();
+    // The work of a read without changes must not grow with the number of servers.
+    if let Some(unchanged) = list.unchanged_version()
+        && gateway.cluster_state.confirm_list(
+            gateway.clock.now(),
+            Some(unchanged),
+            as_of,
+            list.version.era,
+        )
     {
         return Ok(());
     }
     let skipped: Vec<SkippedEntry> = list.skipped().cloned().collect();
     let (servers, era) = (list.servers(), list.version.era);
-    drop(kept);
-    if gateway.knowledge.with_servers(|roster| roster.is_missing_version_of(&servers)) {
-        look_for_orders(gateway);
+    drop(cache);
+    if gateway.cluster_state.with_servers(|roster| roster.is_missing_version_of(&servers)) {
+        read_orders_first(gateway);
     }
-    lock(&gateway.skipped_log).tell(&skipped);
-    gateway.knowledge.mark_overwritten(skipped.iter().map(|entry| entry.key.as_str()));
-    take(gateway, servers, as_of, era, "store");
-    if let Some(list) = lock(&gateway.list_read).as_mut() {
-        list.set_told(gateway.knowledge.list_version());
+    lock(&gateway.skipped_log).log_new(&skipped);
+    gateway.cluster_state.mark_overwritten(skipped.iter().map(|entry| entry.key.as_str()));
+    apply_list(gateway, servers, as_of, era, "store");
+    if let Some(list) = lock(&gateway.server_list_cache).as_mut() {
+        list.mark_applied(gateway.cluster_state.list_version());
     }
     Ok(())
 }
 
-/// Looks for operators' orders before servers of a version that was not there are used: it may be one that is rolled out, and
-/// the list is read more often than the orders.
-fn look_for_orders(gateway: &Gateway) {
-    if let Err(fault) = intent_reader::look_at_orders(gateway) {
+/// Reads operators' orders before servers with a new version are used. A roll-out of that version may have been
+/// ordered, and the list is read more often than the orders.
+fn read_orders_first(gateway: &Gateway) {
+    if let Err(fault) = intent_reader::read_orders(gateway) {
         log::info!("event=orders_unread reason={:?}", fault.to_string());
     }
 }
 
-fn read_whole(gateway: &Gateway, at: Instant) -> Result<ListRead, StoreFault> {
+fn read_whole_list(gateway: &Gateway, at: Instant) -> Result<ServerListCache, StoreFault> {
     let rows = gateway.store.rows(SERVER_TABLE)?;
-    let mut list = ListRead::new(at, rows.version);
-    list.take(rows);
+    let mut list = ServerListCache::new(at, rows.version);
+    list.apply_rows(rows);
     Ok(list)
 }
 
-/// Takes what has changed in the list since it was read; a reply may hold a part of that.
-fn follow(gateway: &Gateway, list: &mut ListRead) -> Result<(), StoreFault> {
-    for _ in 0..REPLIES_MAX {
+/// Applies what has changed in the list since the last read. The changes may come in several replies.
+fn read_changes(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreFault> {
+    for _ in 0..CHANGE_REPLIES_MAX {
         let rows = gateway.store.changes(SERVER_TABLE, list.version, Duration::ZERO)?;
         let is_last = rows.rows.len() < PAGE_ROWS;
-        list.take(rows);
+        list.apply_rows(rows);
         if is_last {
             break;
         }
@@ -133,24 +139,24 @@
     Ok(())
 }
 
-/// Takes a whole list that was current at `as_of`, in an era of the store.
-pub fn take(
+/// Applies a whole list that was current at `as_of`, in `era` of the store.
+pub fn apply_list(
     gateway: &Gateway,
     list: Vec<BackendServer>,
     as_of: Instant,
     era: StoreEra,
     source: &str,
 ) {
-    let change = gateway.knowledge.observe_servers(gateway.clock.now(), as_of, era, list);
+    let change = gateway.cluster_state.apply_server_list(gateway.clock.now(), as_of, era, list);
     log_change(&change, source, gateway.clock.now().saturating_duration_since(as_of));
     if change != RosterChange::default() {
         gateway.servers_changed();
     }
 }
 
-/// Changes of one kind that are logged one by one; of more at once, as a start brings, only their number is: a start
-/// beside 3,000 servers wrote as many lines. What they cost was not measured.
-const LOGGED_EACH: usize = 16;
+/// Changes of one kind up to which each is logged; of more at once only the number is logged. At a start with 3,000
+/// servers, 3,000 lines would be written.
+const SINGLE_LINES_MAX: usize = 16;
 
 fn log_change(change: &RosterChange, source: &str, age: Duration) {
     let age = age.as_millis();
@@ -161,7 +167,7 @@
         ("server_gone", &change.removed),
         ("server_cold", &change.cold),
     ] {
-        if ids.len() > LOGGED_EACH {
+        if ids.len() > SINGLE_LINES_MAX {
             log::info!("event={what} servers={} source={source} age_ms={age}", ids.len());
             continue;
         }
