--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of requests that end the servers that run them, and what it exchanges about them.
+//! State of this instance about requests that crash the servers that run them, and what it exchanges about them.
 
 use std::{
     io::ErrorKind,
@@ -20,44 +20,44 @@
     utils::{signal::Signal, sync::lock},
 };
 
-/// How long a connection to a server may take that shows whether it has ended: many round trips within a region. The
-/// request that waits for it is tried elsewhere right after.
-const CHECK_TIME: Duration = Duration::from_millis(50);
+/// Timeout for the connection that checks whether a server has crashed: many round trips within a region. The request that
+/// waits for the check is retried on another server right after.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Requests that end servers, as this instance knows them.
+/// Requests that are suspected of crashing servers, as this instance knows them.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
-    /// Servers that ended with requests of this instance under way.
-    ends: Mutex<ServerCrashes>,
-    /// What all instances told of ends, where they turn to this one.
-    collector: Mutex<CrashAttribution>,
+    /// Servers that crashed with requests of this instance in flight.
+    crashes: Mutex<ServerCrashes>,
+    /// Crash reports of all instances, if this one is the aggregator.
+    attribution: Mutex<CrashAttribution>,
     verdicts: Mutex<Verdicts>,
-    answered: Mutex<RecentSuccesses>,
-    /// Requests that were watched and have been answered, to be told.
+    successes: Mutex<RecentSuccesses>,
+    /// Requests that were watched or held and had a successful response, to be reported.
     cleared: Mutex<Vec<RequestDigest>>,
-    /// Is set when the store's table is to be looked at.
+    /// Set when the store's table of held requests has to be read.
     pub(super) verdicts_changed: Signal,
     is_table_read: AtomicBool,
 }
 
-/// What an instance tells of servers that ended.
+/// What an instance reports about server crashes and their suspects.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct CrashSuspectsReport {
-    /// Ends that it has not told yet.
-    pub ends: Vec<CrashReport>,
-    /// Requests that were watched or held and have been answered.
+    /// Crashes that it has not reported yet.
+    pub crashes: Vec<CrashReport>,
+    /// Requests that were watched or held and had a successful response.
     pub cleared: Vec<RequestDigest>,
-    /// Verdicts that it knows.
+    /// Verdicts that it has.
     pub verdicts: Vec<VerdictUpdate>,
 }
 
 impl CrashSuspects {
-    /// Returns for how long the request is held back, with what it is known by.
+    /// Returns for how long the request is held, with its digest.
     pub fn held(&self, now: Instant, request: &Request) -> Option<(RequestDigest, Duration)> {
         self.held_by(now, || request.fingerprint(), || request.digest())
     }
 
-    /// Returns for how long a request is held back; neither look nor digest is worked out while none is sought.
+    /// As [`CrashSuspects::held`]. Computes neither fingerprint nor digest while no request is held or watched.
     pub fn held_by(
         &self,
         now: Instant,
@@ -71,14 +71,14 @@
         verdicts.held(now, fingerprint(), digest)
     }
 
-    /// Returns whether a request that a server has just ended with goes to no other one: it is held back, or may be found
-    /// to end servers. So the tries that are left until it is found end one server each, not as many as its route
+    /// Returns whether a request that a crash has just interrupted must not be retried on another server, because it is held
+    /// or watched. Until it is held, each of its remaining attempts thus crashes one server, not as many as its route
     /// allows.
     pub fn forbids_retry(&self, request: &Request) -> bool {
         self.forbids_retry_by(|| request.fingerprint(), || request.digest())
     }
 
-    /// As [`Suspicion::ends_here`]; neither look nor digest is worked out while none is sought.
+    /// As [`CrashSuspects::forbids_retry`]. Computes neither fingerprint nor digest while no request is held or watched.
     pub fn forbids_retry_by(
         &self,
         fingerprint: impl FnOnce() -> RequestFingerprint,
@@ -92,7 +92,7 @@
         matches!(judgement, Some(Judgement::Watched | Judgement::Held))
     }
 
-    /// Notes that a request was answered well.
+    /// Notes a successful response to a request.
     pub fn note_success(&self, now: Instant, request: &Request) {
         if let Some(digest) = self.note_success_by(now, request.fingerprint(), || request.digest())
         {
@@ -100,26 +100,26 @@
         }
     }
 
-    /// Notes a good answer to a request of that look; returns the request if it was held or watched.
+    /// Notes a successful response to a request with that fingerprint; returns its digest if it was held or watched.
     pub fn note_success_by(
         &self,
         now: Instant,
         fingerprint: RequestFingerprint,
         digest: impl Fn() -> RequestDigest,
     ) -> Option<RequestDigest> {
-        lock(&self.answered).note(now, fingerprint, &digest);
+        lock(&self.successes).note(now, fingerprint, &digest);
         let mut verdicts = lock(&self.verdicts);
         if verdicts.is_idle() {
             return None;
         }
-        let cleared = verdicts.answered(now, fingerprint, digest)?;
+        let cleared = verdicts.clear_successful(now, fingerprint, digest)?;
         drop(verdicts);
         lock(&self.cleared).push(cleared);
         Some(cleared)
     }
 
-    /// Notes that the connection to a server ended with the request under way there; `long_running` says whether it had run
-    /// there for a while.
+    /// Notes that the connection to a server was lost with the request in flight there. `long_running` tells whether the
+    /// server had run it for a while.
     pub fn note_disconnect(
         &self,
         gateway: &Gateway,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Notes a request that was at a server as it ended, unless it was answered well lately.
+    /// Notes a request that was in flight at a server that crashed, unless it had a successful response recently.
     pub fn note_crash(
         &self,
         now: Instant,
@@ -143,31 +143,31 @@
         service: &ServiceName,
         suspect: Suspect,
     ) {
-        let mut answered = lock(&self.answered);
-        answered.alert(now);
-        if !answered.has(now, suspect.fingerprint, suspect.digest) {
-            lock(&self.ends).note(now, server, service, suspect);
+        let mut successes = lock(&self.successes);
+        successes.alert(now);
+        if !successes.contains(now, suspect.fingerprint, suspect.digest) {
+            lock(&self.crashes).note(now, server, service, suspect);
         }
     }
 
-    /// Finds out whether a server whose connection ended has ended itself: then its address refuses connections. A
-    /// server that leaves as it said ends too, with what it had not finished.
+    /// Checks whether a server whose connection was lost has crashed: then its address refuses connections. A server that
+    /// announced that it leaves is not checked, since it stops with the requests that it has not finished.
     fn has_crashed(&self, gateway: &Gateway, server: &BackendServer) -> bool {
         let now = gateway.clock.now();
-        if let Some(known) = lock(&self.ends).has_crashed(now, &server.id) {
+        if let Some(known) = lock(&self.crashes).has_crashed(now, &server.id) {
             return known;
         }
-        let is_used = gateway.knowledge.with_servers(|roster| {
+        let is_in_use = gateway.knowledge.with_servers(|roster| {
             roster.servers().any(|listed| listed.id == server.id && !listed.leaving)
         });
-        if !is_used {
+        if !is_in_use {
             return false;
         }
-        match gateway.conns.connect(server.address, now + CHECK_TIME) {
+        match gateway.conns.connect(server.address, now + CHECK_TIMEOUT) {
             Ok(conn) => {
-                lock(&self.ends).note_alive(now, &server.id);
-                let most = gateway.connections_of(&server.service);
-                gateway.conns.keep(&server.id, conn, None, most);
+                lock(&self.crashes).note_alive(now, &server.id);
+                let max_connections = gateway.connections_of(&server.service);
+                gateway.conns.keep(&server.id, conn, None, max_connections);
                 false
             }
             Err(fault) => {
@@ -178,36 +178,36 @@
         }
     }
 
-    /// Returns what this instance tells the one that collects reports.
+    /// Returns what this instance reports to the aggregator.
     pub fn report(&self, now: Instant) -> CrashSuspectsReport {
         CrashSuspectsReport {
-            ends: lock(&self.ends).unreported(now),
+            crashes: lock(&self.crashes).unreported(now),
             cleared: lock(&self.cleared).clone(),
             verdicts: self.verdict_updates(now),
         }
     }
 
-    /// Notes that the instance `to` has taken a report.
+    /// Notes that the aggregator `to` has received a report.
     pub fn mark_reported(&self, to: RunId, report: &CrashSuspectsReport) {
-        lock(&self.ends).mark_reported(to, &report.ends);
+        lock(&self.crashes).mark_reported(to, &report.crashes);
         lock(&self.cleared).retain(|digest| !report.cleared.contains(digest));
     }
 
-    /// Takes what another instance tells, or this one has to tell itself where all turn to it.
+    /// Applies the report of another instance, or the aggregator's own.
     pub fn apply_report(&self, now: Instant, report: &CrashSuspectsReport) {
-        let mut collector = lock(&self.collector);
-        report.cleared.iter().for_each(|digest| collector.clear(now, *digest));
-        let findings = collector.take(now, &report.ends);
-        drop(collector);
+        let mut attribution = lock(&self.attribution);
+        report.cleared.iter().for_each(|digest| attribution.clear(now, *digest));
+        let findings = attribution.record(now, &report.crashes);
+        drop(attribution);
         let found: Vec<VerdictUpdate> = findings.iter().map(verdict_of).collect();
-        let news = self.apply_verdicts(now, &found, "own");
-        for finding in findings.iter().filter(|f| news.iter().any(|n| n.digest == f.digest)) {
+        let new = self.apply_verdicts(now, &found, "own");
+        for finding in findings.iter().filter(|f| new.iter().any(|v| v.digest == f.digest)) {
             let servers: Vec<String> = finding.servers.iter().map(ToString::to_string).collect();
             log::warn!(
                 "event=request_found digest={} servers={} ended_since={}",
                 finding.digest,
                 servers.join(","),
-                finding.ended
+                finding.crashed
             );
         }
         self.apply_verdicts(now, &report.verdicts, "peer");
@@ -217,42 +217,42 @@
         }
     }
 
-    /// Takes verdicts, and returns those that are new.
+    /// Applies verdicts, and returns those that are new.
     pub fn apply_verdicts(
         &self,
         now: Instant,
-        told: &[VerdictUpdate],
+        updates: &[VerdictUpdate],
         source: &str,
     ) -> Vec<VerdictUpdate> {
-        let news = lock(&self.verdicts).take(now, told);
-        self.clear_known(now, &news);
-        for verdict in news.iter().filter(|verdict| verdict.judgement != Judgement::Watched) {
+        let new = lock(&self.verdicts).merge(now, updates);
+        self.clear_successful(now, &new);
+        for verdict in new.iter().filter(|verdict| verdict.judgement != Judgement::Watched) {
             self.verdicts_changed.set();
             let (digest, judgement) = (verdict.digest, verdict.judgement);
             log::warn!(
                 "event=request_judged digest={digest} judgement={judgement:?} source={source}"
             );
         }
-        news
+        new
     }
 
-    /// Returns what is held back, or was until lately.
+    /// Returns the requests that are held or were cleared recently.
     pub fn verdict_updates(&self, now: Instant) -> Vec<VerdictUpdate> {
         lock(&self.verdicts).updates(now)
     }
 
-    /// Returns how many requests are held back.
+    /// Returns how many requests are held.
     pub fn held_count(&self) -> usize {
         lock(&self.verdicts).held_count()
     }
 
-    /// Holds a request no more, on an operator's word.
+    /// Clears a request on an operator's decision.
     pub fn lift(&self, now: Instant, digest: RequestDigest) {
         lock(&self.verdicts).clear(now, digest);
-        lock(&self.collector).clear(now, digest);
+        lock(&self.attribution).clear(now, digest);
     }
 
-    /// Has the store's table looked at, until it has been read.
+    /// Requests a read of the store's table, unless it has been read.
     pub fn request_table_read(&self) {
         if !self.is_table_read.load(Ordering::Relaxed) {
             self.verdicts_changed.set();
@@ -264,41 +264,42 @@
         self.is_table_read.store(true, Ordering::Relaxed);
     }
 
-    /// Takes the requests that are to be watched.
+    /// Replaces the watched requests.
     pub fn watch(&self, now: Instant, watched: &[VerdictUpdate]) {
         if watched.is_empty() && lock(&self.verdicts).is_idle() {
             return;
         }
-        let news = lock(&self.verdicts).watch(now, watched);
-        self.clear_known(now, &news);
+        let new = lock(&self.verdicts).watch(now, watched);
+        self.clear_successful(now, &new);
     }
 
-    /// Clears those of new verdicts whose requests this instance has answered lately.
-    fn clear_known(&self, now: Instant, news: &[VerdictUpdate]) {
-        let answered = lock(&self.answered);
-        let known = |told: &&VerdictUpdate| {
-            told.judgement != Judgement::Cleared && answered.has(now, told.fingerprint, told.digest)
+    /// Clears the requests of new verdicts that had a successful response at this instance recently.
+    fn clear_successful(&self, now: Instant, new: &[VerdictUpdate]) {
+        let successes = lock(&self.successes);
+        let successful = |update: &&VerdictUpdate| {
+            update.judgement != Judgement::Cleared
+                && successes.contains(now, update.fingerprint, update.digest)
         };
-        for verdict in news.iter().filter(known) {
-            lock(&self.verdicts).answered(now, verdict.fingerprint, || verdict.digest);
+        for verdict in new.iter().filter(successful) {
+            lock(&self.verdicts).clear_successful(now, verdict.fingerprint, || verdict.digest);
             lock(&self.cleared).push(verdict.digest);
             log::info!("event=request_cleared digest={}", verdict.digest);
         }
     }
 
-    /// Returns whether servers have ended lately, as those know that turn to this instance.
+    /// Returns whether servers have crashed recently, according to the reports that this instance has received.
     pub fn is_alert(&self, now: Instant) -> bool {
-        lock(&self.collector).is_alert(now)
+        lock(&self.attribution).is_alert(now)
     }
 
-    /// Notes that servers have ended lately.
+    /// Notes that servers have crashed recently.
     pub fn alert(&self, now: Instant) {
-        lock(&self.answered).alert(now);
+        lock(&self.successes).alert(now);
     }
 
-    /// Returns the requests that all are to watch, where all turn to this instance.
+    /// Returns the requests that all instances have to watch, if this one is the aggregator.
     pub fn watched(&self, now: Instant) -> Vec<VerdictUpdate> {
-        lock(&self.collector).watched(now)
+        lock(&self.attribution).watched(now)
     }
 }
 
@@ -308,7 +309,7 @@
 }
 
 impl Request {
-    /// Returns what is cheap to tell of the request.
+    /// Returns the fingerprint of the request.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let team = self.team.as_ref().map_or("", |team| team.as_str());
         RequestFingerprint::of(team, &self.target, self.body.len())
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -1,5 +1,4 @@
-//! The store's table of requests that are held back: it outlives all instances, and operators lift a verdict by
-//! removing its row.
+//! The store's table of held requests. It outlives all instances, and operators lift a verdict by removing its row.
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -19,40 +18,40 @@
     utils::sync::lock,
 };
 
-/// Pause between two looks at the table while requests are held back: 0.2 calls a second for the whole fleet, and
-/// operators see soon whether a verdict is lifted.
-const LOOK_PERIOD: Duration = Duration::from_secs(5);
+/// Interval between two reads of the table while requests are held: 0.2 calls per second for the whole fleet, and operators
+/// soon see that a verdict is lifted.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause after a failed call.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before the table is read again after a failed call.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a row holds beside its key, the request's digest.
+/// Value of a row. Its key is the digest of the request.
 #[derive(Debug, Serialize, Deserialize)]
 struct RowValue {
     fingerprint: RequestFingerprint,
     until_ms: u64,
 }
 
-/// Keeps the table until the process ends, as long as this is the instance to which all turn.
+/// Keeps table and verdicts in sync until the process ends, whenever this instance is the aggregator.
 pub fn run(gateway: &Arc<Gateway>) {
     let mut sync = HeldTableSync::new(gateway.settings.first_start);
     loop {
-        gateway.crash_suspects.verdicts_changed.wait(LOOK_PERIOD);
+        gateway.crash_suspects.verdicts_changed.wait(POLL_INTERVAL);
         let now = gateway.clock.now();
-        let is_first = lock(&gateway.peers.candidates).first(now).is_none();
-        if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
+        let is_aggregator = lock(&gateway.peers.candidates).first(now).is_none();
+        if gateway.drain.is_draining() || !is_aggregator || !gateway.peers.knows_others(now) {
             continue;
         }
-        if let Err(fault) = keep(gateway, &mut sync) {
+        if let Err(fault) = reconcile(gateway, &mut sync) {
             log::info!("event=held_table_unread reason={:?}", fault.to_string());
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
             gateway.crash_suspects.verdicts_changed.set();
         }
     }
 }
 
-/// Brings table and verdicts in line.
-fn keep(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreFault> {
+/// Makes table and verdicts agree.
+fn reconcile(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreFault> {
     let crash_suspects = &gateway.crash_suspects;
     let known = crash_suspects.verdict_updates(gateway.clock.now());
     if sync.is_idle(&known) {
@@ -82,10 +81,10 @@
         |row: &HeldRow| encode(&RowValue { fingerprint: row.fingerprint, until_ms: row.until_ms });
     let puts: Vec<(String, Vec<u8>)> =
         plan.write.iter().map(|row| (row.digest.to_string(), value(row))).collect();
-    let gone: Vec<String> = plan.remove.iter().map(ToString::to_string).collect();
+    let removed: Vec<String> = plan.remove.iter().map(ToString::to_string).collect();
     let puts = puts.iter().map(|(key, value)| Change::Put { key, value });
     let changes: Vec<Change<'_>> =
-        puts.chain(gone.iter().map(|key| Change::Remove { key })).collect();
+        puts.chain(removed.iter().map(|key| Change::Remove { key })).collect();
     gateway.store.change(HELD_TABLE, &changes).map(drop)
 }
 
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -1,4 +1,4 @@
-//! Finds the request that ends servers in what all instances tell of ends.
+//! Attributes server crashes to requests, from the crash reports of all instances.
 
 use std::{
     cmp::Reverse,
@@ -13,261 +13,264 @@
 };
 use crate::names::{ServiceName, Tag};
 
-/// How long an end counts: a caller that sends its request again after minutes is met, and what is held for one that
-/// never does is bounded.
-const END_LIFE: Duration = Duration::from_secs(600);
+/// How long a crash counts: long enough for a caller that retries its request after minutes, and short enough to bound what
+/// is kept for callers that never retry.
+const CRASH_MAX_AGE: Duration = Duration::from_secs(600);
 
-/// Blame at which a request is held back: three servers that ended as they began to run it.
-const HELD_FROM: f64 = 3.0;
+/// Score at which a request is held: three servers that crashed as they began to run it.
+const HELD_SCORE: f64 = 3.0;
 
-/// Blame at which a request is held back that was not the only one at all these servers: more than the two servers of
+/// Score at which a request is held if another request was in flight at all the same servers: more than the two servers of
 /// each of two attempts that a caller makes. Requests with a shared prompt go from server to server together.
-const HELD_AMONG_OTHERS_FROM: f64 = 5.0;
+const HELD_SCORE_AMONG_OTHERS: f64 = 5.0;
 
-/// Blame for the end of a server that had run the request for a while.
-const RAN_ON_BLAME: f64 = 0.5;
+/// Score for the crash of a server that had run the request for a while.
+const LONG_RUNNING_SCORE: f64 = 0.5;
 
-/// Blame from which a request is watched: an answer at any instance clears it.
-const WATCHED_FROM: f64 = 1.5;
+/// Score from which a request is watched: a successful response at any instance clears it.
+const WATCHED_SCORE: f64 = 1.5;
 
-/// Share of the ends of its service since its first one at which a request must have been. Half the servers that are
-/// killed at a time, three times, have one request at no more than one in nine of them; five requests that each
-/// end servers at the same time are at a fifth.
-const PART_MIN: f64 = 0.2;
+/// Minimum share of the crashes of its service, since its first one, at which a held request was in flight. If half of the
+/// servers are killed at once, three times, no request is at more than one in nine of the crashes; of five requests that
+/// crash servers at the same time, each is at a fifth.
+const CRASH_SHARE_MIN: f64 = 0.2;
 
-/// Most requests under blame: 2 MB; beyond that those with the least blame are forgotten, oldest first.
+/// Maximum number of suspects: 2 MB. Beyond it, those with the lowest scores are evicted, the oldest first.
 const SUSPECTS_MAX: usize = 16_384;
 
-/// How many are forgotten at a time.
-const FORGOTTEN_AT_ONCE: usize = SUSPECTS_MAX / 8;
+/// Number of suspects evicted at a time.
+const EVICTION_BATCH: usize = SUSPECTS_MAX / 8;
 
-/// Most ends remembered: all servers of the planned size once.
-const ENDS_MAX: usize = 4096;
+/// Maximum number of crashes kept: one crash of each server at the planned size of a fleet.
+const CRASHES_MAX: usize = 4096;
 
-/// Most requests told as watched, those with the most blame first: 400 bytes a reply.
+/// Maximum number of requests propagated as watched, those with the highest scores first: 400 bytes per reply.
 const WATCHED_MAX: usize = 32;
 
-/// Least pause between two looks through all suspects, for those to be watched or forgotten: 302 instances ask 400 times
-/// a second.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two scans of all suspects for those to watch or expire: 302 instances send 400 reports a second.
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a request is told as watched after its last end: longer than callers go on to repeat it.
-const WATCHED_FOR: Duration = Duration::from_secs(20);
+/// How long a request is watched after its last crash: longer than callers go on retrying it.
+const WATCHED_DURATION: Duration = Duration::from_secs(20);
 
-/// Copies of a request at one server from which it counts as one that many send at once.
-const COPIES_MANY: u32 = 3;
+/// Copies of a request at one server from which it counts as one that many callers send at once.
+const MANY_COPIES: u32 = 3;
 
-/// How long such a request is watched before it is held back: two exchanges of most fleets, in which all can say
-/// that they have answered it. Without it 20 of 54,000 harmless requests were held back beside ones that end servers,
-/// with it 5 (drawn days on a made-up clock).
-const WATCHED_FIRST: Duration = Duration::from_millis(1000);
+/// How long a request that many callers send at once is watched before it is held: two exchanges in most fleets, in which
+/// all instances can report a successful response. In simulated days, 20 of 54,000 harmless requests were held beside
+/// requests that crash servers without this delay, and 5 with it.
+const WATCHED_BEFORE_HELD: Duration = Duration::from_millis(1000);
 
 #[derive(Debug)]
-struct End {
+struct Crash {
     at: Instant,
     service: ServiceName,
 }
 
-/// A request under blame.
+/// What has been reported of a suspected request.
 #[derive(Debug)]
 struct SuspectRecord {
     fingerprint: RequestFingerprint,
     service: ServiceName,
+    /// Time of the first crash at which it was in flight.
     first: Instant,
+    /// Time of the last crash at which it was in flight.
     last: Instant,
-    /// Since when it is watched.
+    /// Since when the request is watched.
     watched: Option<Instant>,
     servers: Vec<CrashScore>,
 }
 
-/// Blame for the end of one server.
+/// Score of a request for the crash of one server.
 #[derive(Debug)]
 struct CrashScore {
     server: Tag,
-    blame: f64,
-    /// Copies of the request that were there.
+    score: f64,
+    /// Copies of the request that were in flight there.
     copies: u32,
 }
 
 impl SuspectRecord {
-    fn blame(&self) -> f64 {
-        self.servers.iter().map(|at| at.blame).sum()
+    fn score(&self) -> f64 {
+        self.servers.iter().map(|at| at.score).sum()
     }
 
-    /// Returns what says how much it matters: its blame, in halves, and its last end.
+    /// Returns the key by which suspects are ordered: the score in halves, then the time of the last crash.
     fn rank(&self) -> (u64, Instant) {
-        ((self.blame() * 2.0) as u64, self.last)
+        ((self.score() * 2.0) as u64, self.last)
     }
 
-    /// Returns whether many send it at once, and not all have had the time to say that it was answered.
-    fn may_be_answered(&self, now: Instant) -> bool {
-        let many = self.servers.iter().any(|at| at.copies >= COPIES_MANY);
+    /// Returns whether many callers send the request at once and a successful response may not have been reported yet.
+    fn may_have_succeeded(&self, now: Instant) -> bool {
+        let many = self.servers.iter().any(|at| at.copies >= MANY_COPIES);
         let watched = self.watched.map(|since| now.saturating_duration_since(since));
-        many && watched.is_none_or(|time| time < WATCHED_FIRST)
+        many && watched.is_none_or(|time| time < WATCHED_BEFORE_HELD)
     }
 }
 
-/// A request that is found to end servers.
+/// A request that is found to crash servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// Its look.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Servers that ended with it.
+    /// Servers that crashed with the request in flight.
     pub servers: Vec<Tag>,
-    /// Servers of the service that ended since the first of them.
-    pub ended: usize,
+    /// Servers of the service that crashed since the first of them.
+    pub crashed: usize,
 }
 
-/// The ends that all instances have told.
+/// The crashes that all instances have reported, and the requests suspected of causing them.
 #[derive(Debug, Default)]
 pub struct CrashAttribution {
-    ends: IndexMap<Tag, End>,
+    crashes: IndexMap<Tag, Crash>,
     suspects: IndexMap<RequestDigest, SuspectRecord>,
-    /// Requests that will be held back unless one of them turns out to have been answered.
+    /// Requests that will be held unless a successful response is reported for them.
     pending: IndexSet<RequestDigest>,
     cleared: IndexMap<RequestDigest, Instant>,
     watched: Vec<VerdictUpdate>,
-    looked: Option<Instant>,
+    scanned: Option<Instant>,
 }
 
 impl CrashAttribution {
-    /// Takes ends that an instance tells, and returns the requests that are found to end servers.
-    pub fn take(&mut self, now: Instant, told: &[CrashReport]) -> Vec<Finding> {
-        if told.is_empty() && self.pending.is_empty() {
+    /// Records crashes that an instance reports, and returns the requests that are found to crash servers.
+    pub fn record(&mut self, now: Instant, reports: &[CrashReport]) -> Vec<Finding> {
+        if reports.is_empty() && self.pending.is_empty() {
             return Vec::new();
         }
-        self.look_through(now);
-        for end in told {
-            let at = now.checked_sub(Duration::from_millis(end.age_ms)).unwrap_or(now);
-            let new = || End { at, service: end.service.clone() };
-            self.ends.entry(end.server).or_insert_with(new);
-            for suspect in &end.in_flight {
-                self.blame(now, end, suspect, at);
+        self.scan(now);
+        for crash in reports {
+            let at = now.checked_sub(Duration::from_millis(crash.age_ms)).unwrap_or(now);
+            let new = || Crash { at, service: crash.service.clone() };
+            self.crashes.entry(crash.server).or_insert_with(new);
+            for suspect in &crash.in_flight {
+                self.add_score(now, crash, suspect, at);
             }
         }
         let mut touched = std::mem::take(&mut self.pending);
-        touched.extend(told.iter().flat_map(|end| &end.in_flight).map(|suspect| suspect.digest));
+        touched.extend(
+            reports.iter().flat_map(|crash| &crash.in_flight).map(|suspect| suspect.digest),
+        );
         let judged = touched.into_iter().filter_map(|digest| self.judge(now, digest));
         let findings: Vec<Finding> = judged.collect();
         for finding in &findings {
             self.suspects.shift_remove(&finding.digest);
-            self.watched.retain(|told| told.digest != finding.digest);
+            self.watched.retain(|update| update.digest != finding.digest);
         }
         findings
     }
 
-    /// Notes that a request was answered well: no server ends of it.
+    /// Notes that a request had a successful response, so that it does not crash servers.
     pub fn clear(&mut self, now: Instant, digest: RequestDigest) {
         self.suspects.shift_remove(&digest);
-        self.watched.retain(|told| told.digest != digest);
+        self.watched.retain(|update| update.digest != digest);
         self.cleared.insert(digest, now);
     }
 
-    /// Returns requests that may be found to end servers, for all to look whether they are answered.
+    /// Returns requests that may turn out to crash servers. All instances check whether they have a successful response.
     pub fn watched(&mut self, now: Instant) -> Vec<VerdictUpdate> {
-        self.look_through(now);
+        self.scan(now);
         self.watched.clone()
     }
 
-    /// Returns whether a server has ended lately.
+    /// Returns whether a server has crashed recently.
     pub fn is_alert(&self, now: Instant) -> bool {
-        let last = self.ends.last().map(|(_, end)| end.at);
-        last.is_some_and(|at| now.saturating_duration_since(at) < WATCHED_FOR)
+        let last = self.crashes.last().map(|(_, crash)| crash.at);
+        last.is_some_and(|at| now.saturating_duration_since(at) < WATCHED_DURATION)
     }
 
-    /// Returns how many requests are under blame.
+    /// Returns the number of suspects.
     pub fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
-    fn blame(&mut self, now: Instant, end: &CrashReport, suspect: &Suspect, at: Instant) {
+    fn add_score(&mut self, now: Instant, crash: &CrashReport, suspect: &Suspect, at: Instant) {
         if self.cleared.contains_key(&suspect.digest) {
             return;
         }
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&suspect.digest) {
-            self.forget_least();
+            self.evict_lowest();
         }
         let new = || SuspectRecord {
             fingerprint: suspect.fingerprint,
-            service: end.service.clone(),
+            service: crash.service.clone(),
             first: at,
             last: at,
             watched: None,
             servers: Vec::new(),
         };
-        let blamed = self.suspects.entry(suspect.digest).or_insert_with(new);
-        blamed.first = blamed.first.min(at);
-        blamed.last = blamed.last.max(at);
-        let blame = if suspect.long_running { RAN_ON_BLAME } else { 1.0 };
-        match blamed.servers.iter_mut().find(|known| known.server == end.server) {
+        let record = self.suspects.entry(suspect.digest).or_insert_with(new);
+        record.first = record.first.min(at);
+        record.last = record.last.max(at);
+        let score = if suspect.long_running { LONG_RUNNING_SCORE } else { 1.0 };
+        match record.servers.iter_mut().find(|known| known.server == crash.server) {
             Some(known) => {
-                known.blame = known.blame.max(blame);
+                known.score = known.score.max(score);
                 known.copies += 1;
             }
-            None => blamed.servers.push(CrashScore { server: end.server, blame, copies: 1 }),
+            None => record.servers.push(CrashScore { server: crash.server, score, copies: 1 }),
         }
-        if blamed.blame() >= WATCHED_FROM {
-            blamed.watched.get_or_insert(now);
+        if record.score() >= WATCHED_SCORE {
+            record.watched.get_or_insert(now);
         }
     }
 
     fn judge(&mut self, now: Instant, digest: RequestDigest) -> Option<Finding> {
-        let blamed = self.suspects.get(&digest).filter(|blamed| blamed.blame() >= HELD_FROM)?;
-        let since = |end: &&End| end.service == blamed.service && end.at >= blamed.first;
-        let ended = self.ends.values().filter(since).count().max(blamed.servers.len());
-        let part = blamed.servers.len() as f64 / ended as f64;
-        let stands_out = blamed.blame() >= HELD_AMONG_OTHERS_FROM || self.is_alone(digest, blamed);
-        if part < PART_MIN || !stands_out {
+        let record = self.suspects.get(&digest).filter(|record| record.score() >= HELD_SCORE)?;
+        let since = |crash: &&Crash| crash.service == record.service && crash.at >= record.first;
+        let crashed = self.crashes.values().filter(since).count().max(record.servers.len());
+        let crash_share = record.servers.len() as f64 / crashed as f64;
+        let stands_out = record.score() >= HELD_SCORE_AMONG_OTHERS || self.is_alone(digest, record);
+        if crash_share < CRASH_SHARE_MIN || !stands_out {
             return None;
         }
-        if blamed.may_be_answered(now) {
+        if record.may_have_succeeded(now) {
             self.pending.insert(digest);
             return None;
         }
-        let servers = blamed.servers.iter().map(|at| at.server).collect();
-        Some(Finding { fingerprint: blamed.fingerprint, digest, servers, ended })
+        let servers = record.servers.iter().map(|at| at.server).collect();
+        Some(Finding { fingerprint: record.fingerprint, digest, servers, crashed })
     }
 
-    /// Returns whether no other request was at all the servers that ended with this one.
-    fn is_alone(&self, digest: RequestDigest, blamed: &SuspectRecord) -> bool {
+    /// Returns whether no other request was in flight at all the servers that crashed with this one.
+    fn is_alone(&self, digest: RequestDigest, record: &SuspectRecord) -> bool {
         let was_there = |other: &SuspectRecord| {
             let at = |server: Tag| other.servers.iter().any(|known| known.server == server);
-            blamed.servers.iter().all(|known| at(known.server))
+            record.servers.iter().all(|known| at(known.server))
         };
         !self.suspects.iter().any(|(known, other)| *known != digest && was_there(other))
     }
 
-    /// Makes room.
-    fn forget_least(&mut self) {
-        self.suspects.sort_by_key(|_, blamed| blamed.rank());
-        self.suspects.drain(..FORGOTTEN_AT_ONCE);
+    /// Evicts the suspects with the lowest scores.
+    fn evict_lowest(&mut self) {
+        self.suspects.sort_by_key(|_, record| record.rank());
+        self.suspects.drain(..EVICTION_BATCH);
     }
 
-    /// Forgets what is old, and finds what is to be watched.
-    fn look_through(&mut self, now: Instant) {
-        let looked = self.looked.map(|at| now.saturating_duration_since(at));
-        if looked.is_some_and(|pause| pause < LOOK_PAUSE) || self.ends.is_empty() {
+    /// Removes expired crashes, suspects and cleared requests, and selects the requests to watch.
+    fn scan(&mut self, now: Instant) {
+        let scanned = self.scanned.map(|at| now.saturating_duration_since(at));
+        if scanned.is_some_and(|age| age < SCAN_INTERVAL) || self.crashes.is_empty() {
             return;
         }
-        self.looked = Some(now);
-        let is_old = |at: Instant, life: Duration| now.saturating_duration_since(at) > life;
-        self.ends.retain(|_, end| !is_old(end.at, END_LIFE));
-        while self.ends.len() > ENDS_MAX {
-            self.ends.shift_remove_index(0);
+        self.scanned = Some(now);
+        let is_old = |at: Instant, max_age: Duration| now.saturating_duration_since(at) > max_age;
+        self.crashes.retain(|_, crash| !is_old(crash.at, CRASH_MAX_AGE));
+        while self.crashes.len() > CRASHES_MAX {
+            self.crashes.shift_remove_index(0);
         }
-        self.suspects.retain(|_, blamed| !is_old(blamed.last, END_LIFE));
+        self.suspects.retain(|_, record| !is_old(record.last, CRASH_MAX_AGE));
         self.cleared.retain(|_, at| !is_old(*at, CLEARED_DURATION));
         let mut watched: Vec<(&RequestDigest, &SuspectRecord)> = self.suspects.iter().collect();
-        watched.retain(|(_, b)| b.blame() >= WATCHED_FROM && !is_old(b.last, WATCHED_FOR));
-        watched.sort_by_key(|(_, blamed)| Reverse(blamed.rank()));
-        let told = |(digest, b): (&RequestDigest, &SuspectRecord)| VerdictUpdate {
+        watched.retain(|(_, r)| r.score() >= WATCHED_SCORE && !is_old(r.last, WATCHED_DURATION));
+        watched.sort_by_key(|(_, record)| Reverse(record.rank()));
+        let update = |(digest, record): (&RequestDigest, &SuspectRecord)| VerdictUpdate {
             digest: *digest,
-            fingerprint: b.fingerprint,
+            fingerprint: record.fingerprint,
             judgement: Judgement::Watched,
             age_ms: 0,
         };
-        self.watched = watched.into_iter().take(WATCHED_MAX).map(told).collect();
+        self.watched = watched.into_iter().take(WATCHED_MAX).map(update).collect();
     }
 }
--- a/src/routing/crash_suspects/digest.rs
+++ b/src/routing/crash_suspects/digest.rs
@@ -1,23 +1,24 @@
-//! What makes two requests the same one, sent again.
+//! Identity of a request across the attempts of its caller.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash of what a caller sends again when it repeats a request: its team, the target and the body, and not the id,
-/// which is new with each attempt, nor headers, which say how long the caller waits or which events it has.
+/// Hash of what stays the same when a caller retries a request: its team, target and body. The request id is new with each
+/// attempt, and headers change with the remaining deadline or the last event received, so both are left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestDigest(pub u64);
 
-/// Why a text is not a digest.
+/// Error for a text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is not a digest; give the 16 hexadecimal digits that a log line shows")]
+#[error("{0:?} is not a request digest: expected 16 hexadecimal digits, as in a log line")]
 pub struct DigestError(String);
 
 impl RequestDigest {
-    /// Returns the digest of the request that `parts` make up together.
+    /// Returns the digest of a request that consists of `parts`. The length of each part is hashed too, so that moving bytes
+    /// from one part to the next changes the digest.
     pub fn of(parts: &[&[u8]]) -> RequestDigest {
         let mut hasher = Xxh3::new();
         for part in parts {
--- a/src/routing/crash_suspects/fingerprint.rs
+++ b/src/routing/crash_suspects/fingerprint.rs
@@ -1,4 +1,4 @@
-//! A cheap sign of which request this may be.
+//! A cheap hash that rules out most requests before their bodies are hashed.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use super::RequestDigest;
 
-/// Hash of a request's team, target and the length of its body: requests of different looks are different requests,
-/// which saves reading the bodies of nearly all.
+/// Hash of a request's team, target and body length. Requests with different fingerprints are different requests, so
+/// nearly all bodies need not be hashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(pub u32);
 
 impl RequestFingerprint {
-    /// Returns the look of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(team: &str, target: &str, body_bytes: usize) -> RequestFingerprint {
         let length = body_bytes.to_le_bytes();
         let hash = RequestDigest::of(&[team.as_bytes(), target.as_bytes(), &length]);
--- a/src/routing/crash_suspects/recent_successes.rs
+++ b/src/routing/crash_suspects/recent_successes.rs
@@ -1,31 +1,33 @@
-//! Requests that have been answered well lately: those that are sent again and again, and while servers end all.
+//! Requests that recently had a successful response, recorded for repeated requests and while servers crash.
 
 use std::time::{Duration, Instant};
 
 use super::{RequestDigest, RequestFingerprint};
 
-/// Requests remembered: with 40 requests a second, one that comes each minute is still there (160 KB).
+/// Number of remembered requests. At 40 requests per second, a request that is sent once a minute is still remembered; the
+/// table takes 160 KB.
 const SLOTS: usize = 4096;
 
-/// How long an answer speaks for the request: longer, and a new version of a server might be ended by it.
-const ANSWER_LIFE: Duration = Duration::from_secs(120);
+/// How long a success protects its request from being held. Beyond this time, a new version of a server may crash on it.
+const SUCCESS_MAX_AGE: Duration = Duration::from_secs(120);
 
-/// How long after the last known end of a server the bodies of all answered requests are read: callers have repeated
-/// by then what ended with it. Reading takes 2 microseconds for a body of 20 KB.
-const ALERT_FOR: Duration = Duration::from_secs(20);
+/// How long after the last known server crash the body of every successful request is hashed: by then callers have
+/// retried what the crash interrupted. Hashing a body of 20 KB takes 2 microseconds.
+const ALERT_DURATION: Duration = Duration::from_secs(20);
 
-/// Least pause between two readings of the body of a request that is sent again and again.
-const READ_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum time between two hashes of the body of a request that is sent repeatedly.
+const HASH_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 struct Slot {
     fingerprint: RequestFingerprint,
-    answered: Option<(RequestDigest, Instant)>,
+    success: Option<(RequestDigest, Instant)>,
 }
 
-/// Answered requests by look.
+/// Requests with a recent success, by fingerprint.
 ///
-/// Prevents that a request which many send at once is blamed when many servers end at once: it was at all of them.
+/// A request that many callers send at once is in flight at every server. Without this record it would be held whenever
+/// many servers crash at the same time.
 #[derive(Debug)]
 pub struct RecentSuccesses {
     slots: Vec<Option<Slot>>,
@@ -39,13 +41,13 @@
 }
 
 impl RecentSuccesses {
-    /// Notes that a server has ended somewhere.
+    /// Notes that a server has crashed.
     pub fn alert(&mut self, now: Instant) {
-        self.alert_until = Some(now + ALERT_FOR);
+        self.alert_until = Some(now + ALERT_DURATION);
     }
 
-    /// Notes a good answer. The body is read, by `digest`, from the second answer to requests of one look on, and while
-    /// servers end.
+    /// Notes a successful response. `digest` hashes the body; it is called from the second response to requests with one
+    /// fingerprint on, and for every response while servers crash.
     pub fn note(
         &mut self,
         now: Instant,
@@ -53,23 +55,23 @@
         digest: impl FnOnce() -> RequestDigest,
     ) {
         let alert = self.alert_until.is_some_and(|until| now < until);
-        let place = &mut self.slots[fingerprint.0 as usize % SLOTS];
-        match place {
+        let entry = &mut self.slots[fingerprint.0 as usize % SLOTS];
+        match entry {
             Some(slot) if slot.fingerprint == fingerprint => {
-                let read = slot.answered.map(|(_, at)| now.saturating_duration_since(at));
-                if read.is_none_or(|age| age >= READ_PAUSE) {
-                    slot.answered = Some((digest(), now));
+                let age = slot.success.map(|(_, at)| now.saturating_duration_since(at));
+                if age.is_none_or(|age| age >= HASH_INTERVAL) {
+                    slot.success = Some((digest(), now));
                 }
             }
             _ => {
-                let answered = alert.then(|| (digest(), now));
-                *place = Some(Slot { fingerprint, answered });
+                let success = alert.then(|| (digest(), now));
+                *entry = Some(Slot { fingerprint, success });
             }
         }
     }
 
-    /// Returns whether the request was answered well lately.
-    pub fn has(
+    /// Returns whether the request had a successful response recently.
+    pub fn contains(
         &self,
         now: Instant,
         fingerprint: RequestFingerprint,
@@ -77,9 +79,9 @@
     ) -> bool {
         let slot = self.slots[fingerprint.0 as usize % SLOTS]
             .filter(|slot| slot.fingerprint == fingerprint);
-        let answered = slot.and_then(|slot| slot.answered);
-        answered.is_some_and(|(known, at)| {
-            known == digest && now.saturating_duration_since(at) <= ANSWER_LIFE
+        let success = slot.and_then(|slot| slot.success);
+        success.is_some_and(|(known, at)| {
+            known == digest && now.saturating_duration_since(at) <= SUCCESS_MAX_AGE
         })
     }
 }
--- a/src/routing/crash_suspects/server_crashes.rs
+++ b/src/routing/crash_suspects/server_crashes.rs
@@ -1,4 +1,4 @@
-//! What an instance had at backend servers that ended, and what of that it has told.
+//! Requests that an instance had in flight at backend servers that crashed, and which of them it has reported.
 
 use std::{
     collections::HashMap,
@@ -14,77 +14,78 @@
     routing::{Incarnation, RunId},
 };
 
-/// How long an end is kept, to be told to the next instance that collects reports should the one that knows it be lost.
-const KEPT_FOR: Duration = Duration::from_secs(60);
+/// How long a crash is kept, so that it can be reported to the next aggregator if the current one is lost.
+const CRASH_MAX_AGE: Duration = Duration::from_secs(60);
 
-/// Most requests told in one report: 12 KB, of a link of 20 Mbit/s 5 ms.
-const TOLD_MAX: usize = 512;
+/// Maximum number of suspects in one report: 12 KB, which take 5 ms on a link of 20 Mbit/s.
+const REPORTED_MAX: usize = 512;
 
-/// Most requests kept: a server of 64 places ends under each of eight instances' requests a hundred times a minute.
-const KEPT_MAX: usize = 4096;
+/// Maximum number of suspects kept: enough for a server with 64 slots that crashes a hundred times a minute while it runs
+/// requests of eight instances.
+const SUSPECTS_MAX: usize = 4096;
 
-/// How long a connection that a server has accepted says that it has not ended.
-const ALIVE_FOR: Duration = Duration::from_millis(100);
+/// How long an accepted connection counts as evidence that the server has not crashed.
+const ALIVE_DURATION: Duration = Duration::from_millis(100);
 
-/// A request that was at a server as it ended.
+/// A request that was in flight at a server when it crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// Its look.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Whether it had run there for a while: the server did not end as it began to run it.
+    /// Whether the server had run the request for a while, rather than crashed as it began to run it.
     pub long_running: bool,
 }
 
-/// An end of a server, as instances tell each other of it.
+/// The crash of a server, as an instance reports it to the aggregator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The server, in the incarnation that ended.
+    /// The incarnation of the server that crashed.
     pub server: Tag,
     /// Its service.
     pub service: ServiceName,
-    /// Milliseconds since it ended.
+    /// Milliseconds since the crash.
     pub age_ms: u64,
-    /// Requests that the teller had there.
+    /// Requests that the reporting instance had in flight there.
     pub in_flight: Vec<Suspect>,
 }
 
 #[derive(Debug)]
-struct End {
+struct Crash {
     at: Instant,
     service: ServiceName,
     in_flight: Vec<Suspect>,
-    /// How many of them have been told.
-    told: usize,
+    /// How many of them have been reported.
+    reported: usize,
 }
 
-/// Ends of servers, as one instance saw them.
+/// Crashes of servers that one instance has observed.
 #[derive(Debug, Default)]
 pub struct ServerCrashes {
-    ends: IndexMap<Tag, End>,
+    crashes: IndexMap<Tag, Crash>,
     alive: HashMap<Tag, Instant>,
     reported_to: Option<RunId>,
 }
 
 impl ServerCrashes {
-    /// Returns whether a server whose connection ended has ended itself, where that was found out a moment ago.
+    /// Returns whether a server whose connection was lost has crashed, if that was determined a moment ago.
     pub fn has_crashed(&self, now: Instant, server: &Incarnation) -> Option<bool> {
         let tag = server.tag();
-        if self.ends.contains_key(&tag) {
+        if self.crashes.contains_key(&tag) {
             return Some(true);
         }
-        let seen = self.alive.get(&tag)?;
-        (now.saturating_duration_since(*seen) < ALIVE_FOR).then_some(false)
+        let accepted_at = self.alive.get(&tag)?;
+        (now.saturating_duration_since(*accepted_at) < ALIVE_DURATION).then_some(false)
     }
 
-    /// Notes that a server still takes connections.
+    /// Notes that a server still accepts connections.
     pub fn note_alive(&mut self, now: Instant, server: &Incarnation) {
-        self.alive.retain(|_, at| now.saturating_duration_since(*at) < ALIVE_FOR);
+        self.alive.retain(|_, at| now.saturating_duration_since(*at) < ALIVE_DURATION);
         self.alive.insert(server.tag(), now);
     }
 
-    /// Notes that a server has ended with a request under way.
+    /// Notes that a server crashed with a request in flight.
     pub fn note(
         &mut self,
         now: Instant,
@@ -92,47 +93,50 @@
         service: &ServiceName,
         suspect: Suspect,
     ) {
-        self.ends.retain(|_, end| now.saturating_duration_since(end.at) < KEPT_FOR);
-        let mut kept: usize = self.ends.values().map(|end| end.in_flight.len()).sum();
-        while kept >= KEPT_MAX {
-            let oldest = self.ends.shift_remove_index(0);
-            kept -= oldest.map_or(kept, |(_, end)| end.in_flight.len());
+        self.crashes.retain(|_, crash| now.saturating_duration_since(crash.at) < CRASH_MAX_AGE);
+        let mut kept: usize = self.crashes.values().map(|crash| crash.in_flight.len()).sum();
+        while kept >= SUSPECTS_MAX {
+            let oldest = self.crashes.shift_remove_index(0);
+            kept -= oldest.map_or(kept, |(_, crash)| crash.in_flight.len());
         }
-        let new = || End { at: now, service: service.clone(), in_flight: Vec::new(), told: 0 };
-        self.ends.entry(server.tag()).or_insert_with(new).in_flight.push(suspect);
+        let new =
+            || Crash { at: now, service: service.clone(), in_flight: Vec::new(), reported: 0 };
+        self.crashes.entry(server.tag()).or_insert_with(new).in_flight.push(suspect);
     }
 
-    /// Returns what has not been told yet, oldest first.
+    /// Returns what has not been reported yet, oldest crash first.
     pub fn unreported(&self, now: Instant) -> Vec<CrashReport> {
-        let mut left = TOLD_MAX;
-        let mut news = Vec::new();
-        for (server, end) in &self.ends {
+        let mut left = REPORTED_MAX;
+        let mut reports = Vec::new();
+        for (server, crash) in &self.crashes {
             let in_flight: Vec<Suspect> =
-                end.in_flight.iter().skip(end.told).take(left).copied().collect();
+                crash.in_flight.iter().skip(crash.reported).take(left).copied().collect();
             if in_flight.is_empty() {
                 continue;
             }
             left -= in_flight.len();
-            let age = now.saturating_duration_since(end.at).as_millis();
-            news.push(CrashReport {
+            let age = now.saturating_duration_since(crash.at).as_millis();
+            reports.push(CrashReport {
                 server: *server,
-                service: end.service.clone(),
+                service: crash.service.clone(),
                 age_ms: u64::try_from(age).unwrap_or(u64::MAX),
                 in_flight,
             });
         }
-        news
+        reports
     }
 
-    /// Notes that `to` has taken a report; to one that has just begun to collect, all is told again.
-    pub fn mark_reported(&mut self, to: RunId, news: &[CrashReport]) {
+    /// Notes that the aggregator `to` has received reports. A new aggregator, or one that restarted, has none of the earlier
+    /// reports and gets all of them again.
+    pub fn mark_reported(&mut self, to: RunId, reports: &[CrashReport]) {
         if self.reported_to != Some(to) {
-            self.ends.values_mut().for_each(|end| end.told = 0);
+            self.crashes.values_mut().for_each(|crash| crash.reported = 0);
             self.reported_to = Some(to);
         }
-        for said in news {
-            if let Some(end) = self.ends.get_mut(&said.server) {
-                end.told = (end.told + said.in_flight.len()).min(end.in_flight.len());
+        for report in reports {
+            if let Some(crash) = self.crashes.get_mut(&report.server) {
+                crash.reported =
+                    (crash.reported + report.in_flight.len()).min(crash.in_flight.len());
             }
         }
     }
--- a/src/routing/crash_suspects/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back, as an instance knows it by its own word or others'.
+//! Verdicts on suspected requests: what this instance has found and what it has received from others.
 
 use std::{
     collections::HashSet,
@@ -10,30 +10,30 @@
 
 use super::{RequestDigest, RequestFingerprint};
 
-/// How long a request is held back: time for operators to see it, and a bound on what a wrong verdict costs. One that
-/// still ends servers after that ends three more in ten minutes.
+/// How long a request is held: long enough for operators to notice it, and short enough to bound the cost of a wrong
+/// verdict. A request that still crashes servers after that crashes three more in ten minutes.
 pub const HOLD_DURATION: Duration = Duration::from_secs(600);
 
-/// How long it counts that a request was cleared: late news of ends before that change nothing, and one that ends servers
-/// all the same is held back again.
+/// How long a request stays cleared: late reports of earlier crashes have no effect in this time, and a request that
+/// crashes servers afterwards is held again.
 pub const CLEARED_DURATION: Duration = Duration::from_secs(60);
 
-/// Most verdicts kept, and told in a message: 3 KB.
-const KEPT_MAX: usize = 128;
+/// Maximum number of verdicts kept, and sent in one message: 3 KB.
+const VERDICTS_MAX: usize = 128;
 
-/// What is said of a request.
+/// Judgement on a request. A later variant supersedes an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Judgement {
-    /// It may be found to end servers; an answer clears it.
+    /// It may turn out to crash servers. A successful response clears it.
     Watched,
-    /// It is held back.
+    /// It is held: all instances reject it.
     Held,
-    /// It was held back and is no more: it was answered, or an operator says so.
+    /// It is no longer held, after a successful response or an operator's decision.
     Cleared,
 }
 
 impl Judgement {
-    fn life(self) -> Duration {
+    fn max_age(self) -> Duration {
         match self {
             Judgement::Watched | Judgement::Held => HOLD_DURATION,
             Judgement::Cleared => CLEARED_DURATION,
@@ -41,16 +41,16 @@
     }
 }
 
-/// A verdict as instances tell it each other.
+/// A verdict as it is propagated between instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerdictUpdate {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Its look.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// What is said of it.
+    /// Judgement on the request.
     pub judgement: Judgement,
-    /// Milliseconds since that was first said.
+    /// Milliseconds since the judgement was made.
     pub age_ms: u64,
 }
 
@@ -65,17 +65,18 @@
 #[derive(Debug, Default)]
 pub struct Verdicts {
     known: IndexMap<RequestDigest, Verdict>,
-    /// Looks of requests that are held or watched.
+    /// Fingerprints of requests that are held or watched.
     fingerprints: HashSet<RequestFingerprint>,
 }
 
 impl Verdicts {
-    /// Returns whether no request is looked for, so that none needs a look.
+    /// Returns whether no request is held or watched, so that no fingerprint need be computed.
     pub fn is_idle(&self) -> bool {
         self.fingerprints.is_empty()
     }
 
-    /// Returns for how long a request is held back still; its body is read, by `digest`, only where its look is known.
+    /// Returns for how long a request is still held. `digest`, which hashes the body, is called only if the fingerprint is
+    /// that of a held or watched request.
     pub fn held(
         &self,
         now: Instant,
@@ -88,7 +89,7 @@
         Some((digest, left))
     }
 
-    /// Returns what is said of a request.
+    /// Returns the judgement on a request.
     pub fn judgement(
         &self,
         fingerprint: RequestFingerprint,
@@ -98,8 +99,8 @@
         self.known.get(&digest).map(|known| known.judgement)
     }
 
-    /// Takes a good answer; returns the request if it was held or watched, and is so no more.
-    pub fn answered(
+    /// Clears a request that had a successful response; returns its digest if it was held or watched.
+    pub fn clear_successful(
         &mut self,
         now: Instant,
         fingerprint: RequestFingerprint,
@@ -118,7 +119,7 @@
         Some(digest)
     }
 
-    /// Holds a request no more.
+    /// Clears a request, which is not held any more.
     pub fn clear(&mut self, now: Instant, digest: RequestDigest) {
         if let Some(verdict) = self.known.get_mut(&digest) {
             verdict.judgement = Judgement::Cleared;
@@ -127,29 +128,29 @@
         self.update_fingerprints();
     }
 
-    /// Takes verdicts that another instance tells, or this one has found; returns those that are new here.
-    pub fn take(&mut self, now: Instant, told: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
-        let mut news = Vec::new();
-        for said in told {
-            let age = Duration::from_millis(said.age_ms);
-            let known = self.known.get(&said.digest).map(|known| known.judgement);
-            if age >= said.judgement.life() || known >= Some(said.judgement) {
+    /// Merges verdicts that were received or found here; returns those that were new.
+    pub fn merge(&mut self, now: Instant, updates: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
+        let mut new = Vec::new();
+        for update in updates {
+            let age = Duration::from_millis(update.age_ms);
+            let known = self.known.get(&update.digest).map(|known| known.judgement);
+            if age >= update.judgement.max_age() || known >= Some(update.judgement) {
                 continue;
             }
             let since = now.checked_sub(age).unwrap_or(now);
             let verdict =
-                Verdict { fingerprint: said.fingerprint, judgement: said.judgement, since };
-            self.known.insert(said.digest, verdict);
-            news.push(*said);
+                Verdict { fingerprint: update.fingerprint, judgement: update.judgement, since };
+            self.known.insert(update.digest, verdict);
+            new.push(*update);
         }
-        if !news.is_empty() {
-            self.forget_most();
+        if !new.is_empty() {
+            self.evict_excess();
             self.update_fingerprints();
         }
-        news
+        new
     }
 
-    /// Takes the requests that are to be watched from now on, instead of those before.
+    /// Replaces the watched requests by `watched`.
     ///
     /// Returns those that were not watched before.
     pub fn watch(&mut self, now: Instant, watched: &[VerdictUpdate]) -> Vec<VerdictUpdate> {
@@ -160,35 +161,37 @@
         if self.known.len() != before {
             self.update_fingerprints();
         }
-        self.take(now, watched)
+        self.merge(now, watched)
     }
 
-    /// Returns what is held back, or was until lately, for other instances.
+    /// Returns the requests that are held or were cleared recently, for other instances.
     pub fn updates(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         let before = self.known.len();
-        self.known
-            .retain(|_, known| now.saturating_duration_since(known.since) < known.judgement.life());
+        self.known.retain(|_, known| {
+            now.saturating_duration_since(known.since) < known.judgement.max_age()
+        });
         if self.known.len() != before {
             self.update_fingerprints();
         }
-        let lasting = self.known.iter().filter(|(_, known)| known.judgement != Judgement::Watched);
-        let told = |(digest, known): (&RequestDigest, &Verdict)| {
+        let propagated =
+            self.known.iter().filter(|(_, known)| known.judgement != Judgement::Watched);
+        let update = |(digest, known): (&RequestDigest, &Verdict)| {
             let age = now.saturating_duration_since(known.since).as_millis();
             let (fingerprint, judgement) = (known.fingerprint, known.judgement);
             let age_ms = u64::try_from(age).unwrap_or(u64::MAX);
             VerdictUpdate { digest: *digest, fingerprint, judgement, age_ms }
         };
-        lasting.map(told).collect()
+        propagated.map(update).collect()
     }
 
-    /// Returns how many requests are held back.
+    /// Returns how many requests are held.
     pub fn held_count(&self) -> usize {
         self.known.values().filter(|known| known.judgement == Judgement::Held).count()
     }
 
-    /// Keeps what matters most, and of that the newest.
-    fn forget_most(&mut self) {
-        while self.known.len() > KEPT_MAX {
+    /// Removes verdicts beyond the maximum: watched requests first, then cleared and held ones, the oldest of each first.
+    fn evict_excess(&mut self) {
+        while self.known.len() > VERDICTS_MAX {
             let weight = |judgement| match judgement {
                 Judgement::Watched => 0,
                 Judgement::Cleared => 1,
@@ -196,7 +199,7 @@
             };
             let least = self.known.values().enumerate();
             let least = least.min_by_key(|(_, known)| (weight(known.judgement), known.since));
-            let least = least.map_or(0, |(place, _)| place);
+            let least = least.map_or(0, |(index, _)| index);
             self.known.shift_remove_index(least);
         }
     }
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -45,7 +45,7 @@
 
 /// Tells of the end of a server and returns which requests are found.
 fn found(collector: &mut CrashAttribution, now: Instant, told: &CrashReport) -> Vec<u64> {
-    let findings = collector.take(now, std::slice::from_ref(told));
+    let findings = collector.record(now, std::slice::from_ref(told));
     findings.iter().map(|finding| finding.digest.0).collect()
 }
 
@@ -121,8 +121,11 @@
     let mut verdicts = Verdicts::default();
     let later = now + Duration::from_secs(1);
     verdicts.watch(now, &collector.watched(later));
-    assert_eq!(verdicts.answered(now, fingerprint(2), || RequestDigest(2)), None);
-    assert_eq!(verdicts.answered(now, fingerprint(1), || RequestDigest(1)), Some(RequestDigest(1)));
+    assert_eq!(verdicts.clear_successful(now, fingerprint(2), || RequestDigest(2)), None);
+    assert_eq!(
+        verdicts.clear_successful(now, fingerprint(1), || RequestDigest(1)),
+        Some(RequestDigest(1))
+    );
     collector.clear(now, RequestDigest(1));
     assert_eq!(found(&mut collector, now, &end("c", [suspect(1, false)])), Vec::<u64>::new());
     assert!(collector.watched(later).is_empty());
@@ -134,23 +137,24 @@
     let mut verdicts = Verdicts::default();
     assert!(verdicts.is_idle());
     let minute = Duration::from_secs(60);
-    verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
-    verdicts.take(now, &[verdict(2, Judgement::Held, HOLD_DURATION)]);
+    verdicts.merge(now, &[verdict(1, Judgement::Held, minute)]);
+    verdicts.merge(now, &[verdict(2, Judgement::Held, HOLD_DURATION)]);
     assert!(holds(&verdicts, now, 1) && !holds(&verdicts, now, 2));
     assert!(holds(&verdicts, now + HOLD_DURATION - minute * 2, 1));
     assert!(!holds(&verdicts, now + HOLD_DURATION, 1));
     assert_eq!(verdicts.updates(now)[0].age_ms, 60_000);
     assert!(verdicts.updates(now + HOLD_DURATION).is_empty() && verdicts.is_idle());
-    verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
+    verdicts.merge(now, &[verdict(1, Judgement::Held, minute)]);
     verdicts.clear(now, RequestDigest(1));
-    assert!(verdicts.take(now, &[verdict(1, Judgement::Held, minute)]).is_empty());
+    assert!(verdicts.merge(now, &[verdict(1, Judgement::Held, minute)]).is_empty());
     assert!(!holds(&verdicts, now, 1));
     // What ends servers though it was cleared is held back again.
     let later = now + minute * 2;
     verdicts.updates(later);
-    verdicts.take(later, &[verdict(1, Judgement::Held, Duration::ZERO)]);
+    verdicts.merge(later, &[verdict(1, Judgement::Held, Duration::ZERO)]);
     assert!(holds(&verdicts, later, 1));
-    verdicts.take(now, &(0..1000).map(|n| verdict(n, Judgement::Held, minute)).collect::<Vec<_>>());
+    verdicts
+        .merge(now, &(0..1000).map(|n| verdict(n, Judgement::Held, minute)).collect::<Vec<_>>());
     assert!(verdicts.updates(now).len() <= 128);
 }
 
@@ -188,15 +192,15 @@
         read
     };
     assert_eq!(note(&mut answered, now, 1), 0);
-    assert!(!answered.has(now, fingerprint(1), RequestDigest(1)));
+    assert!(!answered.contains(now, fingerprint(1), RequestDigest(1)));
     assert_eq!(note(&mut answered, now, 1), 1);
     assert_eq!(note(&mut answered, now, 1), 1, "once a second");
-    assert!(answered.has(now, fingerprint(1), RequestDigest(1)));
+    assert!(answered.contains(now, fingerprint(1), RequestDigest(1)));
     answered.alert(now);
     assert_eq!(note(&mut answered, now, 2), 2);
-    assert!(answered.has(now, fingerprint(2), RequestDigest(2)));
+    assert!(answered.contains(now, fingerprint(2), RequestDigest(2)));
     let later = now + Duration::from_secs(150);
-    assert!(!answered.has(later, fingerprint(1), RequestDigest(1)));
+    assert!(!answered.contains(later, fingerprint(1), RequestDigest(1)));
     assert_eq!(note(&mut answered, later, 3), 2);
 }
 
@@ -229,6 +233,6 @@
     assert!(plan.lifted.is_empty());
     assert_eq!(plan.write, [row(1, 1500 + whole), row(3, 1500 + whole)]);
     let mut verdicts = Verdicts::default();
-    verdicts.take(now, &[held(3)]);
+    verdicts.merge(now, &[held(3)]);
     assert!(watch.is_read() && !watch.is_idle(&verdicts.updates(now)));
 }
