--- a/tests/suite/crashing_requests.rs
+++ b/tests/suite/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! A request that ends each server that begins to run it, sent again and again at any instance.
+//! A request that crashes each server that begins to run it, and that its caller retries at any instance.
 
 use std::{
     sync::atomic::{AtomicU32, Ordering},
@@ -21,20 +21,21 @@
     world::{KEY, intent, settings},
 };
 
-const DEADLY: &str = "the body that ends a server";
+/// Body at which a server crashes.
+const CRASHING: &str = "the body that crashes a server";
 
-/// Time within which all instances know what ended the third server.
-const TOLD_BY: Duration = Duration::from_secs(3);
+/// Time within which all instances hold the request after the third crash.
+const PROPAGATED_WITHIN: Duration = Duration::from_secs(3);
 
-/// Instances on one store, and servers that end at one body and are replaced at once.
+/// Instances on one store, and servers that crash at one body and are replaced at once.
 struct Fleet {
     store: StoreStandIn,
     former: Vec<StoreStandIn>,
     servers: Vec<Listed>,
     instances: Vec<GatewayHandle>,
     started: u32,
-    /// Body at which a stream's servers end instead, and after how many events.
-    deadly_stream: Option<(&'static str, usize)>,
+    /// Body of a stream whose servers crash after some events, and the number of these events.
+    crashing_stream: Option<(&'static str, usize)>,
     sent: AtomicU32,
 }
 
@@ -46,7 +47,7 @@
     fn start_with(
         instances: usize,
         servers: usize,
-        deadly_stream: Option<(&'static str, usize)>,
+        crashing_stream: Option<(&'static str, usize)>,
     ) -> Fleet {
         let store = StoreStandIn::spawn().expect("a store");
         store.put("op", "config", &intent(5));
@@ -56,7 +57,7 @@
             servers: Vec::new(),
             instances: Vec::new(),
             started: 0,
-            deadly_stream,
+            crashing_stream,
             sent: AtomicU32::new(0),
         };
         (0..servers).for_each(|_| fleet.start_server());
@@ -80,8 +81,8 @@
         });
     }
 
-    /// Replaces all instances by new ones, which know nothing but what the store's tables say. The former ones are
-    /// left with a store of their own, as threads cannot be killed.
+    /// Replaces all instances by new ones, whose only state is in the store's tables. The former ones keep a store of their
+    /// own, since their threads cannot be killed.
     fn kill_all(&mut self) {
         let store = StoreStandIn::spawn().expect("a store");
         for table in ["op", "servers", HELD_TABLE] {
@@ -94,24 +95,24 @@
     fn start_server(&mut self) {
         let server = Listed::spawn(&format!("s{}", self.started)).expect("a server");
         self.started += 1;
-        server.ends_at(DEADLY.as_bytes());
-        if let Some((body, events)) = self.deadly_stream {
+        server.ends_at(CRASHING.as_bytes());
+        if let Some((body, events)) = self.crashing_stream {
             server.ends_at_event(body.as_bytes(), events);
         }
         self.store.put("servers", &server.id, &server.entry("app", "ready"));
         self.servers.push(server);
     }
 
-    /// Starts a server for each that has ended, and returns how many have ended in all.
-    fn replace_ended(&mut self) -> usize {
-        let (ended, alive): (Vec<Listed>, Vec<Listed>) =
+    /// Starts a server for each that has crashed, and returns how many have crashed.
+    fn replace_crashed(&mut self) -> usize {
+        let (crashed, alive): (Vec<Listed>, Vec<Listed>) =
             std::mem::take(&mut self.servers).into_iter().partition(Listed::has_ended);
         self.servers = alive;
-        for server in &ended {
+        for server in &crashed {
             self.store.remove("servers", &server.id);
             self.start_server();
         }
-        ended.len()
+        crashed.len()
     }
 
     fn send(&self, instance: usize, body: &str) -> Answer {
@@ -126,89 +127,87 @@
         call.send(self.instances[instance % self.instances.len()].callers())
     }
 
-    /// Sends the deadly request once at each instance in turn, and returns the answers and how many servers ended.
-    fn send_deadly(&mut self, times: usize) -> (Vec<Answer>, usize) {
-        let mut ended = 0;
-        let mut answers = Vec::new();
+    /// Sends the crashing request to one instance after the other, and returns the responses and how many servers crashed.
+    fn send_crashing(&mut self, times: usize) -> (Vec<Answer>, usize) {
+        let mut crashed = 0;
+        let mut responses = Vec::new();
         for number in 0..times {
-            answers.push(self.send(number, DEADLY));
-            ended += self.replace_ended();
+            responses.push(self.send(number, CRASHING));
+            crashed += self.replace_crashed();
         }
-        (answers, ended)
+        (responses, crashed)
     }
 }
 
 const HELD_TABLE: &str = "cartvane-held";
 
-// One request ended every server that began to run it, some 50 ms later. Its caller sent it again at the next instance,
-// and each instance tried it at two servers: nothing that was learnt of it outlived one attempt. In the record of one
-// minute 57 and 49 servers of 18 in use ended under two such requests; of 27 servers that ended in the part that was
-// logged, requests of one team on one route were on 25, and each attempt said
-// `fault=AfterSend arrivals=1`, `fault=CutBody arrivals=2`, `status=502`.
+// Guards against a request that crashes every server that begins to run it, some 50 ms later, while its caller retries it at
+// the next instance. Each instance tries it at two servers, and without a shared verdict nothing outlives one attempt: two
+// such requests caused 57 and 49 crashes among 18 servers within a minute.
 #[test]
-fn a_request_under_which_three_servers_ended_is_held_back_by_all_instances() {
+fn a_request_that_crashed_three_servers_is_held_by_all_instances() {
     let mut fleet = Fleet::start(3, 6);
-    let mut ended = 0;
-    while ended < 3 {
-        ended += fleet.send_deadly(1).1;
+    let mut crashed = 0;
+    while crashed < 3 {
+        crashed += fleet.send_crashing(1).1;
     }
-    thread::sleep(TOLD_BY);
-    let (answers, further) = fleet.send_deadly(12);
-    assert!(further <= 3, "{further} servers ended after all instances could know");
-    let held: Vec<u16> = answers.iter().skip(further).map(|answer| answer.status).collect();
+    thread::sleep(PROPAGATED_WITHIN);
+    let (responses, further) = fleet.send_crashing(12);
+    assert!(further <= 3, "{further} servers crashed after all instances should hold the request");
+    let held: Vec<u16> = responses.iter().skip(further).map(|response| response.status).collect();
     assert!(held.iter().all(|&status| status == 503), "{held:?}");
     for number in 0..12 {
         assert_eq!(fleet.send(number, "another body").status, 200);
     }
 }
 
-// All instances were killed at the same moment, with what they knew of requests that end servers: the request that was
-// held back came again and ended three further servers, and the next three after the next such moment.
+// When all instances are killed at the same moment, a verdict that only they have is lost, and the held request crashes three
+// more servers after each such moment. The store keeps the verdict.
 #[test]
-fn a_request_stays_held_back_after_all_instances_have_started_again() {
+fn a_request_stays_held_after_all_instances_restart() {
     let mut fleet = Fleet::start(3, 6);
-    let mut ended = 0;
-    while ended < 3 {
-        ended += fleet.send_deadly(1).1;
+    let mut crashed = 0;
+    while crashed < 3 {
+        crashed += fleet.send_crashing(1).1;
     }
     eventually("the store has the verdict", || !fleet.store.keys(HELD_TABLE).is_empty());
     fleet.kill_all();
-    thread::sleep(TOLD_BY);
-    let (answers, further) = fleet.send_deadly(6);
-    let held: Vec<u16> = answers.iter().map(|answer| answer.status).collect();
+    thread::sleep(PROPAGATED_WITHIN);
+    let (responses, further) = fleet.send_crashing(6);
+    let held: Vec<u16> = responses.iter().map(|response| response.status).collect();
     assert_eq!((further, held), (0, vec![503; 6]));
 }
 
-// A request that was held back wrongly, or whose servers have been mended, has to wait ten minutes unless an operator
-// can say so: the row in the store's table is what holds it.
+// A request that is held wrongly, or whose servers have been fixed, is rejected for ten minutes unless an operator lifts the
+// verdict, by removing its row from the store's table.
 #[test]
 fn an_operator_lifts_a_verdict_by_removing_its_row() {
     let mut fleet = Fleet::start(2, 6);
-    let mut ended = 0;
-    while ended < 3 {
-        ended += fleet.send_deadly(1).1;
+    let mut crashed = 0;
+    while crashed < 3 {
+        crashed += fleet.send_crashing(1).1;
     }
     eventually("the store has the verdict", || !fleet.store.keys(HELD_TABLE).is_empty());
-    eventually("it is held back", || fleet.send(0, DEADLY).status == 503);
+    eventually("the request is held", || fleet.send(0, CRASHING).status == 503);
     for key in fleet.store.keys(HELD_TABLE) {
         fleet.store.remove(HELD_TABLE, &key);
     }
-    eventually("it is held back no more", || fleet.send(0, DEADLY).status == 502);
+    eventually("the request is no longer held", || fleet.send(0, CRASHING).status == 502);
 }
 
-// A stream's server ended a moment after it had sent the first events: an end after events counted half, as most
-// streams that end with a server have run for a while, so six servers ended before the request was held back.
+// Guards against a stream whose server crashes right after its first events. If a crash after the first event counted half,
+// like one of a server that had run the request for a while, six servers would crash before the request is held.
 #[test]
-fn a_stream_whose_servers_end_right_after_its_first_events_is_held_back() {
-    const BODY: &str = "a stream that ends a server";
+fn a_stream_whose_servers_crash_right_after_its_first_events_is_held() {
+    const BODY: &str = "a stream that crashes a server";
     let mut fleet = Fleet::start_with(2, 8, Some((BODY, 2)));
-    let mut ended = 0;
-    while ended < 3 {
+    let mut crashed = 0;
+    while crashed < 3 {
         fleet.send_to("/stream/", 0, BODY);
-        ended += fleet.replace_ended();
+        crashed += fleet.replace_crashed();
     }
-    thread::sleep(TOLD_BY);
+    thread::sleep(PROPAGATED_WITHIN);
     let statuses: Vec<u16> =
         (0..2).map(|instance| fleet.send_to("/stream/", instance, BODY).status).collect();
-    assert_eq!((fleet.replace_ended(), statuses), (0, vec![503, 503]));
+    assert_eq!((fleet.replace_crashed(), statuses), (0, vec![503, 503]));
 }
--- a/tests/suite/crashing_requests_random.rs
+++ b/tests/suite/crashing_requests_random.rs
@@ -1,5 +1,5 @@
-//! Requests that end servers, and harmless ones beside them, on days drawn on a made-up clock: fleets of 8 to 302
-//! instances, of whose servers half are killed at a time, or one after the other, or by a request.
+//! Requests that crash servers, and harmless ones beside them, in random scenarios on a mock clock: fleets of 8 to 302
+//! instances whose servers are killed half at a time, one after the other, or by a request.
 
 use std::time::{Duration, Instant};
 
@@ -11,88 +11,94 @@
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// Steps from its first event on after which a server that ends has run a request without ending of it.
-const RUN_ON: usize = 50;
+/// Steps after its first event from which a request counts as long-running.
+const LONG_RUNNING: usize = 50;
 
-/// Servers that one attempt of a caller is sent to at most.
-const SERVERS_TRIED: u32 = 2;
+/// Maximum number of servers to which one attempt of a caller is sent.
+const SERVERS_PER_ATTEMPT: u32 = 2;
 
-/// Second from which requests come that end servers.
-const DEADLY_FROM: f64 = 4.0;
+/// Second from which crashing requests arrive.
+const CRASHING_FROM: f64 = 4.0;
 
-/// The harmless request that many send.
+/// The harmless request that many callers send.
 const HOT: u64 = 999;
 
-/// A drawn day.
-struct Day {
+/// A random scenario.
+struct Scenario {
     instances: usize,
     servers: usize,
     seconds: usize,
-    /// Harmless requests a second.
+    /// Harmless requests per second.
     rate: f64,
-    /// Share of them that are one and the same request.
+    /// Share of them that are the same request.
     hot: f64,
-    /// Seconds and share of the servers that are killed then.
+    /// Times in seconds, and the share of the servers that is killed at each.
     kills: Vec<(f64, f64)>,
-    /// How often a second each of some requests comes that end servers.
-    deadly: Vec<f64>,
-    /// Whether the instance that collects reports is lost as the third server ends.
-    collector_lost: bool,
+    /// Rate per second of each crashing request.
+    crashing: Vec<f64>,
+    /// Whether the aggregator is lost at the third crash of a request.
+    aggregator_lost: bool,
     seed: u64,
 }
 
-/// What came of a day.
+/// Outcome of a scenario.
 #[derive(Debug, Default)]
-struct Played {
+struct Outcome {
     harmless: usize,
-    /// Of them, held back: the one that many send, and others.
+    /// Held ones among them: copies of the one that many callers send, and others.
     hot_held: usize,
     others_held: usize,
-    ended: usize,
-    /// For each request that ends servers, the times at which it reached one, from its third end on.
+    crashed: usize,
+    /// For each crashing request, the times at which it reached a server after its third crash.
     reached: Vec<Vec<f64>>,
-    /// When each of them had ended its third server.
+    /// When each of them had crashed its third server.
     third: Vec<Option<f64>>,
 }
 
-struct Flight {
+struct InFlight {
     request: u64,
-    deadly: Option<usize>,
+    /// Number of the crashing request, if it is one.
+    crashing: Option<usize>,
     instance: usize,
     server: usize,
-    /// Steps at which it has its first event and its end; a server that it ends, ends then.
+    /// Steps at which it has its first event and its end. A crashing request crashes its server at its end.
     first: usize,
     end: usize,
+    /// Servers tried in this attempt of the caller.
     tried: u32,
-    again: bool,
+    /// Whether the caller has retried.
+    is_retry: bool,
 }
 
 struct Server {
     id: Incarnation,
-    back: usize,
+    /// Step from which it runs.
+    up_from: usize,
 }
 
-struct Play<'d> {
-    day: &'d Day,
+struct Simulation<'s> {
+    scenario: &'s Scenario,
     start: Instant,
+    /// State of the random generator.
     state: u64,
     nodes: Vec<CrashSuspects>,
     servers: Vec<Server>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     service: ServiceName,
+    /// Servers started so far.
     started: usize,
-    collector: usize,
-    /// Step from which exchanges are made again after the collector was lost.
-    silent_until: usize,
-    played: Played,
+    aggregator: usize,
+    /// Step from which exchanges succeed again after the aggregator was lost.
+    unresponsive_until: usize,
+    outcome: Outcome,
 }
 
 fn digest_of(request: u64) -> (RequestFingerprint, RequestDigest) {
     (RequestFingerprint(request as u32), RequestDigest(request))
 }
 
-impl Play<'_> {
-    fn draw(&mut self) -> f64 {
+impl Simulation<'_> {
+    fn random(&mut self) -> f64 {
         self.state = self.state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (self.state >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -106,123 +112,123 @@
         format!("s{}", self.started).parse().expect("an id")
     }
 
-    /// Sends a request to the first server of its rank that runs; all requests have one of four ranks.
-    fn send(&mut self, step: usize, mut flight: Flight) {
+    /// Sends a request to the first running server of its ranking. All requests have one of four rankings.
+    fn send(&mut self, step: usize, mut flight: InFlight) {
         let node = &self.nodes[flight.instance];
         let (fingerprint, digest) = digest_of(flight.request);
         if node.held_by(self.now(step), || fingerprint, || digest).is_some() {
             let is_hot = flight.request == HOT;
-            self.played.hot_held += usize::from(is_hot);
-            self.played.others_held += usize::from(flight.deadly.is_none() && !is_hot);
+            self.outcome.hot_held += usize::from(is_hot);
+            self.outcome.others_held += usize::from(flight.crashing.is_none() && !is_hot);
             return;
         }
         let count = self.servers.len();
         let rank = (flight.request % 4) as usize * count / 4;
-        let up = (0..count).map(|i| (rank + i) % count).find(|&s| self.servers[s].back <= step);
+        let up = (0..count).map(|i| (rank + i) % count).find(|&s| self.servers[s].up_from <= step);
         let Some(server) = up else { return };
         flight.server = server;
-        let (first, rest) = (self.draw(), self.draw());
+        let (first, rest) = (self.random(), self.random());
         flight.first = step + 5 + (first * 40.0) as usize;
         flight.end = flight.first + (rest * 200.0) as usize;
-        if let Some(number) = flight.deadly {
+        if let Some(number) = flight.crashing {
             flight.end = step + 5 + (first * 10.0) as usize;
             flight.first = usize::MAX;
-            if self.played.third[number].is_some() {
+            if self.outcome.third[number].is_some() {
                 let second = step as f64 * STEP.as_secs_f64();
-                self.played.reached[number].push(second);
+                self.outcome.reached[number].push(second);
             }
         }
-        self.flights.push(flight);
+        self.in_flight.push(flight);
     }
 
-    fn arrive(&mut self, step: usize, request: u64, deadly: Option<usize>) {
-        self.played.harmless += usize::from(deadly.is_none());
-        let instance = (self.draw() * self.nodes.len() as f64) as usize;
-        let flight = Flight {
+    fn arrive(&mut self, step: usize, request: u64, crashing: Option<usize>) {
+        self.outcome.harmless += usize::from(crashing.is_none());
+        let instance = (self.random() * self.nodes.len() as f64) as usize;
+        let flight = InFlight {
             request,
-            deadly,
+            crashing,
             instance,
             server: 0,
             first: 0,
             end: 0,
             tried: 1,
-            again: false,
+            is_retry: false,
         };
         self.send(step, flight);
     }
 
-    fn end_server(&mut self, step: usize, server: usize) {
-        if self.servers[server].back > step {
+    fn crash_server(&mut self, step: usize, server: usize) {
+        if self.servers[server].up_from > step {
             return;
         }
-        self.played.ended += 1;
+        self.outcome.crashed += 1;
         let id = self.servers[server].id.clone();
         let new = self.incarnation();
-        self.servers[server] = Server { id: new, back: step + 200 };
-        let (here, others): (Vec<Flight>, Vec<Flight>) =
-            std::mem::take(&mut self.flights).into_iter().partition(|f| f.server == server);
-        self.flights = others;
+        self.servers[server] = Server { id: new, up_from: step + 200 };
+        let (here, others): (Vec<InFlight>, Vec<InFlight>) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|f| f.server == server);
+        self.in_flight = others;
         for flight in here {
             let (fingerprint, digest) = digest_of(flight.request);
             let suspect = Suspect {
                 fingerprint,
                 digest,
-                long_running: flight.first.saturating_add(RUN_ON) <= step,
+                long_running: flight.first.saturating_add(LONG_RUNNING) <= step,
             };
             let now = self.now(step);
             self.nodes[flight.instance].note_crash(now, &id, &self.service, suspect);
-            self.try_again(step, flight);
+            self.retry(step, flight);
         }
     }
 
-    fn try_again(&mut self, step: usize, flight: Flight) {
+    fn retry(&mut self, step: usize, flight: InFlight) {
         let node = &self.nodes[flight.instance];
         let (fingerprint, digest) = digest_of(flight.request);
-        if flight.tried < SERVERS_TRIED && !node.forbids_retry_by(|| fingerprint, || digest) {
-            return self.send(step, Flight { tried: flight.tried + 1, ..flight });
+        if flight.tried < SERVERS_PER_ATTEMPT && !node.forbids_retry_by(|| fingerprint, || digest) {
+            return self.send(step, InFlight { tried: flight.tried + 1, ..flight });
         }
-        if !flight.again {
-            let instance = (self.draw() * self.nodes.len() as f64) as usize;
-            self.send(step, Flight { instance, tried: 1, again: true, ..flight });
+        if !flight.is_retry {
+            let instance = (self.random() * self.nodes.len() as f64) as usize;
+            self.send(step, InFlight { instance, tried: 1, is_retry: true, ..flight });
         }
     }
 
     fn exchange(&mut self, step: usize, node: usize) {
-        if step < self.silent_until {
+        if step < self.unresponsive_until {
             return;
         }
         let now = self.now(step);
         let report = self.nodes[node].report(now);
-        let collector = &self.nodes[self.collector];
-        collector.apply_report(now, &report);
-        let (lasting, watched) = (collector.report(now).verdicts, collector.watched(now));
-        self.nodes[node].apply_verdicts(now, &lasting, "peer");
-        self.nodes[node].mark_reported(RunId(self.collector as u64), &report);
+        let aggregator = &self.nodes[self.aggregator];
+        aggregator.apply_report(now, &report);
+        let (verdicts, watched) = (aggregator.report(now).verdicts, aggregator.watched(now));
+        self.nodes[node].apply_verdicts(now, &verdicts, "peer");
+        self.nodes[node].mark_reported(RunId(self.aggregator as u64), &report);
         self.nodes[node].watch(now, &watched);
-        if self.nodes[self.collector].is_alert(now) {
+        if self.nodes[self.aggregator].is_alert(now) {
             self.nodes[node].alert(now);
         }
     }
 
     fn step(&mut self, step: usize, period: usize) {
         let second = STEP.as_secs_f64() * step as f64;
-        let harmless = (self.day.rate * (second + STEP.as_secs_f64())) as usize;
-        while self.played.harmless < harmless {
-            let unique = 1000 + self.played.harmless as u64;
-            let is_hot = self.draw() < self.day.hot;
+        let harmless = (self.scenario.rate * (second + STEP.as_secs_f64())) as usize;
+        while self.outcome.harmless < harmless {
+            let unique = 1000 + self.outcome.harmless as u64;
+            let is_hot = self.random() < self.scenario.hot;
             self.arrive(step, if is_hot { HOT } else { unique }, None);
         }
-        for (number, rate) in self.day.deadly.clone().into_iter().enumerate() {
-            if second >= DEADLY_FROM && self.draw() < rate * STEP.as_secs_f64() {
+        for (number, rate) in self.scenario.crashing.clone().into_iter().enumerate() {
+            if second >= CRASHING_FROM && self.random() < rate * STEP.as_secs_f64() {
                 self.arrive(step, number as u64, Some(number));
             }
         }
-        for (at, share) in self.day.kills.clone() {
+        for (at, share) in self.scenario.kills.clone() {
             if (at / STEP.as_secs_f64()) as usize == step {
                 let killed = (share * self.servers.len() as f64) as usize;
                 (0..killed).for_each(|_| {
-                    let server = (self.draw() * self.servers.len() as f64) as usize;
-                    self.end_server(step, server);
+                    let server = (self.random() * self.servers.len() as f64) as usize;
+                    self.crash_server(step, server);
                 });
             }
         }
@@ -231,149 +237,151 @@
         nodes.collect::<Vec<usize>>().into_iter().for_each(|node| self.exchange(step, node));
     }
 
-    /// The instance that collects is killed with all that it knows; the others turn to the next one after two exchanges
-    /// of 0.3 s each that nobody answered.
-    fn lose_collector(&mut self, step: usize) {
-        if self.day.collector_lost && self.collector == 0 {
+    /// Kills the aggregator with all its state. The others report to the next one after two exchanges of 0.3 s each without a
+    /// reply.
+    fn lose_aggregator(&mut self, step: usize) {
+        if self.scenario.aggregator_lost && self.aggregator == 0 {
             self.nodes[0] = CrashSuspects::default();
-            self.collector = 1;
-            self.silent_until = step + 60;
+            self.aggregator = 1;
+            self.unresponsive_until = step + 60;
         }
     }
 
     fn finish(&mut self, step: usize) {
-        let (done, others): (Vec<Flight>, Vec<Flight>) =
-            std::mem::take(&mut self.flights).into_iter().partition(|f| f.end <= step);
-        self.flights = others;
+        let (done, others): (Vec<InFlight>, Vec<InFlight>) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|f| f.end <= step);
+        self.in_flight = others;
         let now = self.now(step);
         for flight in done {
-            let Some(number) = flight.deadly else {
+            let Some(number) = flight.crashing else {
                 let (fingerprint, digest) = digest_of(flight.request);
                 self.nodes[flight.instance].note_success_by(now, fingerprint, || digest);
                 continue;
             };
             let server = flight.server;
-            self.flights.push(Flight { end: usize::MAX, ..flight });
-            self.end_server(step, server);
-            let ended = self.played.reached[number].len();
-            if self.played.third[number].is_none() {
-                self.played.reached[number].push(0.0);
-                if ended + 1 == 3 {
-                    self.played.third[number] = Some(STEP.as_secs_f64() * step as f64);
-                    self.played.reached[number].clear();
-                    self.lose_collector(step);
+            self.in_flight.push(InFlight { end: usize::MAX, ..flight });
+            self.crash_server(step, server);
+            let crashed = self.outcome.reached[number].len();
+            if self.outcome.third[number].is_none() {
+                self.outcome.reached[number].push(0.0);
+                if crashed + 1 == 3 {
+                    self.outcome.third[number] = Some(STEP.as_secs_f64() * step as f64);
+                    self.outcome.reached[number].clear();
+                    self.lose_aggregator(step);
                 }
             }
         }
     }
 }
 
-fn play(day: &Day) -> Played {
-    let deadly = day.deadly.len();
-    let mut play = Play {
-        day,
+fn simulate(scenario: &Scenario) -> Outcome {
+    let requests = scenario.crashing.len();
+    let mut simulation = Simulation {
+        scenario,
         start: Instant::now(),
-        state: day.seed,
-        nodes: (0..day.instances).map(|_| CrashSuspects::default()).collect(),
+        state: scenario.seed,
+        nodes: (0..scenario.instances).map(|_| CrashSuspects::default()).collect(),
         servers: Vec::new(),
-        flights: Vec::new(),
+        in_flight: Vec::new(),
         service: "app".parse().expect("a name"),
         started: 0,
-        collector: 0,
-        silent_until: 0,
-        played: Played {
-            reached: vec![Vec::new(); deadly],
-            third: vec![None; deadly],
-            ..Played::default()
+        aggregator: 0,
+        unresponsive_until: 0,
+        outcome: Outcome {
+            reached: vec![Vec::new(); requests],
+            third: vec![None; requests],
+            ..Outcome::default()
         },
     };
-    for _ in 0..day.servers {
-        let id = play.incarnation();
-        play.servers.push(Server { id, back: 0 });
+    for _ in 0..scenario.servers {
+        let id = simulation.incarnation();
+        simulation.servers.push(Server { id, up_from: 0 });
     }
     // Exchanges of an instance: each 0.25 s up to a hundred instances, 0.75 s for 302.
-    let period = if day.instances > 100 { 75 } else { 25 };
-    (0..day.seconds * 100).for_each(|step| play.step(step, period));
-    play.played
+    let period = if scenario.instances > 100 { 75 } else { 25 };
+    (0..scenario.seconds * 100).for_each(|step| simulation.step(step, period));
+    simulation.outcome
 }
 
-fn day(instances: usize, servers: usize, seed: u64) -> Day {
-    Day {
+fn scenario(instances: usize, servers: usize, seed: u64) -> Scenario {
+    Scenario {
         instances,
         servers,
         seconds: 30,
         rate: 150.0,
         hot: 0.0,
         kills: Vec::new(),
-        deadly: Vec::new(),
-        collector_lost: false,
+        crashing: Vec::new(),
+        aggregator_lost: false,
         seed,
     }
 }
 
-/// Plays days and returns how many harmless requests there were, and how many of them were held back.
-fn harmless(days: impl Iterator<Item = Day>) -> (usize, usize) {
-    let played = days.map(|day| play(&day));
-    played.fold((0, 0), |(all, held), day| {
-        (all + day.harmless, held + day.hot_held + day.others_held)
+/// Simulates scenarios and returns how many harmless requests there were, and how many of them were held.
+fn harmless(scenarios: impl Iterator<Item = Scenario>) -> (usize, usize) {
+    let outcomes = scenarios.map(|scenario| simulate(&scenario));
+    outcomes.fold((0, 0), |(all, held), outcome| {
+        (all + outcome.harmless, held + outcome.hot_held + outcome.others_held)
     })
 }
 
-// Half the servers killed at a time, up to six times a second apart, and one in a hundred or a third of all requests
-// the same: all that a server runs ends with it, and a request that many send at once ends at each of them.
+// Half of the servers are killed at once, six times in intervals of a second or more, or one after the other, while one
+// in a hundred or a third of all requests are the same. A crash interrupts all that a server runs, and a request that many
+// callers send at once is in flight at every crash.
 #[test]
-fn harmless_requests_are_not_held_back_where_servers_are_killed() {
-    let half = |seed: u64| Day {
+fn harmless_requests_are_not_held_when_servers_are_killed() {
+    let half = |seed: u64| Scenario {
         kills: (0..6).map(|n| (5.0 + n as f64 * (1.0 + seed as f64 / 8.0), 0.7)).collect(),
         hot: [0.0, 0.01, 0.28][seed as usize % 3],
-        ..day(8, 18, seed)
+        ..scenario(8, 18, seed)
     };
-    let one_by_one = |seed: u64| Day {
+    let one_by_one = |seed: u64| Scenario {
         kills: (0..60).map(|n| (5.0 + n as f64 * 0.3, 1.0 / 18.0)).collect(),
         hot: [0.0, 0.01, 0.28][seed as usize % 3],
-        ..day(8, 18, seed)
+        ..scenario(8, 18, seed)
     };
     let (all, held) = harmless((0..12).map(half).chain((0..12).map(one_by_one)));
     assert!(all >= 100_000, "{all}");
     assert_eq!(held, 0, "of {all} harmless requests");
 }
 
-// The instance that collects reports is killed as the third server ends, with all that it was told of ends.
+// The aggregator is killed at the third crash, with all crash reports that it has received.
 #[test]
-fn a_request_is_held_back_in_time_though_the_collector_is_lost() {
+fn a_request_is_held_in_time_although_the_aggregator_is_lost() {
     for (instances, window) in [(8, 3.0), (99, 3.0), (302, 5.0)] {
         for seed in 0..4 {
-            let drawn = Day {
-                deadly: vec![2.5],
-                collector_lost: true,
+            let random = Scenario {
+                crashing: vec![2.5],
+                aggregator_lost: true,
                 seconds: 15,
-                ..day(instances, 22, seed)
+                ..scenario(instances, 22, seed)
             };
-            let played = play(&drawn);
-            let third = played.third[0].expect("a third end");
-            let last = played.reached[0].last().copied().unwrap_or(third);
+            let outcome = simulate(&random);
+            let third = outcome.third[0].expect("a third crash");
+            let last = outcome.reached[0].last().copied().unwrap_or(third);
             assert!(last <= third + window, "{instances} instances, seed {seed}: {third} {last}");
         }
     }
 }
 
-// Up to three requests that end servers, each sent 2.5 times a second, beside others that have the same rank and follow
-// them from server to server. All are held back within the time in which all instances can know. Of 36,000 harmless
-// requests those that come once are not held back; the one that many send may be for the two exchanges in which
-// instances learn that it was answered.
+// Up to three requests that crash servers, each sent 2.5 times a second, beside others that have the same ranking and follow
+// them from server to server. All of them are held within the time that propagation takes. Of 36,000 harmless requests, those
+// that are sent once are not held; the one that many callers send may be held for the two exchanges in which instances learn
+// of its successful response.
 #[test]
-fn a_request_that_ends_servers_is_held_back_and_others_are_not() {
+fn a_request_that_crashes_servers_is_held_and_others_are_not() {
     let (mut all, mut hot, mut others) = (0, 0, 0);
     for (instances, window, seeds) in [(8, 3.0, 8), (99, 3.0, 4), (302, 5.0, 4)] {
         for seed in 0..seeds {
-            let deadly = vec![2.5; 1 + seed as usize % 3];
-            let drawn = Day { deadly, hot: 0.05, seconds: 15, ..day(instances, 22, seed) };
-            let played = play(&drawn);
-            all += played.harmless;
-            hot += played.hot_held;
-            others += played.others_held;
-            for (third, reached) in played.third.iter().zip(&played.reached) {
-                // Held back before its third end, with what others ended.
+            let crashing = vec![2.5; 1 + seed as usize % 3];
+            let random =
+                Scenario { crashing, hot: 0.05, seconds: 15, ..scenario(instances, 22, seed) };
+            let outcome = simulate(&random);
+            all += outcome.harmless;
+            hot += outcome.hot_held;
+            others += outcome.others_held;
+            for (third, reached) in outcome.third.iter().zip(&outcome.reached) {
+                // Held before its third crash, by crashes that other requests caused.
                 let Some(third) = third else { continue };
                 let late: Vec<f64> =
                     reached.iter().copied().filter(|at| *at > third + window).collect();
