--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -198,7 +198,7 @@
         log::warn!(
             "event=version_not_taken service={service} to={} answered={} of={} doubt={:.1} doubt_in_all={:.1}",
             order.to,
-            progress.answered_new,
+            progress.responses_new,
             progress.sent,
             progress.regression_score,
             progress.total_regression_score
@@ -302,8 +302,8 @@
         && judge.to() == to
     {
         (progress.sent, progress.sent_new) = judge.sent();
-        progress.answered_new = judge.answered_new();
-        progress.under_way_old = judge.under_way_old(now);
+        progress.responses_new = judge.responses_new();
+        progress.in_flight_old = judge.in_flight_old(now);
         progress.total_regression_score = judge.total_regression_score();
         (progress.regression_score, progress.is_bad) = (judge.regression_score(), judge.is_bad());
     }
--- a/src/routing/rollout/evaluation.rs
+++ b/src/routing/rollout/evaluation.rs
@@ -98,7 +98,7 @@
     reporters: IndexMap<NodeName, Reporter>,
     sent: u64,
     sent_new: u64,
-    answered_new: u64,
+    responses_new: u64,
     old: HashMap<Tag, OldAnswers>,
     window_began: Option<Instant>,
     /// Answers of the new version in the present window, and on routes where it is not known yet how the old one answers.
@@ -139,7 +139,7 @@
             reporters: IndexMap::new(),
             sent: 0,
             sent_new: 0,
-            answered_new: 0,
+            responses_new: 0,
             old: HashMap::new(),
             window_began: None,
             unjudged: HashMap::new(),
@@ -185,7 +185,7 @@
         };
         let domain = self.domains.of(server);
         add(self.unjudged.entry((told.route, domain)).or_default(), &told.bins);
-        self.answered_new += told.bins.iter().map(|(_, count)| u64::from(*count)).sum::<u64>();
+        self.responses_new += told.bins.iter().map(|(_, count)| u64::from(*count)).sum::<u64>();
     }
 
     /// Judges the answers of the new version in a window that is over.
@@ -249,14 +249,14 @@
     }
 
     /// Returns how many answers of the new version are known.
-    pub fn answered_new(&self) -> u64 {
-        self.answered_new
+    pub fn responses_new(&self) -> u64 {
+        self.responses_new
     }
 
     /// Returns how many requests are under way at servers of other versions.
-    pub fn under_way_old(&self, now: Instant) -> u32 {
+    pub fn in_flight_old(&self, now: Instant) -> u32 {
         let is_young = |r: &&Reporter| now.saturating_duration_since(r.at) <= REPORT_LIFE;
-        self.reporters.values().filter(is_young).map(|r| r.report.under_way_old).sum()
+        self.reporters.values().filter(is_young).map(|r| r.report.in_flight_old).sum()
     }
 }
 
--- a/src/routing/rollout/evidence.rs
+++ b/src/routing/rollout/evidence.rs
@@ -55,7 +55,7 @@
     /// Requests sent to servers of the new version.
     pub sent_new: u64,
     /// Requests under way at servers of other versions.
-    pub under_way_old: u32,
+    pub in_flight_old: u32,
     /// Answers.
     pub answers: Vec<ResponseCounts>,
 }
@@ -142,8 +142,8 @@
         route
     }
 
-    /// Returns what is told of it, all counts since it began; `under_way_old` is what is under way at other versions.
-    pub fn report(&self, service: &ServiceName, under_way_old: u32) -> RolloutReport {
+    /// Returns what is told of it, all counts since it began; `in_flight_old` is what is under way at other versions.
+    pub fn report(&self, service: &ServiceName, in_flight_old: u32) -> RolloutReport {
         let told = |(&(route, server), bins): (&(Tag, Option<Tag>), &BTreeMap<TimeBin, u32>)| {
             let bins = bins.iter().map(|(&bin, &count)| (bin, count)).collect();
             ResponseCounts { route, server, bins }
@@ -153,7 +153,7 @@
             to: self.to.clone(),
             sent: self.sent,
             sent_new: self.sent_new,
-            under_way_old,
+            in_flight_old,
             answers: self.answers.iter().map(told).collect(),
         }
     }
--- a/src/routing/rollout/stage_policy.rs
+++ b/src/routing/rollout/stage_policy.rs
@@ -92,9 +92,9 @@
     /// Requests sent to the new version.
     pub sent_new: u64,
     /// Answers of the new version.
-    pub answered_new: u64,
+    pub responses_new: u64,
     /// Requests under way at other versions.
-    pub under_way_old: u32,
+    pub in_flight_old: u32,
     /// What speaks against the version, its worst failure domain left out.
     pub regression_score: f64,
     /// What speaks against it in all.
@@ -142,7 +142,7 @@
         let latest = time_limit.mul_f64(MOVES.1);
         let (answers, regression_score) = PROVEN;
         let is_proven =
-            progress.answered_new >= answers && progress.total_regression_score < regression_score;
+            progress.responses_new >= answers && progress.total_regression_score < regression_score;
         if progress.elapsed >= earliest.min(latest) && is_proven {
             return Stage::Moving;
         }
@@ -150,17 +150,17 @@
         let has_heard = progress.in_stage >= self.exchange.mul_f64(EXCHANGES);
         let (answers, regression_score) = PROVEN_FEW;
         if progress.elapsed >= latest && has_heard && self.is_little(progress) {
-            let is_proven = progress.answered_new >= answers
+            let is_proven = progress.responses_new >= answers
                 && progress.total_regression_score < regression_score;
             return if is_proven { Stage::Moving } else { Stage::RolledBack };
         }
         let (answers, regression_score) = PROVEN_LATE;
-        if progress.answered_new < answers && progress.elapsed + self.moving() < time_limit {
+        if progress.responses_new < answers && progress.elapsed + self.moving() < time_limit {
             return Stage::Trial;
         }
         let beside = BESIDE_WORST * progress.total_regression_score;
         match progress.elapsed >= latest && has_heard {
-            true if progress.answered_new >= answers
+            true if progress.responses_new >= answers
                 && progress.regression_score < regression_score.max(beside) =>
             {
                 Stage::Moving
@@ -211,7 +211,7 @@
         let all_told = progress.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES / 2.0);
         let all_counted = progress.in_stage >= self.step() + self.exchange.mul_f64(EXCHANGES);
         let is_late = progress.elapsed >= self.order.time_limit.mul_f64(WAITS);
-        let has_ended = all_counted && progress.under_way_old == 0;
+        let has_ended = all_counted && progress.in_flight_old == 0;
         progress.servers_new > 0 && all_told && (is_late || has_ended)
     }
 
