--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -153,8 +153,8 @@
         evidence.iter().map(report).collect()
     }
 
-    /// Takes what an instance has seen; a version that is found bad gets nothing from then on, whoever holds its record in
-    /// the store and whether that can be reached or not.
+    /// Takes what an instance has seen; a version that is found bad gets nothing from then on, whoever holds its record
+    /// in the store and whether that can be reached or not.
     pub fn apply_reports(
         &self,
         gateway: &Gateway,
@@ -181,7 +181,7 @@
                 *judge = VersionEvaluation::new(to.clone());
             }
             judge.set_domains(domains(gateway, &service, &to));
-            judge.take(now, node, run, report);
+            judge.add_report(now, node, run, report);
             if !judge.is_bad() {
                 continue;
             }
--- a/src/routing/rollout/evaluation.rs
+++ b/src/routing/rollout/evaluation.rs
@@ -1,9 +1,10 @@
-//! Whether a version answers worse than the one before, by what all instances have seen.
+//! Evaluates whether a version performs worse than the one before, from the reports of all instances.
 //!
-//! Each answer of the new version is good or bad: failed, or several times slower than answers of the old version on the
-//! same route usually are. A cumulative sum of log-likelihood ratios (CUSUM) for each route, and one for all, grows with bad
-//! answers beyond the old version's share and falls back towards zero with good ones, so that a version which turns bad late
-//! is found as soon as one that always was.
+//! Each response of the new version counts as a success or a failure. A failure is a failed response, or one that is
+//! several times slower than responses of the old version on the same route usually are. A cumulative sum of
+//! log-likelihood ratios (CUSUM) for each route, and one for all routes, grows with failures beyond the old version's
+//! share and falls back towards zero with successes. A version that turns bad late is thus found as soon as one that
+//! was bad from the start.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,47 +19,52 @@
     routing::RunId,
 };
 
-/// Answers of the old version on a route from which it is known how it usually answers there, and fewer that are enough on a
-/// route that has had requests for so long.
-const OLD_MIN: u32 = 30;
-const OLD_FEW: (u32, Duration) = (8, Duration::from_secs(3));
+/// Number of responses of the old version on a route from which its usual performance there is known, and a smaller
+/// number that suffices for a route that has had requests for some time.
+const BASELINE_MIN: u32 = 30;
+const BASELINE_MIN_OLD_ROUTE: u32 = 8;
+const OLD_ROUTE_AGE: Duration = Duration::from_secs(3);
 
-/// Time whose answers of both versions are compared with each other: long enough for some of the old one on each route.
+/// Length of the window in which responses of both versions are compared: long enough for some of the old version on
+/// each route.
 const WINDOW: Duration = Duration::from_millis(400);
 
-/// Standard deviations, and answers, by which the bad ones of the old version in a window exceed what is usual before they
-/// count as trouble of both versions.
-const UNUSUAL: (f64, f64) = (2.0, 1.0);
+/// Failures of the old version in a window count as trouble of both versions if they exceed the usual number by this
+/// many standard deviations and responses.
+const UNUSUAL_DEVIATIONS: f64 = 2.0;
+const UNUSUAL_RESPONSES: f64 = 1.0;
 
-/// Bins beyond the old version's median from which an answer counts as slow: 2.8 to 4 times its time. New servers are up to
-/// twice as slow at first, as they keep no prompts.
+/// Bins beyond the old version's median from which a response counts as slow: 2.8 to 4 times the median. New servers
+/// are up to twice as slow at first, as their prompt caches are empty.
 const SLOWER_BINS: u8 = 4;
 
-/// Times below which no answer counts as slow: an instance whose processor's quota is used up stands still for as long, and
-/// finds every server slow.
+/// Response time below which no response counts as slow. An instance whose CPU quota is exhausted is suspended for as
+/// long, and every server then appears slow to it.
 const SLOW_MIN: Duration = Duration::from_millis(60);
 
-/// How a version's share of bad answers may exceed the old one's without counting as worse: in proportion, and beyond.
-const TOLERATED: (f64, f64) = (1.3, 0.03);
+/// By how much a version's share of failures may exceed the old one's without counting as worse: a factor, and a share
+/// beyond it.
+const TOLERATED_FACTOR: f64 = 1.3;
+const TOLERATED_SHARE: f64 = 0.03;
 
-/// Shares of bad answers beyond that, which a bad version may have: one that fails mostly is found by fewer answers if it is
-/// not taken for one that fails now and then.
+/// Shares of failures, beyond the tolerated one, that a bad version is assumed to have. A version that fails mostly is
+/// found with fewer responses if it is not assumed to fail only now and then.
 const BAD_SHARES: [f64; 2] = [0.2, 0.6];
 
-/// Largest share of bad answers that a version is compared with.
+/// Maximum share of failures with which a version is compared.
 const SHARE_MAX: f64 = 0.95;
 
-/// Sum from which a version is bad.
-const LIMIT: f64 = 13.0;
+/// Regression score from which a version is bad.
+const BAD_SCORE: f64 = 13.0;
 
-/// Most groups of servers that are told apart: more of them would each add the chance part of its own sum.
+/// Maximum number of failure domains. Each further one would add the random part of its own sum.
 const DOMAINS_MAX: usize = 4;
 
-/// Age at which an instance's report no longer says what is under way.
-const REPORT_LIFE: Duration = Duration::from_millis(2500);
+/// Age from which the requests in flight of an instance's report no longer count.
+const REPORT_MAX_AGE: Duration = Duration::from_millis(2500);
 
-/// Which backend servers of the new version may fail together for a reason of their own: those of an availability zone, or
-/// each by itself where all are in one.
+/// Groups of backend servers of the new version that may fail together for a reason of their own: the servers of an
+/// availability zone, or single servers if all are in one zone.
 #[derive(Debug, Clone, Default)]
 pub struct FailureDomains {
     of: HashMap<Tag, usize>,
@@ -74,24 +80,24 @@
 
 type Bins = BTreeMap<TimeBin, u32>;
 
-/// Answers of the old version on a route.
+/// Responses of the old version on a route.
 #[derive(Debug)]
-struct OldAnswers {
+struct OldResponses {
     first: Instant,
     all: Bins,
-    /// Those of the present window.
+    /// Those of the current window.
     window: Bins,
 }
 
-/// How the old version answers on a route.
+/// Usual performance of the old version on a route.
 #[derive(Debug, Clone, Copy)]
 struct Baseline {
     slow_from: TimeBin,
-    /// Share of bad answers.
-    bad: f64,
+    /// Share of failures.
+    failures: f64,
 }
 
-/// The evidence of all instances on one roll-out.
+/// Evaluation of the new version of one roll-out, from the evidence of all instances.
 #[derive(Debug)]
 pub struct VersionEvaluation {
     to: SoftwareVersion,
@@ -99,11 +105,12 @@
     sent: u64,
     sent_new: u64,
     responses_new: u64,
-    old: HashMap<Tag, OldAnswers>,
-    window_began: Option<Instant>,
-    /// Answers of the new version in the present window, and on routes where it is not known yet how the old one answers.
-    unjudged: HashMap<(Tag, usize), Bins>,
-    /// Sums by route, `None` for all, and failure domain, for each share of bad answers.
+    old: HashMap<Tag, OldResponses>,
+    window_start: Option<Instant>,
+    /// Responses of the new version that are not evaluated yet: those in the current window, and those on routes
+    /// without a baseline.
+    pending: HashMap<(Tag, usize), Bins>,
+    /// Sums by route (`None` for all routes) and failure domain, for each of `BAD_SHARES`.
     sums: IndexMap<(Option<Tag>, usize), [f64; BAD_SHARES.len()]>,
     domains: FailureDomains,
 }
@@ -119,8 +126,9 @@
         let by_zone = zones.len() > 1;
         let count = if by_zone { zones.len() } else { servers.len() };
         let domain = |(number, &(server, zone)): (usize, &(Tag, Tag))| {
-            let own = if by_zone { zones.binary_search(&zone).unwrap_or_default() } else { number };
-            (server, own % DOMAINS_MAX)
+            let domain =
+                if by_zone { zones.binary_search(&zone).unwrap_or_default() } else { number };
+            (server, domain % DOMAINS_MAX)
         };
         let of = servers.iter().enumerate().map(domain).collect();
         FailureDomains { of, count: count.min(DOMAINS_MAX) }
@@ -132,7 +140,7 @@
 }
 
 impl VersionEvaluation {
-    /// Returns the judge of a version of which nothing is known.
+    /// Returns the evaluation of a version without any evidence.
     pub fn new(to: SoftwareVersion) -> VersionEvaluation {
         VersionEvaluation {
             to,
@@ -141,25 +149,25 @@
             sent_new: 0,
             responses_new: 0,
             old: HashMap::new(),
-            window_began: None,
-            unjudged: HashMap::new(),
+            window_start: None,
+            pending: HashMap::new(),
             sums: IndexMap::new(),
             domains: FailureDomains::default(),
         }
     }
 
-    /// Returns the version that is judged.
+    /// Returns the version that is evaluated.
     pub fn to(&self) -> &SoftwareVersion {
         &self.to
     }
 
-    /// Sets how the version's servers are grouped.
+    /// Sets the failure domains of the version's servers.
     pub fn set_domains(&mut self, domains: FailureDomains) {
         self.domains = domains;
     }
 
-    /// Takes the report of one run of an instance, all of whose counts grow.
-    pub fn take(&mut self, now: Instant, node: &NodeName, run: RunId, report: RolloutReport) {
+    /// Adds the report of one run of an instance. Counts in reports are totals and only grow within a run.
+    pub fn add_report(&mut self, now: Instant, node: &NodeName, run: RunId, report: RolloutReport) {
         if report.to != self.to {
             return;
         }
@@ -169,64 +177,67 @@
             |count: u64, of: fn(&RolloutReport) -> u64| count.saturating_sub(before.map_or(0, of));
         self.sent += since(report.sent, |before| before.sent);
         self.sent_new += since(report.sent_new, |before| before.sent_new);
-        let news: Vec<ResponseCounts> =
-            report.answers.iter().map(|told| told.since(before)).collect();
+        let new: Vec<ResponseCounts> =
+            report.responses.iter().map(|counts| counts.since(before)).collect();
         self.reporters.insert(node.clone(), Reporter { at: now, run, report });
-        for told in &news {
-            self.count(now, told);
+        for counts in &new {
+            self.count(now, counts);
         }
-        self.judge(now);
+        self.evaluate(now);
     }
 
-    fn count(&mut self, now: Instant, told: &ResponseCounts) {
-        let Some(server) = told.server else {
-            self.old.entry(told.route).or_insert_with(|| OldAnswers::new(now)).add(&told.bins);
+    fn count(&mut self, now: Instant, counts: &ResponseCounts) {
+        let Some(server) = counts.server else {
+            self.old
+                .entry(counts.route)
+                .or_insert_with(|| OldResponses::new(now))
+                .add(&counts.bins);
             return;
         };
         let domain = self.domains.of(server);
-        add(self.unjudged.entry((told.route, domain)).or_default(), &told.bins);
-        self.responses_new += told.bins.iter().map(|(_, count)| u64::from(*count)).sum::<u64>();
+        add(self.pending.entry((counts.route, domain)).or_default(), &counts.bins);
+        self.responses_new += counts.bins.iter().map(|(_, count)| u64::from(*count)).sum::<u64>();
     }
 
-    /// Judges the answers of the new version in a window that is over.
-    fn judge(&mut self, now: Instant) {
-        let began = *self.window_began.get_or_insert(now);
-        if now.saturating_duration_since(began) < WINDOW {
+    /// Evaluates the responses of the new version once a window is complete.
+    fn evaluate(&mut self, now: Instant) {
+        let start = *self.window_start.get_or_insert(now);
+        if now.saturating_duration_since(start) < WINDOW {
             return;
         }
-        self.window_began = Some(now);
-        for ((route, domain), bins) in std::mem::take(&mut self.unjudged) {
+        self.window_start = Some(now);
+        for ((route, domain), bins) in std::mem::take(&mut self.pending) {
             let Some(baseline) = self.old.get(&route).and_then(|old| old.baseline(now)) else {
-                self.unjudged.insert((route, domain), bins);
+                self.pending.insert((route, domain), bins);
                 continue;
             };
-            let steps = baseline.evidence(&bins);
+            let ratios = baseline.log_likelihood_ratios(&bins);
             for of in [Some(route), None] {
                 let sums = self.sums.entry((of, domain)).or_default();
-                for (sum, step) in sums.iter_mut().zip(steps) {
-                    *sum = (*sum + step).max(0.0);
+                for (sum, ratio) in sums.iter_mut().zip(ratios) {
+                    *sum = (*sum + ratio).max(0.0);
                 }
             }
         }
         self.old.values_mut().for_each(|old| old.window.clear());
     }
 
-    /// Returns how much speaks against the version on the route where most does. What speaks against the worst failure
-    /// domain alone is left out: a server, machine or zone in trouble is no fault of the version.
+    /// Returns the regression score of the version: the highest score of a route. The worst failure domain is excluded,
+    /// since the failure of a server, machine or zone is not the version's.
     pub fn regression_score(&self) -> f64 {
         let several = self.domains.count > 1;
-        let regression_score = |(all, most): &(f64, f64)| if several { all - most } else { *all };
-        self.doubts().values().map(regression_score).fold(0.0, f64::max)
+        let score = |(all, most): &(f64, f64)| if several { all - most } else { *all };
+        self.scores().values().map(score).fold(0.0, f64::max)
     }
 
-    /// Returns how much speaks against it on that route in all.
+    /// Returns the regression score with all failure domains.
     pub fn total_regression_score(&self) -> f64 {
-        self.doubts().values().map(|(all, _)| *all).fold(0.0, f64::max)
+        self.scores().values().map(|(all, _)| *all).fold(0.0, f64::max)
     }
 
-    /// Returns what speaks against the version on each route, `None` for all, by each share of bad answers, and how much of
-    /// that in the worst domain.
-    fn doubts(&self) -> IndexMap<(Option<Tag>, usize), (f64, f64)> {
+    /// Returns the score on each route (`None` for all routes) for each of `BAD_SHARES`, in total and in the worst
+    /// domain.
+    fn scores(&self) -> IndexMap<(Option<Tag>, usize), (f64, f64)> {
         let mut routes: IndexMap<(Option<Tag>, usize), (f64, f64)> = IndexMap::new();
         for (&(route, _), sums) in &self.sums {
             for (share, &sum) in sums.iter().enumerate() {
@@ -240,7 +251,7 @@
 
     /// Returns whether the version is bad.
     pub fn is_bad(&self) -> bool {
-        self.regression_score() >= LIMIT
+        self.regression_score() >= BAD_SCORE
     }
 
     /// Returns the requests sent to the service, and to the new version, since the order.
@@ -248,35 +259,35 @@
         (self.sent, self.sent_new)
     }
 
-    /// Returns how many answers of the new version are known.
+    /// Returns the number of reported responses of the new version.
     pub fn responses_new(&self) -> u64 {
         self.responses_new
     }
 
-    /// Returns how many requests are under way at servers of other versions.
+    /// Returns the number of requests in flight at servers of other versions.
     pub fn in_flight_old(&self, now: Instant) -> u32 {
-        let is_young = |r: &&Reporter| now.saturating_duration_since(r.at) <= REPORT_LIFE;
-        self.reporters.values().filter(is_young).map(|r| r.report.in_flight_old).sum()
+        let is_recent = |r: &&Reporter| now.saturating_duration_since(r.at) <= REPORT_MAX_AGE;
+        self.reporters.values().filter(is_recent).map(|r| r.report.in_flight_old).sum()
     }
 }
 
 impl ResponseCounts {
-    /// Returns what has come since an earlier report.
+    /// Returns the responses counted since an earlier report.
     fn since(&self, before: Option<&RolloutReport>) -> ResponseCounts {
-        let same = |told: &&ResponseCounts| told.route == self.route && told.server == self.server;
-        let known = before.and_then(|before| before.answers.iter().find(same));
+        let same = |c: &&ResponseCounts| c.route == self.route && c.server == self.server;
+        let known = before.and_then(|before| before.responses.iter().find(same));
         let count = |bin: TimeBin| {
             let bins = known.map_or(&[][..], |known| &known.bins);
             bins.iter().find(|(of, _)| *of == bin).map_or(0, |(_, count)| *count)
         };
         let bins = self.bins.iter().map(|&(bin, all)| (bin, all.saturating_sub(count(bin))));
-        ResponseCounts { bins: bins.filter(|(_, news)| *news > 0).collect(), ..*self }
+        ResponseCounts { bins: bins.filter(|(_, count)| *count > 0).collect(), ..*self }
     }
 }
 
-impl OldAnswers {
-    fn new(first: Instant) -> OldAnswers {
-        OldAnswers { first, all: Bins::new(), window: Bins::new() }
+impl OldResponses {
+    fn new(first: Instant) -> OldResponses {
+        OldResponses { first, all: Bins::new(), window: Bins::new() }
     }
 
     fn add(&mut self, bins: &[(TimeBin, u32)]) {
@@ -284,39 +295,39 @@
         add(&mut self.window, bins);
     }
 
-    /// Returns how the old version answers, once that is known.
+    /// Returns the usual performance of the old version, once there are enough responses.
     fn baseline(&self, now: Instant) -> Option<Baseline> {
         let all: u32 = self.all.values().sum();
-        let (few, after) = OLD_FEW;
-        let is_old = now.saturating_duration_since(self.first) >= after;
-        if all < if is_old { few } else { OLD_MIN } {
+        let is_old = now.saturating_duration_since(self.first) >= OLD_ROUTE_AGE;
+        if all < if is_old { BASELINE_MIN_OLD_ROUTE } else { BASELINE_MIN } {
             return None;
         }
         let slow_from = slow_from(&self.all);
-        let (bad, _) = split(&self.all, slow_from);
-        let usual = (f64::from(bad) + 1.0) / (f64::from(all) + 2.0);
-        // Where both versions fail or are late at once, as in a burst of requests, that speaks against neither.
-        let (bad, good) = split(&self.window, slow_from);
-        let (bad, all) = (f64::from(bad), f64::from(bad + good));
-        let (deviations, answers) = UNUSUAL;
-        let is_unusual = bad > usual * all + deviations * (usual * all).sqrt() + answers;
-        Some(Baseline { slow_from, bad: if is_unusual { bad / all } else { usual } })
+        let (failures, _) = split(&self.all, slow_from);
+        let usual = (f64::from(failures) + 1.0) / (f64::from(all) + 2.0);
+        // If both versions fail or are slow at once, as in a burst of requests, that is evidence against neither.
+        let (failures, successes) = split(&self.window, slow_from);
+        let (failures, all) = (f64::from(failures), f64::from(failures + successes));
+        let is_unusual =
+            failures > usual * all + UNUSUAL_DEVIATIONS * (usual * all).sqrt() + UNUSUAL_RESPONSES;
+        Some(Baseline { slow_from, failures: if is_unusual { failures / all } else { usual } })
     }
 }
 
 impl Baseline {
-    /// Returns the log-likelihood ratios of answers: of a version that is bad by each share against one as good as the old.
-    fn evidence(self, bins: &Bins) -> [f64; BAD_SHARES.len()] {
-        let (bad, good) = split(bins, self.slow_from);
+    /// Returns the log-likelihood ratio of the responses for each of `BAD_SHARES`: of a version that is worse by that
+    /// share against one as good as the old version.
+    fn log_likelihood_ratios(self, bins: &Bins) -> [f64; BAD_SHARES.len()] {
+        let (failures, successes) = split(bins, self.slow_from);
         BAD_SHARES.map(|share| {
-            let good_version = self.bad * TOLERATED.0 + TOLERATED.1;
+            let good_version = self.failures * TOLERATED_FACTOR + TOLERATED_SHARE;
             let bad_version = good_version + share;
             if bad_version > SHARE_MAX {
-                // The old version fails so often that nothing can be told.
+                // The old version fails so often that a worse one cannot be distinguished from it.
                 return 0.0;
             }
-            f64::from(bad) * (bad_version / good_version).ln()
-                + f64::from(good) * ((1.0 - bad_version) / (1.0 - good_version)).ln()
+            f64::from(failures) * (bad_version / good_version).ln()
+                + f64::from(successes) * ((1.0 - bad_version) / (1.0 - good_version)).ln()
         })
     }
 }
@@ -331,20 +342,20 @@
 fn slow_from(old: &Bins) -> TimeBin {
     let times = || old.iter().filter(|(bin, _)| bin.is_time());
     let half = times().map(|(_, count)| count).sum::<u32>().div_ceil(2);
-    let mut seen = 0;
-    let median = times().find(|(_, count)| {
-        seen += **count;
-        seen >= half
+    let mut count = 0;
+    let median = times().find(|(_, n)| {
+        count += **n;
+        count >= half
     });
     let Some((median, _)) = median else { return TimeBin::UNTIMED };
     TimeBin(median.0.saturating_add(SLOWER_BINS)).max(TimeBin::of(SLOW_MIN)).min(TimeBin::UNTIMED)
 }
 
-/// Counts bad and good answers.
+/// Counts failures and successes.
 fn split(bins: &Bins, slow_from: TimeBin) -> (u32, u32) {
-    let is_bad = |bin: &TimeBin| *bin == TimeBin::FAILED || bin.is_time() && *bin >= slow_from;
-    let count = |wanted: bool| {
-        let counts = bins.iter().filter(|(bin, _)| is_bad(bin) == wanted);
+    let is_failure = |bin: &TimeBin| *bin == TimeBin::FAILED || bin.is_time() && *bin >= slow_from;
+    let count = |failures: bool| {
+        let counts = bins.iter().filter(|(bin, _)| is_failure(bin) == failures);
         counts.map(|(_, count)| count).sum()
     };
     (count(true), count(false))
--- a/src/routing/rollout/evidence.rs
+++ b/src/routing/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! How backend servers of both versions answer, as one instance sees it.
+//! Responses of both versions of a service, as observed by one instance.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,43 +7,46 @@
 
 use crate::names::{ServiceName, SoftwareVersion, Tag};
 
-/// Routes told apart; answers on further ones count together, which keeps reports small where operators have thousands.
+/// Maximum number of routes counted separately. Responses on further ones are counted together, which keeps reports
+/// small for operators with thousands of routes.
 const ROUTES_MAX: usize = 32;
 
-/// Tag under which answers on further routes count.
+/// Tag under which responses on further routes are counted.
 const OTHER_ROUTES: Tag = Tag(0);
 
-/// Width of the first bin of times; each further one ends at the root of two times that of the one before.
+/// Width of the first bin of response times. The upper bound of each further bin is larger by a factor of the square
+/// root of 2.
 const FIRST_BIN: Duration = Duration::from_micros(250);
 
-/// An answer's time, in bins whose ends grow by the root of two; or that the answer failed.
+/// Bin of a response: its time, in bins whose bounds grow by the square root of 2, or a special bin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeBin(pub u8);
 
-/// What became of a request at a backend server, as far as it speaks for or against its version.
+/// Result of a request at a backend server, as evidence for or against the server's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseObservation {
-    /// It was answered well, or waited for, for so long: until the head of a plain answer, or between pieces of a stream.
+    /// The response took, or was awaited for, this time: until the head of a plain response, or between pieces of a
+    /// stream.
     Took(Duration),
-    /// It was answered well, and its time says nothing.
+    /// The response was successful, and its time is no evidence.
     Untimed,
-    /// The server's own answer was a failure, or none that can be used.
+    /// The server responded with a failure, or with something that cannot be parsed.
     Failed,
 }
 
-/// Answers on one route, of one server of the new version or of all others.
+/// Responses on one route, of one server of the new version or of all servers of other versions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResponseCounts {
     /// The route.
     pub route: Tag,
-    /// The server; `None` for all of other versions.
+    /// The server; `None` for all servers of other versions.
     pub server: Option<Tag>,
-    /// Answers by time.
+    /// Number of responses by bin.
     pub bins: Vec<(TimeBin, u32)>,
 }
 
-/// What an instance has seen of a roll-out since it learnt of the order.
+/// What an instance has observed of a roll-out since it received the order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutReport {
     /// The service.
@@ -54,26 +57,26 @@
     pub sent: u64,
     /// Requests sent to servers of the new version.
     pub sent_new: u64,
-    /// Requests under way at servers of other versions.
+    /// Requests in flight at servers of other versions.
     pub in_flight_old: u32,
-    /// Answers.
-    pub answers: Vec<ResponseCounts>,
+    /// Counted responses.
+    pub responses: Vec<ResponseCounts>,
 }
 
-/// One instance's own evidence on a roll-out.
+/// Evidence that one instance collects on a roll-out.
 #[derive(Debug)]
 pub struct RolloutEvidence {
     to: SoftwareVersion,
     sent: u64,
     sent_new: u64,
-    answers: IndexMap<(Tag, Option<Tag>), BTreeMap<TimeBin, u32>>,
+    responses: IndexMap<(Tag, Option<Tag>), BTreeMap<TimeBin, u32>>,
     routes: Vec<Tag>,
 }
 
 impl TimeBin {
-    /// Bin of answers that failed.
+    /// Bin of failed responses.
     pub const FAILED: TimeBin = TimeBin(u8::MAX);
-    /// Bin of answers whose time says nothing.
+    /// Bin of successful responses whose time is no evidence.
     pub const UNTIMED: TimeBin = TimeBin(u8::MAX - 1);
 
     /// Returns the bin of a time.
@@ -82,7 +85,7 @@
         TimeBin(steps.min(f64::from(u8::MAX - 2)) as u8)
     }
 
-    /// Returns whether it is a bin of times.
+    /// Returns whether this is a bin of response times.
     pub fn is_time(self) -> bool {
         self < TimeBin::UNTIMED
     }
@@ -99,9 +102,9 @@
 }
 
 impl RolloutEvidence {
-    /// Returns the evidence of an instance that has just learnt of an order.
+    /// Returns the empty evidence of an instance that has just received an order.
     pub fn new(to: SoftwareVersion) -> RolloutEvidence {
-        RolloutEvidence { to, sent: 0, sent_new: 0, answers: IndexMap::new(), routes: Vec::new() }
+        RolloutEvidence { to, sent: 0, sent_new: 0, responses: IndexMap::new(), routes: Vec::new() }
     }
 
     /// Returns the new version.
@@ -117,21 +120,22 @@
         }
     }
 
-    /// Notes what became of a request on a route at a server of that version.
+    /// Notes the result of a request on a route at a server of that version.
     pub fn note_response(
         &mut self,
         route: Tag,
         server: Tag,
         version: Option<&SoftwareVersion>,
-        seen: ResponseObservation,
+        observation: ResponseObservation,
     ) {
-        let route = self.told_apart(route);
+        let route = self.counted_route(route);
         let server = (version == Some(&self.to)).then_some(server);
-        let bins = self.answers.entry((route, server)).or_default();
-        *bins.entry(seen.bin()).or_default() += 1;
+        let bins = self.responses.entry((route, server)).or_default();
+        *bins.entry(observation.bin()).or_default() += 1;
     }
 
-    fn told_apart(&mut self, route: Tag) -> Tag {
+    /// Returns the tag under which responses on a route are counted.
+    fn counted_route(&mut self, route: Tag) -> Tag {
         if self.routes.contains(&route) {
             return route;
         }
@@ -142,9 +146,10 @@
         route
     }
 
-    /// Returns what is told of it, all counts since it began; `in_flight_old` is what is under way at other versions.
+    /// Returns the report to the aggregator, with all counts since the order was received. `in_flight_old` is the
+    /// number of requests in flight at other versions.
     pub fn report(&self, service: &ServiceName, in_flight_old: u32) -> RolloutReport {
-        let told = |(&(route, server), bins): (&(Tag, Option<Tag>), &BTreeMap<TimeBin, u32>)| {
+        let counts = |(&(route, server), bins): (&(Tag, Option<Tag>), &BTreeMap<TimeBin, u32>)| {
             let bins = bins.iter().map(|(&bin, &count)| (bin, count)).collect();
             ResponseCounts { route, server, bins }
         };
@@ -154,7 +159,7 @@
             sent: self.sent,
             sent_new: self.sent_new,
             in_flight_old,
-            answers: self.answers.iter().map(told).collect(),
+            responses: self.responses.iter().map(counts).collect(),
         }
     }
 }
--- a/tests/suite/rollouts_random.rs
+++ b/tests/suite/rollouts_random.rs
@@ -1,8 +1,9 @@
-//! Roll-outs of drawn versions in drawn fleets, on a made-up clock: how much a bad version gets, how soon it gets nothing,
-//! and that no good one is rolled back.
+//! Roll-outs of drawn versions in drawn fleets, on a made-up clock: how much a bad version gets, how soon it gets
+//! nothing, and that no good one is rolled back.
 //!
-//! Instances answer requests and report at their own moments; one collects the reports, judges and decides, and its word
-//! reaches an instance with that one's next report, as the exchange does. The collector may be lost, frozen or late.
+//! Instances answer requests and report at their own moments; one collects the reports, judges and decides, and its
+//! word reaches an instance with that one's next report, as the exchange does. The collector may be lost, frozen or
+//! late.
 
 use std::{
     thread,
@@ -66,7 +67,8 @@
     ZoneAway,
     /// The old version fails as often.
     AllFail,
-    /// Answers of both versions take several times as long for some seconds from this moment on, as in a burst of requests.
+    /// Answers of both versions take several times as long for some seconds from this moment on, as in a burst of
+    /// requests.
     AllSlow(Duration),
     /// Answers of both versions fail for some seconds from this moment on.
     AllFailSuddenly(Duration),
@@ -337,7 +339,7 @@
             for told in instance.states.updates(now) {
                 self.decider.states.take(now, &told);
             }
-            self.decider.judge.take(now, &instance.node, RunId(1), report);
+            self.decider.judge.add_report(now, &instance.node, RunId(1), report);
             for told in self.decider.states.updates(now) {
                 instance.states.take(now, &told);
             }
@@ -442,9 +444,10 @@
     assert!(lost.is_empty(), "{} of 1,000: {:?}", lost.len(), lost.first());
 }
 
-// A good version was rolled back once in a run of the suite, of which no log was kept; drawn bursts, late or failing answers of
-// both versions for 2.5 s, rolled back 25 of these 200. How the old version answers was summed up since the order, so that its
-// good answers of all the seconds before outweighed its late ones, and the burst spoke against the new one alone.
+// A good version was rolled back once in a run of the suite, of which no log was kept; drawn bursts, late or failing
+// answers of both versions for 2.5 s, rolled back 25 of these 200. How the old version answers was summed up since the
+// order, so that its good answers of all the seconds before outweighed its late ones, and the burst spoke against the
+// new one alone.
 #[test]
 fn no_good_version_is_rolled_back_where_the_whole_fleet_is_in_trouble_for_a_while() {
     let cases = (0..200_u64).map(|seed| {
@@ -466,10 +469,10 @@
     assert!(lost.is_empty(), "{} of 200: {:?}", lost.len(), lost.first());
 }
 
-// Of a service with few requests fifteen answers of the new version were not known by the time at which it is decided one way
-// or the other, and a good version was rolled back for that alone: 198 of these 200. Where so few requests are left that a bad
-// version could not get half of what operators allow, a few answers are enough. None is the aim; chance leaves some, and between
-// 60 and 500 requests in all a version cannot be proven within that half.
+// Of a service with few requests fifteen answers of the new version were not known by the time at which it is decided
+// one way or the other, and a good version was rolled back for that alone: 198 of these 200. Where so few requests are
+// left that a bad version could not get half of what operators allow, a few answers are enough. None is the aim; chance
+// leaves some, and between 60 and 500 requests in all a version cannot be proven within that half.
 #[test]
 fn most_good_versions_of_a_service_with_few_requests_take_over() {
     let cases = (0..200_u64).map(|seed| {
