--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -20,8 +20,8 @@
     utils::{signal::Signal, sync::lock},
 };
 
-/// Timeout for the connection that checks whether a server has crashed: many round trips within a region. The request that
-/// waits for the check is retried on another server right after.
+/// Timeout for the connection that checks whether a server has crashed: many round trips within a region. The request
+/// that waits for the check is retried on another server right after.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Requests that are suspected of crashing servers, as this instance knows them.
@@ -71,14 +71,15 @@
         verdicts.held(now, fingerprint(), digest)
     }
 
-    /// Returns whether a request that a crash has just interrupted must not be retried on another server, because it is held
-    /// or watched. Until it is held, each of its remaining attempts thus crashes one server, not as many as its route
-    /// allows.
+    /// Returns whether a request that a crash has just interrupted must not be retried on another server, because it is
+    /// held or watched. Until it is held, each of its remaining attempts thus crashes one server, not as many as its
+    /// route allows.
     pub fn forbids_retry(&self, request: &Request) -> bool {
         self.forbids_retry_by(|| request.fingerprint(), || request.digest())
     }
 
-    /// As [`CrashSuspects::forbids_retry`]. Computes neither fingerprint nor digest while no request is held or watched.
+    /// As [`CrashSuspects::forbids_retry`]. Computes neither fingerprint nor digest while no request is held or
+    /// watched.
     pub fn forbids_retry_by(
         &self,
         fingerprint: impl FnOnce() -> RequestFingerprint,
@@ -118,8 +119,8 @@
         Some(cleared)
     }
 
-    /// Notes that the connection to a server was lost with the request in flight there. `long_running` tells whether the
-    /// server had run it for a while.
+    /// Notes that the connection to a server was lost with the request in flight there. `long_running` tells whether
+    /// the server had run it for a while.
     pub fn note_disconnect(
         &self,
         gateway: &Gateway,
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Checks whether a server whose connection was lost has crashed: then its address refuses connections. A server that
-    /// announced that it leaves is not checked, since it stops with the requests that it has not finished.
+    /// Checks whether a server whose connection was lost has crashed: then its address refuses connections. A server
+    /// that announced that it leaves is not checked, since it stops with the requests that it has not finished.
     fn has_crashed(&self, gateway: &Gateway, server: &BackendServer) -> bool {
         let now = gateway.clock.now();
         if let Some(known) = lock(&self.crashes).has_crashed(now, &server.id) {
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -18,8 +18,8 @@
     utils::sync::lock,
 };
 
-/// Interval between two reads of the table while requests are held: 0.2 calls per second for the whole fleet, and operators
-/// soon see that a verdict is lifted.
+/// Interval between two reads of the table while requests are held: 0.2 calls per second for the whole fleet, and
+/// operators soon see that a verdict is lifted.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Delay before the table is read again after a failed call.
--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -1,5 +1,5 @@
-//! The store's table of roll-outs: read and written by the instance that takes them further, or for it by another one where
-//! the store turns it away.
+//! The store's table of roll-outs: read and written by the instance that takes them further, or for it by another one
+//! where the store turns it away.
 
 use serde::{Deserialize, Serialize};
 
@@ -34,8 +34,8 @@
 pub enum RolloutTableRequest {
     /// All records.
     Read,
-    /// That a record is written, with what operators read of it, if its row has the version that it had when it was read; 0
-    /// for none.
+    /// That a record is written, with what operators read of it, if its row has the version that it had when it was
+    /// read; 0 for none.
     Write(RecordRow),
 }
 
--- a/src/routing/crash_suspects/attribution.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -13,15 +13,15 @@
 };
 use crate::names::{ServiceName, Tag};
 
-/// How long a crash counts: long enough for a caller that retries its request after minutes, and short enough to bound what
-/// is kept for callers that never retry.
+/// How long a crash counts: long enough for a caller that retries its request after minutes, and short enough to bound
+/// what is kept for callers that never retry.
 const CRASH_MAX_AGE: Duration = Duration::from_secs(600);
 
 /// Score at which a request is held: three servers that crashed as they began to run it.
 const HELD_SCORE: f64 = 3.0;
 
-/// Score at which a request is held if another request was in flight at all the same servers: more than the two servers of
-/// each of two attempts that a caller makes. Requests with a shared prompt go from server to server together.
+/// Score at which a request is held if another request was in flight at all the same servers: more than the two servers
+/// of each of two attempts that a caller makes. Requests with a shared prompt go from server to server together.
 const HELD_SCORE_AMONG_OTHERS: f64 = 5.0;
 
 /// Score for the crash of a server that had run the request for a while.
@@ -30,9 +30,9 @@
 /// Score from which a request is watched: a successful response at any instance clears it.
 const WATCHED_SCORE: f64 = 1.5;
 
-/// Minimum share of the crashes of its service, since its first one, at which a held request was in flight. If half of the
-/// servers are killed at once, three times, no request is at more than one in nine of the crashes; of five requests that
-/// crash servers at the same time, each is at a fifth.
+/// Minimum share of the crashes of its service, since its first one, at which a held request was in flight. If half of
+/// the servers are killed at once, three times, no request is at more than one in nine of the crashes; of five requests
+/// that crash servers at the same time, each is at a fifth.
 const CRASH_SHARE_MIN: f64 = 0.2;
 
 /// Maximum number of suspects: 2 MB. Beyond it, those with the lowest scores are evicted, the oldest first.
@@ -47,7 +47,8 @@
 /// Maximum number of requests propagated as watched, those with the highest scores first: 400 bytes per reply.
 const WATCHED_MAX: usize = 32;
 
-/// Minimum time between two scans of all suspects for those to watch or expire: 302 instances send 400 reports a second.
+/// Minimum time between two scans of all suspects for those to watch or expire: 302 instances send 400 reports a
+/// second.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a request is watched after its last crash: longer than callers go on retrying it.
@@ -56,9 +57,9 @@
 /// Copies of a request at one server from which it counts as one that many callers send at once.
 const MANY_COPIES: u32 = 3;
 
-/// How long a request that many callers send at once is watched before it is held: two exchanges in most fleets, in which
-/// all instances can report a successful response. In simulated days, 20 of 54,000 harmless requests were held beside
-/// requests that crash servers without this delay, and 5 with it.
+/// How long a request that many callers send at once is watched before it is held: two exchanges in most fleets, in
+/// which all instances can report a successful response. In simulated days, 20 of 54,000 harmless requests were held
+/// beside requests that crash servers without this delay, and 5 with it.
 const WATCHED_BEFORE_HELD: Duration = Duration::from_millis(1000);
 
 #[derive(Debug)]
@@ -168,7 +169,8 @@
         self.cleared.insert(digest, now);
     }
 
-    /// Returns requests that may turn out to crash servers. All instances check whether they have a successful response.
+    /// Returns requests that may turn out to crash servers. All instances check whether they have a successful
+    /// response.
     pub fn watched(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         self.scan(now);
         self.watched.clone()
--- a/src/routing/crash_suspects/digest.rs
+++ b/src/routing/crash_suspects/digest.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash of what stays the same when a caller retries a request: its team, target and body. The request id is new with each
-/// attempt, and headers change with the remaining deadline or the last event received, so both are left out.
+/// Hash of what stays the same when a caller retries a request: its team, target and body. The request id is new with
+/// each attempt, and headers change with the remaining deadline or the last event received, so both are left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestDigest(pub u64);
@@ -17,8 +17,8 @@
 pub struct DigestError(String);
 
 impl RequestDigest {
-    /// Returns the digest of a request that consists of `parts`. The length of each part is hashed too, so that moving bytes
-    /// from one part to the next changes the digest.
+    /// Returns the digest of a request that consists of `parts`. The length of each part is hashed too, so that moving
+    /// bytes from one part to the next changes the digest.
     pub fn of(parts: &[&[u8]]) -> RequestDigest {
         let mut hasher = Xxh3::new();
         for part in parts {
--- a/src/routing/crash_suspects/mod.rs
+++ b/src/routing/crash_suspects/mod.rs
@@ -1,10 +1,10 @@
 //! Attribution of backend server crashes to the requests that cause them, as decisions without I/O.
 //!
-//! A crash interrupts every request that the server runs, so a single crash identifies none of them. Each instance records
-//! which of its requests were in flight at servers that crashed (`server_crashes`). The aggregator finds the request that
-//! was in flight at three of them (`attribution`), and all instances hold it (`verdicts`). A successful response clears a
-//! request (`recent_successes`). Without this, one request that its caller sent repeatedly caused 57 crashes among the
-//! 18 servers in use within a minute, and each crash interrupted up to 41 other requests.
+//! A crash interrupts every request that the server runs, so a single crash identifies none of them. Each instance
+//! records which of its requests were in flight at servers that crashed (`server_crashes`). The aggregator finds the
+//! request that was in flight at three of them (`attribution`), and all instances hold it (`verdicts`). A successful
+//! response clears a request (`recent_successes`). Without this, one request that its caller sent repeatedly caused 57
+//! crashes among the 18 servers in use within a minute, and each crash interrupted up to 41 other requests.
 
 pub mod attribution;
 pub mod digest;
--- a/src/routing/crash_suspects/recent_successes.rs
+++ b/src/routing/crash_suspects/recent_successes.rs
@@ -4,11 +4,12 @@
 
 use super::{RequestDigest, RequestFingerprint};
 
-/// Number of remembered requests. At 40 requests per second, a request that is sent once a minute is still remembered; the
-/// table takes 160 KB.
+/// Number of remembered requests. At 40 requests per second, a request that is sent once a minute is still remembered;
+/// the table takes 160 KB.
 const SLOTS: usize = 4096;
 
-/// How long a success protects its request from being held. Beyond this time, a new version of a server may crash on it.
+/// How long a success protects its request from being held. Beyond this time, a new version of a server may crash on
+/// it.
 const SUCCESS_MAX_AGE: Duration = Duration::from_secs(120);
 
 /// How long after the last known server crash the body of every successful request is hashed: by then callers have
@@ -46,8 +47,8 @@
         self.alert_until = Some(now + ALERT_DURATION);
     }
 
-    /// Notes a successful response. `digest` hashes the body; it is called from the second response to requests with one
-    /// fingerprint on, and for every response while servers crash.
+    /// Notes a successful response. `digest` hashes the body; it is called from the second response to requests with
+    /// one fingerprint on, and for every response while servers crash.
     pub fn note(
         &mut self,
         now: Instant,
--- a/src/routing/crash_suspects/server_crashes.rs
+++ b/src/routing/crash_suspects/server_crashes.rs
@@ -20,8 +20,8 @@
 /// Maximum number of suspects in one report: 12 KB, which take 5 ms on a link of 20 Mbit/s.
 const REPORTED_MAX: usize = 512;
 
-/// Maximum number of suspects kept: enough for a server with 64 slots that crashes a hundred times a minute while it runs
-/// requests of eight instances.
+/// Maximum number of suspects kept: enough for a server with 64 slots that crashes a hundred times a minute while it
+/// runs requests of eight instances.
 const SUSPECTS_MAX: usize = 4096;
 
 /// How long an accepted connection counts as evidence that the server has not crashed.
@@ -126,8 +126,8 @@
         reports
     }
 
-    /// Notes that the aggregator `to` has received reports. A new aggregator, or one that restarted, has none of the earlier
-    /// reports and gets all of them again.
+    /// Notes that the aggregator `to` has received reports. A new aggregator, or one that restarted, has none of the
+    /// earlier reports and gets all of them again.
     pub fn mark_reported(&mut self, to: RunId, reports: &[CrashReport]) {
         if self.reported_to != Some(to) {
             self.crashes.values_mut().for_each(|crash| crash.reported = 0);
--- a/src/routing/crash_suspects/table.rs
+++ b/src/routing/crash_suspects/table.rs
@@ -71,8 +71,8 @@
         self.is_read
     }
 
-    /// Notes the era of the rows that are passed next. Rows that are missing in a new era were lost with the store rather
-    /// than removed by an operator, so they are written again.
+    /// Notes the era of the rows that are passed next. Rows that are missing in a new era were lost with the store
+    /// rather than removed by an operator, so they are written again.
     pub fn note_era(&mut self, era: StoreEra) {
         if era != self.era {
             self.era = era;
--- a/src/routing/crash_suspects/verdicts.rs
+++ b/src/routing/crash_suspects/verdicts.rs
@@ -75,8 +75,8 @@
         self.fingerprints.is_empty()
     }
 
-    /// Returns for how long a request is still held. `digest`, which hashes the body, is called only if the fingerprint is
-    /// that of a held or watched request.
+    /// Returns for how long a request is still held. `digest`, which hashes the body, is called only if the fingerprint
+    /// is that of a held or watched request.
     pub fn held(
         &self,
         now: Instant,
@@ -189,7 +189,8 @@
         self.known.values().filter(|known| known.judgement == Judgement::Held).count()
     }
 
-    /// Removes verdicts beyond the maximum: watched requests first, then cleared and held ones, the oldest of each first.
+    /// Removes verdicts beyond the maximum: watched requests first, then cleared and held ones, the oldest of each
+    /// first.
     fn evict_excess(&mut self) {
         while self.known.len() > VERDICTS_MAX {
             let weight = |judgement| match judgement {
--- a/src/routing/rollout/record.rs
+++ b/src/routing/rollout/record.rs
@@ -31,8 +31,8 @@
 }
 
 impl RolloutRecord {
-    /// Returns whether another instance than `node` holds it at `now_ms` of the store's clock, which may go back when the
-    /// store does.
+    /// Returns whether another instance than `node` holds it at `now_ms` of the store's clock, which may go back when
+    /// the store does.
     pub fn is_held_by_another(&self, node: &NodeName, now_ms: u64) -> bool {
         let age = Duration::from_millis(now_ms.saturating_sub(self.renewed_ms));
         self.holder != *node && self.renewed_ms <= now_ms && age < ROLLOUT_LEASE
--- a/src/routing/rollout/state.rs
+++ b/src/routing/rollout/state.rs
@@ -8,8 +8,8 @@
 use super::{RolloutOrder, RolloutRecord, VersionSplit};
 use crate::names::{ServiceName, SoftwareVersion};
 
-/// How long the share of a trial holds after the instance that takes it further has said so: three exchanges. If that one
-/// is lost, a version that is not proven gets nothing.
+/// How long the share of a trial holds after the instance that takes it further has said so: three exchanges. If that
+/// one is lost, a version that is not proven gets nothing.
 const TRIAL_LIFE: Duration = Duration::from_millis(2500);
 
 /// How far a roll-out has come; later ones outdo earlier ones, whoever tells them.
--- a/tests/suite/crash_suspects.rs
+++ b/tests/suite/crash_suspects.rs
@@ -52,7 +52,8 @@
 #[test]
 fn the_request_in_flight_at_three_crashed_servers_is_found() {
     let now = Instant::now();
-    // (name, for each server the requests that had just begun and those that ran long, requests found at the last crash)
+    // (name, for each server the requests that had just begun and those that ran long, requests found at the last
+    // crash)
     type Case = (&'static str, Vec<(Vec<u64>, Vec<u64>)>, Vec<u64>);
     let cases: [Case; 6] = [
         ("two servers", vec![(vec![1], vec![]), (vec![1], vec![])], vec![]),
@@ -90,7 +91,8 @@
     }
 }
 
-// If half of the servers are killed at once, some request is in flight at three of them by chance: here at three of twenty.
+// If half of the servers are killed at once, some request is in flight at three of them by chance: here at three of
+// twenty.
 #[test]
 fn a_request_at_a_small_share_of_the_crashes_is_not_found() {
     let now = Instant::now();
@@ -104,8 +106,8 @@
     }
 }
 
-// A caller that sends a new body each time adds a suspect per request and fills the table. The request that was already in
-// flight at two crashed servers must not be evicted.
+// A caller that sends a new body each time adds a suspect per request and fills the table. The request that was already
+// in flight at two crashed servers must not be evicted.
 #[test]
 fn a_flood_of_suspects_is_bounded_and_keeps_higher_scores() {
     let now = Instant::now();
@@ -169,8 +171,8 @@
     assert!(verdicts.updates(now).len() <= 128);
 }
 
-// When the aggregator is killed, the crash reports it received are lost. Unless they are sent again, the request crashes
-// three more servers before the next aggregator finds it.
+// When the aggregator is killed, the crash reports it received are lost. Unless they are sent again, the request
+// crashes three more servers before the next aggregator finds it.
 #[test]
 fn a_new_aggregator_gets_all_crash_reports_again() {
     let now = Instant::now();
--- a/tests/suite/crashing_requests.rs
+++ b/tests/suite/crashing_requests.rs
@@ -81,8 +81,8 @@
         });
     }
 
-    /// Replaces all instances by new ones, whose only state is in the store's tables. The former ones keep a store of their
-    /// own, since their threads cannot be killed.
+    /// Replaces all instances by new ones, whose only state is in the store's tables. The former ones keep a store of
+    /// their own, since their threads cannot be killed.
     fn kill_all(&mut self) {
         let store = StoreStandIn::spawn().expect("a store");
         for table in ["op", "servers", HELD_TABLE] {
@@ -127,7 +127,8 @@
         call.send(self.instances[instance % self.instances.len()].callers())
     }
 
-    /// Sends the crashing request to one instance after the other, and returns the responses and how many servers crashed.
+    /// Sends the crashing request to one instance after the other, and returns the responses and how many servers
+    /// crashed.
     fn send_crashing(&mut self, times: usize) -> (Vec<Answer>, usize) {
         let mut crashed = 0;
         let mut responses = Vec::new();
@@ -141,9 +142,9 @@
 
 const HELD_TABLE: &str = "cartvane-held";
 
-// Guards against a request that crashes every server that begins to run it, some 50 ms later, while its caller retries it at
-// the next instance. Each instance tries it at two servers, and without a shared verdict nothing outlives one attempt: two
-// such requests caused 57 and 49 crashes among 18 servers within a minute.
+// Guards against a request that crashes every server that begins to run it, some 50 ms later, while its caller retries
+// it at the next instance. Each instance tries it at two servers, and without a shared verdict nothing outlives one
+// attempt: two such requests caused 57 and 49 crashes among 18 servers within a minute.
 #[test]
 fn a_request_that_crashed_three_servers_is_held_by_all_instances() {
     let mut fleet = Fleet::start(3, 6);
@@ -161,8 +162,8 @@
     }
 }
 
-// When all instances are killed at the same moment, a verdict that only they have is lost, and the held request crashes three
-// more servers after each such moment. The store keeps the verdict.
+// When all instances are killed at the same moment, a verdict that only they have is lost, and the held request crashes
+// three more servers after each such moment. The store keeps the verdict.
 #[test]
 fn a_request_stays_held_after_all_instances_restart() {
     let mut fleet = Fleet::start(3, 6);
@@ -178,8 +179,8 @@
     assert_eq!((further, held), (0, vec![503; 6]));
 }
 
-// A request that is held wrongly, or whose servers have been fixed, is rejected for ten minutes unless an operator lifts the
-// verdict, by removing its row from the store's table.
+// A request that is held wrongly, or whose servers have been fixed, is rejected for ten minutes unless an operator
+// lifts the verdict, by removing its row from the store's table.
 #[test]
 fn an_operator_lifts_a_verdict_by_removing_its_row() {
     let mut fleet = Fleet::start(2, 6);
@@ -195,8 +196,8 @@
     eventually("the request is no longer held", || fleet.send(0, CRASHING).status == 502);
 }
 
-// Guards against a stream whose server crashes right after its first events. If a crash after the first event counted half,
-// like one of a server that had run the request for a while, six servers would crash before the request is held.
+// Guards against a stream whose server crashes right after its first events. If a crash after the first event counted
+// half, like one of a server that had run the request for a while, six servers would crash before the request is held.
 #[test]
 fn a_stream_whose_servers_crash_right_after_its_first_events_is_held() {
     const BODY: &str = "a stream that crashes a server";
--- a/tests/suite/crashing_requests_random.rs
+++ b/tests/suite/crashing_requests_random.rs
@@ -237,8 +237,8 @@
         nodes.collect::<Vec<usize>>().into_iter().for_each(|node| self.exchange(step, node));
     }
 
-    /// Kills the aggregator with all its state. The others report to the next one after two exchanges of 0.3 s each without a
-    /// reply.
+    /// Kills the aggregator with all its state. The others report to the next one after two exchanges of 0.3 s each
+    /// without a reply.
     fn lose_aggregator(&mut self, step: usize) {
         if self.scenario.aggregator_lost && self.aggregator == 0 {
             self.nodes[0] = CrashSuspects::default();
@@ -326,8 +326,8 @@
 }
 
 // Half of the servers are killed at once, six times in intervals of a second or more, or one after the other, while one
-// in a hundred or a third of all requests are the same. A crash interrupts all that a server runs, and a request that many
-// callers send at once is in flight at every crash.
+// in a hundred or a third of all requests are the same. A crash interrupts all that a server runs, and a request that
+// many callers send at once is in flight at every crash.
 #[test]
 fn harmless_requests_are_not_held_when_servers_are_killed() {
     let half = |seed: u64| Scenario {
@@ -364,10 +364,10 @@
     }
 }
 
-// Up to three requests that crash servers, each sent 2.5 times a second, beside others that have the same ranking and follow
-// them from server to server. All of them are held within the time that propagation takes. Of 36,000 harmless requests, those
-// that are sent once are not held; the one that many callers send may be held for the two exchanges in which instances learn
-// of its successful response.
+// Up to three requests that crash servers, each sent 2.5 times a second, beside others that have the same ranking and
+// follow them from server to server. All of them are held within the time that propagation takes. Of 36,000 harmless
+// requests, those that are sent once are not held; the one that many callers send may be held for the two exchanges in
+// which instances learn of its successful response.
 #[test]
 fn a_request_that_crashes_servers_is_held_and_others_are_not() {
     let (mut all, mut hot, mut others) = (0, 0, 0);
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -32,19 +32,20 @@
 /// Time that operators give a roll-out.
 const TIME_LIMIT: Duration = Duration::from_secs(12);
 
-/// Time that operators give a good version, and callers that ask meanwhile: a version needs forty answers, of a twenty-fifth of the
-/// requests on a machine on which a request takes a tenth of a second.
+/// Time that operators give a good version, and callers that ask meanwhile: a version needs forty answers, of a
+/// twenty-fifth of the requests on a machine on which a request takes a tenth of a second.
 const GOOD_TIME_LIMIT: Duration = Duration::from_secs(18);
 const GOOD_CALLERS: usize = 24;
 
-/// Time in which all instances stop by themselves, if word of the verdict is lost: for so long a share that was told holds.
+/// Time in which all instances stop by themselves, if word of the verdict is lost: for so long a share that was told
+/// holds.
 const STOPS: Duration = Duration::from_millis(3000);
 
 /// Parts of all requests, and requests beyond that, which a bad version may get: half of what operators allow.
 const EXPOSURE_MAX: (f64, f64) = (0.05, 25.0);
 
-/// Time after which no instance sends requests to a version in trial whose record nobody can renew: the lease, the time for which
-/// a share that was told holds, and a request's own.
+/// Time after which no instance sends requests to a version in trial whose record nobody can renew: the lease, the time
+/// for which a share that was told holds, and a request's own.
 const UNHELD: Duration = Duration::from_millis(3000 + 2500 + 500);
 
 /// Callers that ask one request after the other, and the pause of each between two.
@@ -216,8 +217,8 @@
     is_rolled_back(Fault::Late(Duration::from_millis(250)));
 }
 
-// Operators read "running" for ever of a version that was found bad while the store was away: it got nothing any more, but the
-// write of the verdict had failed, and the thread that takes roll-outs further ended as nothing was open.
+// Operators read "running" for ever of a version that was found bad while the store was away: it got nothing any more,
+// but the write of the verdict had failed, and the thread that takes roll-outs further ended as nothing was open.
 #[test]
 fn a_version_that_turns_bad_while_the_store_is_away_gets_nothing_and_operators_learn_of_it() {
     let mut versions = start(3);
@@ -287,8 +288,8 @@
     assert!(load.stop().iter().all(|&status| status == 200));
 }
 
-// An order was overwritten by something that was not understood. Who followed the changes passed it over; an instance that
-// started read the table whole, found no order there, and told the others of it: the roll-out was withdrawn.
+// An order was overwritten by something that was not understood. Who followed the changes passed it over; an instance
+// that started read the table whole, found no order there, and told the others of it: the roll-out was withdrawn.
 #[test]
 fn an_order_goes_on_where_something_is_written_over_it_that_is_not_understood() {
     let (now, service) = (Instant::now(), ServiceName::from_str("app").expect("a name"));
