--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -1,5 +1,5 @@
-//! Takes roll-outs further, on the instance that all others turn to: holds their records in the store, and does what
-//! `routing::rollout` says is next.
+//! Controller of roll-outs, which runs on the aggregator: holds their records in the store and advances them by the
+//! rules in `routing::rollout`.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -22,52 +22,52 @@
     utils::sync::lock,
 };
 
-/// Pause between two steps of a roll-out: less than that between two reports of an instance.
-const STEP: Duration = Duration::from_millis(200);
+/// Interval between two steps of a roll-out: shorter than the interval between two reports of an instance.
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause of an instance that may have to take over.
-const DEPUTY: Duration = Duration::from_secs(1);
+/// Interval at which another instance checks whether it has to take over.
+const STANDBY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two renewals of a record.
-const RENEW: Duration = Duration::from_millis(1000);
+/// Interval between two renewals of a record's lease.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Smallest change of a share that is told.
+/// Granularity of propagated shares: smaller changes are not propagated.
 const SHARE_STEP: f64 = 0.005;
 
-/// A record that this instance holds.
-struct Held {
+/// A record whose lease this instance holds.
+struct HeldRecord {
     row: RecordRow,
-    /// When the last write that succeeded began: another instance counts from later on.
+    /// When the last successful write began. Other instances count the lease from a later time.
     renewed: Instant,
-    /// The store's clock, in milliseconds, at a moment of the own one.
+    /// The store's clock in milliseconds, with the local time at which it was read.
     clock: (Instant, u64),
     stage_since: Instant,
-    told: Option<RolloutState>,
+    /// Last state that was published.
+    published: Option<RolloutState>,
 }
 
-/// Has roll-outs taken further as long as there are any; without one, an instance has no thread for them.
+/// Spawns the controller's thread if a roll-out is unfinished. An instance without one has no such thread.
 pub fn spawn_if_needed(gateway: &Arc<Gateway>) {
     let rollouts = &gateway.rollouts;
     if !rollouts.has_unfinished() || rollouts.is_controller_running.swap(true, Ordering::Relaxed) {
         return;
     }
-    let keeping = Arc::clone(gateway);
-    let spawned = thread::Builder::new().name("rollouts".to_owned()).spawn(move || run(&keeping));
+    let shared = Arc::clone(gateway);
+    let spawned = thread::Builder::new().name("rollouts".to_owned()).spawn(move || run(&shared));
     if let Err(fault) = spawned {
         rollouts.is_controller_running.store(false, Ordering::Relaxed);
         log::error!("event=rollouts_not_kept reason={:?}", fault.to_string());
     }
 }
 
-/// Takes roll-outs further until all have come to their end.
+/// Advances roll-outs until all are complete.
 fn run(gateway: &Arc<Gateway>) {
-    let mut held: IndexMap<ServiceName, Held> = IndexMap::new();
+    let mut held: IndexMap<ServiceName, HeldRecord> = IndexMap::new();
     while gateway.rollouts.has_unfinished() || !held.is_empty() {
-        let is_turn_yet = is_controller(gateway, gateway.clock.now());
-        gateway.rollouts.wakeup.wait(if is_turn_yet { STEP } else { DEPUTY });
+        let was_controller = is_controller(gateway, gateway.clock.now());
+        gateway.rollouts.wakeup.wait(if was_controller { STEP_INTERVAL } else { STANDBY_INTERVAL });
         let now = gateway.clock.now();
-        let is_controller = is_controller(gateway, now);
-        if !is_controller {
+        if !is_controller(gateway, now) {
             held.clear();
             continue;
         }
@@ -81,15 +81,15 @@
     gateway.rollouts.is_controller_running.store(false, Ordering::Relaxed);
 }
 
-/// Returns whether this is the instance that takes roll-outs further.
+/// Returns whether this instance is the controller.
 fn is_controller(gateway: &Gateway, now: Instant) -> bool {
-    let is_first = lock(&gateway.peers.candidates).first(now).is_none();
-    is_first && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
+    let is_aggregator = lock(&gateway.peers.candidates).first(now).is_none();
+    is_aggregator && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
 }
 
 fn advance_service(
     gateway: &Gateway,
-    held: &mut IndexMap<ServiceName, Held>,
+    held: &mut IndexMap<ServiceName, HeldRecord>,
     service: &ServiceName,
     order: &RolloutOrder,
 ) {
@@ -108,11 +108,11 @@
     }
 }
 
-/// Takes the record of a service, unless another instance holds it or nothing is left to do.
-fn claim(gateway: &Gateway, service: &ServiceName, order: &RolloutOrder) -> Option<Held> {
+/// Acquires the lease of a service's record, unless another instance holds it or the roll-out is complete.
+fn claim(gateway: &Gateway, service: &ServiceName, order: &RolloutOrder) -> Option<HeldRecord> {
     let (state, term) = {
         let states = lock(&gateway.rollouts.states);
-        (states.of(service, &order.to).cloned(), states.term(service))
+        (states.state(service, &order.to).cloned(), states.term(service))
     };
     let began = gateway.clock.now();
     let (rows, now_ms) = match perform(gateway, &RolloutTableRequest::Read) {
@@ -134,7 +134,7 @@
         Some(same) => RolloutRecord { holder: own.clone(), ..same.clone() },
         None => RolloutRecord::first(order.clone(), own.clone(), now_ms, former),
     };
-    // What all instances know to be decided stays so, also where the store has come back from a copy.
+    // A decision that has been propagated stays, even if the store was restored from an older copy.
     if let Some(decided) = state.map(|state| state.stage).filter(|stage| stage.is_final()) {
         record.stage = record.stage.max(decided);
     }
@@ -148,7 +148,7 @@
     record.renewed_ms = now_ms;
     let row = RecordRow { service: service.clone(), version: expected, record };
     let clock = (gateway.clock.now(), now_ms);
-    let mut held = Held { row, renewed: began, clock, stage_since: began, told: None };
+    let mut held = HeldRecord { row, renewed: began, clock, stage_since: began, published: None };
     if !write(gateway, &mut held) {
         return None;
     }
@@ -161,8 +161,8 @@
     Some(held)
 }
 
-/// Writes the record; returns whether this instance still holds it.
-fn write(gateway: &Gateway, held: &mut Held) -> bool {
+/// Writes the record; returns whether this instance still holds its lease.
+fn write(gateway: &Gateway, held: &mut HeldRecord) -> bool {
     let began = gateway.clock.now();
     let (at, ms) = held.clock;
     let since = began.saturating_duration_since(at).as_millis();
@@ -174,25 +174,26 @@
             true
         }
         reply => {
-            // Whether it was written is read again.
+            // The next claim reads whether the record was written.
             log::info!("event=rollout_not_written service={} reason={reply:?}", held.row.service);
             false
         }
     }
 }
 
-/// Takes a roll-out one step further; returns whether the record is still held.
-fn step(gateway: &Gateway, held: &mut Held, order: &RolloutOrder) -> bool {
+/// Advances a roll-out by one step; returns whether the record is still held.
+fn step(gateway: &Gateway, held: &mut HeldRecord, order: &RolloutOrder) -> bool {
     let now = gateway.clock.now();
     let (exposure_limit, exchange) = (gateway.settings.bounds.rollouts, gateway.peers.period());
-    let course = StagePolicy { order, exposure_limit, exchange };
+    let policy = StagePolicy { order, exposure_limit, exchange };
     let progress = progress(gateway, now, held);
     let service = held.row.service.clone();
-    let decided = lock(&gateway.rollouts.states).of(&service, &order.to).map(|known| known.stage);
+    let decided =
+        lock(&gateway.rollouts.states).state(&service, &order.to).map(|known| known.stage);
     let stage = held.row.record.stage;
     let next = match decided.filter(|decided| decided.is_final()) {
         Some(decided) => stage.max(decided),
-        None => course.stage(stage, &progress),
+        None => policy.stage(stage, &progress),
     };
     if next == Stage::RolledBack && decided != Some(next) {
         log::warn!(
@@ -203,14 +204,14 @@
             progress.regression_score,
             progress.total_regression_score
         );
-        // Known to all before it is written: nothing more reaches the version meanwhile.
+        // Propagated before it is written, so that the version gets no more requests in the meantime.
         publish(gateway, state(held, next, 0.0, 0));
     }
-    let is_due = now.saturating_duration_since(held.renewed) >= RENEW;
+    let is_due = now.saturating_duration_since(held.renewed) >= RENEW_INTERVAL;
     if next != stage || is_due {
         held.row.record.stage = next;
         if next == Stage::Succeeded {
-            // Their servers stop as soon as operators read of it, and are listed for a while yet.
+            // Servers of other versions stop as soon as operators read the status, and stay listed for a while.
             held.row.record.barred.extend(other_versions(gateway, &service, &order.to));
         }
         if !write(gateway, held) {
@@ -227,8 +228,8 @@
         );
         return false;
     }
-    let share = (course.share(next, &progress) / SHARE_STEP).round() * SHARE_STEP;
-    let servers = course.servers(share, &progress);
+    let share = (policy.share(next, &progress) / SHARE_STEP).round() * SHARE_STEP;
+    let servers = policy.servers(share, &progress);
     let is_fresh = gateway.clock.now().saturating_duration_since(held.renewed) < ROLLOUT_LEASE;
     if is_fresh {
         publish(gateway, state(held, next, share, servers));
@@ -236,7 +237,7 @@
     true
 }
 
-/// Returns the versions beside `to` of the servers that are listed.
+/// Returns the versions other than `to` of the listed servers.
 fn other_versions(
     gateway: &Gateway,
     service: &ServiceName,
@@ -251,8 +252,8 @@
     })
 }
 
-/// Returns the state to be told, of a further step where it is another one than before.
-fn state(held: &mut Held, stage: Stage, share: f64, servers: usize) -> RolloutState {
+/// Returns the state to publish. Its step grows if it differs from the state that was published last.
+fn state(held: &mut HeldRecord, stage: Stage, share: f64, servers: usize) -> RolloutState {
     let record = &held.row.record;
     let mut state = RolloutState {
         service: held.row.service.clone(),
@@ -265,13 +266,13 @@
         barred: record.barred.clone(),
         is_written: record.stage == stage,
     };
-    if let Some(told) = &held.told {
-        state.step = told.step;
-        if state != *told {
+    if let Some(published) = &held.published {
+        state.step = published.step;
+        if state != *published {
             state.step += 1;
         }
     }
-    held.told = Some(state.clone());
+    held.published = Some(state.clone());
     state
 }
 
@@ -279,7 +280,7 @@
     gateway.rollouts.apply_updates(gateway, &[RolloutUpdate { state, age_ms: 0 }], "own");
 }
 
-fn progress(gateway: &Gateway, now: Instant, held: &Held) -> RolloutProgress {
+fn progress(gateway: &Gateway, now: Instant, held: &HeldRecord) -> RolloutProgress {
     let record = &held.row.record;
     let (at, ms) = held.clock;
     let before = Duration::from_millis(ms.saturating_sub(record.first_seen_ms));
@@ -298,14 +299,15 @@
         servers_old,
         ..RolloutProgress::default()
     };
-    if let Some(judge) = lock(&gateway.rollouts.evaluations).get(&held.row.service)
-        && judge.to() == to
+    if let Some(evaluation) = lock(&gateway.rollouts.evaluations).get(&held.row.service)
+        && evaluation.to() == to
     {
-        (progress.sent, progress.sent_new) = judge.sent();
-        progress.responses_new = judge.responses_new();
-        progress.in_flight_old = judge.in_flight_old(now);
-        progress.total_regression_score = judge.total_regression_score();
-        (progress.regression_score, progress.is_bad) = (judge.regression_score(), judge.is_bad());
+        (progress.sent, progress.sent_new) = evaluation.sent();
+        progress.responses_new = evaluation.responses_new();
+        progress.in_flight_old = evaluation.in_flight_old(now);
+        progress.total_regression_score = evaluation.total_regression_score();
+        (progress.regression_score, progress.is_bad) =
+            (evaluation.regression_score(), evaluation.is_bad());
     }
     progress
 }
--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -1,5 +1,5 @@
-//! The store's table of roll-outs: read and written by the instance that takes them further, or for it by another one
-//! where the store turns it away.
+//! The store's table of roll-outs. The controller reads and writes it, or another instance does so on its behalf while
+//! the store rejects the controller.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     routing::RolloutRecord,
 };
 
-/// Path of the question.
+/// Path of the request to another instance.
 pub const ROLLOUT_PATH: &str = "/rollouts";
 
 /// A record with the version that its row has.
@@ -29,35 +29,35 @@
     pub record: RolloutRecord,
 }
 
-/// What is wanted of the table.
+/// Operation on the table.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RolloutTableRequest {
-    /// All records.
+    /// Reads all records.
     Read,
-    /// That a record is written, with what operators read of it, if its row has the version that it had when it was
-    /// read; 0 for none.
+    /// Writes a record, with the status that operators read, if its row still has the version at which it was read; 0
+    /// if there was no row.
     Write(RecordRow),
 }
 
-/// What has come of it.
+/// Result of the operation.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RolloutTableReply {
-    /// The records.
+    /// The records were read.
     Read {
         /// Records by service.
         rows: Vec<RecordRow>,
         /// The store's clock, in milliseconds.
         now_ms: u64,
     },
-    /// It is written, and its row has this version.
+    /// The record was written, and its row has this version.
     Written(u64),
-    /// Another instance has written the record meanwhile.
+    /// Another instance has written the record in the meantime.
     Conflict,
-    /// The store could not be asked, or its reply was lost.
+    /// The store could not be reached, or its reply was lost.
     Failed(String),
 }
 
-/// Does what is wanted, by another instance where the store turns this one away.
+/// Performs an operation, through another instance if the store rejects this one.
 pub fn perform(gateway: &Gateway, request: &RolloutTableRequest) -> RolloutTableReply {
     match perform_here(gateway, request) {
         Err(fault @ StoreFault::NotDone(_)) => {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Does what another instance wants.
+/// Performs an operation on behalf of another instance.
 pub fn perform_for_another(gateway: &Gateway, request: &RolloutTableRequest) -> RolloutTableReply {
     let reply = perform_here(gateway, request);
     reply.unwrap_or_else(|fault| RolloutTableReply::Failed(fault.to_string()))
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of roll-outs: operators' orders, how far each has come, and how both versions answer.
+//! State of this instance about roll-outs: operators' orders, the stage of each, and the responses of both versions.
 
 use std::{
     sync::{
@@ -25,17 +25,17 @@
 pub struct Rollouts {
     pub(super) states: Mutex<RolloutStates>,
     evidence: Mutex<IndexMap<ServiceName, RolloutEvidence>>,
-    /// What all instances have told, where they turn to this one.
+    /// Evaluations from the reports of all instances, if this one is the aggregator.
     pub(super) evaluations: Mutex<IndexMap<ServiceName, VersionEvaluation>>,
-    /// Is set when there is something new to do for the instance that takes roll-outs further.
+    /// Wakes the controller before its next interval.
     pub(super) wakeup: Signal,
-    is_noting: AtomicBool,
-    /// Whether a thread takes roll-outs further.
+    is_recording: AtomicBool,
+    /// Whether the thread of the controller runs.
     pub(super) is_controller_running: AtomicBool,
 }
 
 impl Rollouts {
-    /// Takes the orders in force; returns whether they are others than before.
+    /// Replaces the active orders; returns whether they have changed.
     pub fn set_orders(
         &self,
         gateway: &Gateway,
@@ -48,72 +48,72 @@
             let to = &order.to;
             log::warn!("event=rollout_ordered service={service} to={to}");
         }
-        self.begin_evidence(orders);
-        self.put_in_force(gateway);
+        self.start_evidence(orders);
+        self.apply_splits(gateway);
         self.wakeup.set();
         true
     }
 
-    /// Begins to note how versions answer that are ordered and not decided, and forgets what was noted of others.
-    fn begin_evidence(&self, orders: &IndexMap<ServiceName, RolloutOrder>) {
+    /// Starts to record responses of versions that are ordered and undecided, and discards the evidence on others.
+    fn start_evidence(&self, orders: &IndexMap<ServiceName, RolloutOrder>) {
         let states = lock(&self.states);
         let is_open = |(service, order): &(&ServiceName, &RolloutOrder)| {
-            !states.of(service, &order.to).is_some_and(|known| known.stage.is_final())
+            !states.state(service, &order.to).is_some_and(|known| known.stage.is_final())
         };
         let mut evidence = lock(&self.evidence);
         evidence.retain(|service, of| orders.get(service).is_some_and(|o| o.to == *of.to()));
         for (service, order) in orders.iter().filter(is_open) {
-            let begin = || RolloutEvidence::new(order.to.clone());
-            evidence.entry(service.clone()).or_insert_with(begin);
+            let new = || RolloutEvidence::new(order.to.clone());
+            evidence.entry(service.clone()).or_insert_with(new);
         }
-        self.is_noting.store(!evidence.is_empty(), Ordering::Relaxed);
+        self.is_recording.store(!evidence.is_empty(), Ordering::Relaxed);
     }
 
-    /// Ends the evidence on a version that is decided.
-    fn end_evidence(&self, service: &ServiceName, to: &SoftwareVersion) {
+    /// Discards the evidence on a version that is decided.
+    fn discard_evidence(&self, service: &ServiceName, to: &SoftwareVersion) {
         let mut evidence = lock(&self.evidence);
         if evidence.get(service).is_some_and(|of| of.to() == to) {
             evidence.swap_remove(service);
         }
-        self.is_noting.store(!evidence.is_empty(), Ordering::Relaxed);
+        self.is_recording.store(!evidence.is_empty(), Ordering::Relaxed);
     }
 
-    /// Takes what another instance tells of roll-outs, or this one has decided.
-    pub fn apply_updates(&self, gateway: &Gateway, told: &[RolloutUpdate], source: &str) {
-        if told.is_empty() {
+    /// Applies states of roll-outs that were received or decided here.
+    pub fn apply_updates(&self, gateway: &Gateway, updates: &[RolloutUpdate], source: &str) {
+        if updates.is_empty() {
             return;
         }
         let now = gateway.clock.now();
-        for told in told {
-            let news = lock(&self.states).take(now, told);
-            let RolloutState { service, to, term, .. } = &told.state;
-            if let Some(stage) = news {
+        for update in updates {
+            let changed = lock(&self.states).merge(now, update);
+            let RolloutState { service, to, term, .. } = &update.state;
+            if let Some(stage) = changed {
                 log::warn!(
                     "event=rollout_stage service={service} to={to} stage={stage:?} term={term} source={source}"
                 );
             }
-            if news.is_some_and(Stage::is_final) {
-                self.end_evidence(service, to);
+            if changed.is_some_and(Stage::is_final) {
+                self.discard_evidence(service, to);
             }
         }
-        self.put_in_force(gateway);
+        self.apply_splits(gateway);
     }
 
-    /// Returns whether a roll-out has not come to its end, or operators cannot read yet that it has.
+    /// Returns whether any roll-out is undecided, or its decision is not stored yet for operators to read.
     pub fn has_unfinished(&self) -> bool {
         let states = lock(&self.states);
         let is_open = |(service, order): (&ServiceName, &RolloutOrder)| {
-            !states.of(service, &order.to).is_some_and(RolloutState::is_done)
+            !states.state(service, &order.to).is_some_and(RolloutState::is_done)
         };
         states.orders().iter().any(is_open)
     }
 
-    fn put_in_force(&self, gateway: &Gateway) {
+    fn apply_splits(&self, gateway: &Gateway) {
         let version_splits = lock(&self.states).version_splits();
         lock(&gateway.picker).set_version_splits(version_splits);
     }
 
-    /// Returns what other instances are told of roll-outs.
+    /// Returns the states of roll-outs to propagate to other instances.
     pub fn updates(&self, now: Instant) -> Vec<RolloutUpdate> {
         lock(&self.states).updates(now)
     }
@@ -123,16 +123,21 @@
         self.note(server, |evidence| evidence.note_sent(server.version.as_ref()));
     }
 
-    /// Notes what became of a request on a route at a server.
-    pub fn note_response(&self, route: &str, server: &BackendServer, seen: ResponseObservation) {
+    /// Notes the result of a request on a route at a server.
+    pub fn note_response(
+        &self,
+        route: &str,
+        server: &BackendServer,
+        observation: ResponseObservation,
+    ) {
         let version = server.version.as_ref();
         self.note(server, |evidence| {
-            evidence.note_response(Tag::of(route), server.tag(), version, seen);
+            evidence.note_response(Tag::of(route), server.tag(), version, observation);
         });
     }
 
     fn note(&self, server: &BackendServer, note: impl FnOnce(&mut RolloutEvidence)) {
-        if !self.is_noting.load(Ordering::Relaxed) {
+        if !self.is_recording.load(Ordering::Relaxed) {
             return;
         }
         if let Some(evidence) = lock(&self.evidence).get_mut(&server.service) {
@@ -140,9 +145,9 @@
         }
     }
 
-    /// Returns what this instance has seen of roll-outs that are under way.
+    /// Returns the evidence of this instance on undecided roll-outs.
     pub fn reports(&self, gateway: &Gateway) -> Vec<RolloutReport> {
-        if !self.is_noting.load(Ordering::Relaxed) {
+        if !self.is_recording.load(Ordering::Relaxed) {
             return Vec::new();
         }
         let picker = lock(&gateway.picker);
@@ -153,8 +158,8 @@
         evidence.iter().map(report).collect()
     }
 
-    /// Takes what an instance has seen; a version that is found bad gets nothing from then on, whoever holds its record
-    /// in the store and whether that can be reached or not.
+    /// Applies the evidence of an instance. A version that is found bad gets no requests from then on, whichever
+    /// instance holds its record in the store and whether or not the store can be reached.
     pub fn apply_reports(
         &self,
         gateway: &Gateway,
@@ -174,18 +179,18 @@
             }
             let mut evaluations = lock(&self.evaluations);
             let to = report.to.clone();
-            let judge = evaluations
+            let evaluation = evaluations
                 .entry(service.clone())
                 .or_insert_with(|| VersionEvaluation::new(to.clone()));
-            if *judge.to() != to {
-                *judge = VersionEvaluation::new(to.clone());
+            if *evaluation.to() != to {
+                *evaluation = VersionEvaluation::new(to.clone());
             }
-            judge.set_domains(domains(gateway, &service, &to));
-            judge.add_report(now, node, run, report);
-            if !judge.is_bad() {
+            evaluation.set_domains(domains(gateway, &service, &to));
+            evaluation.add_report(now, node, run, report);
+            if !evaluation.is_bad() {
                 continue;
             }
-            let regression_score = judge.regression_score();
+            let regression_score = evaluation.regression_score();
             drop(evaluations);
             self.roll_back(gateway, &service, &to, regression_score);
         }
@@ -200,7 +205,7 @@
     ) {
         let state = {
             let states = lock(&self.states);
-            let known = states.of(service, to).filter(|known| !known.stage.is_final());
+            let known = states.state(service, to).filter(|known| !known.stage.is_final());
             let Some(known) = known else { return };
             RolloutState {
                 stage: Stage::RolledBack,
@@ -216,7 +221,7 @@
     }
 }
 
-/// Returns how the listed servers of a version are grouped.
+/// Returns the failure domains of the listed servers of a version.
 fn domains(gateway: &Gateway, service: &ServiceName, to: &SoftwareVersion) -> FailureDomains {
     gateway.knowledge.with_servers(|roster| {
         let servers = roster.servers().filter(|s| s.service == *service);
--- a/src/routing/rollout/evidence.rs
+++ b/src/routing/rollout/evidence.rs
@@ -26,7 +26,7 @@
 /// Result of a request at a backend server, as evidence for or against the server's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseObservation {
-    /// The response took, or was awaited for, this time: until the head of a plain response, or between pieces of a
+    /// A response, or the wait for one, took this long: until the head of a plain response, or between pieces of a
     /// stream.
     Took(Duration),
     /// The response was successful, and its time is no evidence.
--- a/src/routing/rollout/mod.rs
+++ b/src/routing/rollout/mod.rs
@@ -1,13 +1,13 @@
-//! Roll-outs: operators have the requests of a service moved to backend servers of another version of its software,
-//! which run beside the old ones until one of the two has to go.
+//! Roll-outs: on an operator's order, the requests of a service move to backend servers of another version of its
+//! software, which run beside the old ones until one of the two versions stops.
 //!
-//! Answers the load of a version that is worse than the one before: at once, some seconds later, only under load, or
-//! only on one route. Its servers get few requests until enough answers speak for them.
+//! A new version may be worse than the one before at once, some seconds later, only under load, or only on one route.
+//! Its servers get few requests until enough responses prove the version.
 //!
-//! `order` is what operators want. Each instance notes how both versions answer (`evidence`) and tells the one that
-//! collects reports, which judges (`evaluation`) and takes the roll-out through its stages (`stage_policy`), under a
-//! lease in the store (`record`). What it has decided travels to all instances (`state`), and `version_split` says
-//! which servers a request may go to.
+//! `order` is the operator's order. Each instance records the responses of both versions (`evidence`) and reports them
+//! to the aggregator, which is also the roll-out controller: it evaluates the version (`evaluation`) and advances the
+//! roll-out from stage to stage (`stage_policy`), under a lease in the store (`record`). Its decisions are propagated
+//! to all instances (`state`), and `version_split` determines which servers a request may be sent to.
 
 mod evaluation;
 mod evidence;
--- a/src/routing/rollout/order.rs
+++ b/src/routing/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What operators want of a roll-out.
+//! An operator's order for a roll-out.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use crate::names::SoftwareVersion;
 
-/// That a service's requests are to be moved to backend servers of another version.
+/// Order to move a service's requests to backend servers of another version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The version.
+    /// The new version.
     pub to: SoftwareVersion,
     /// Time from the order within which the version has taken over or is rolled back.
     pub time_limit: Duration,
--- a/src/routing/rollout/record.rs
+++ b/src/routing/rollout/record.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of a roll-out, so that it outlives all instances and one at a time takes it further.
+//! State of a roll-out in the store. It outlives all instances, and its lease lets one instance at a time advance it.
 
 use std::time::Duration;
 
@@ -7,38 +7,38 @@
 use super::{RolloutOrder, Stage};
 use crate::names::{NodeName, SoftwareVersion};
 
-/// How long the instance that takes a roll-out further holds it after it has last said so in the store; another one may
-/// take it over then. Three renewals, so that one that is lost changes nothing.
+/// How long a controller holds a roll-out after its last renewal in the store. Another instance may take it over after
+/// that. The lease spans three renewals, so that a lost one has no effect.
 pub const ROLLOUT_LEASE: Duration = Duration::from_millis(3000);
 
-/// A roll-out as the store keeps it, in a row of its service.
+/// A roll-out as stored in the row of its service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// The order.
     pub order: RolloutOrder,
-    /// When it was first seen, by the store's clock in milliseconds.
+    /// When the order was first seen, by the store's clock in milliseconds.
     pub first_seen_ms: u64,
-    /// How far it has come.
+    /// The stage that it has reached.
     pub stage: Stage,
-    /// Fencing number: grows with each instance that takes it over.
+    /// Fencing number, which grows with each takeover.
     pub term: u64,
-    /// The instance that holds it.
+    /// The instance that holds the lease.
     pub holder: NodeName,
-    /// When that one last said so, by the store's clock in milliseconds.
+    /// When the holder last renewed the lease, by the store's clock in milliseconds.
     pub renewed_ms: u64,
-    /// Versions of the service that get nothing: rolled back, replaced, or never proven.
+    /// Versions of the service that get no requests: rolled back, replaced, or never proven.
     pub barred: Vec<SoftwareVersion>,
 }
 
 impl RolloutRecord {
-    /// Returns whether another instance than `node` holds it at `now_ms` of the store's clock, which may go back when
-    /// the store does.
+    /// Returns whether another instance than `node` holds the lease at `now_ms` of the store's clock. The clock goes
+    /// back if the store is restored from a copy.
     pub fn is_held_by_another(&self, node: &NodeName, now_ms: u64) -> bool {
         let age = Duration::from_millis(now_ms.saturating_sub(self.renewed_ms));
         self.holder != *node && self.renewed_ms <= now_ms && age < ROLLOUT_LEASE
     }
 
-    /// Returns the record of a new order, which `holder` takes up, after the record of the one before.
+    /// Returns the record of a new order with the lease held by `holder`, given the record of the order before.
     pub fn first(
         order: RolloutOrder,
         holder: NodeName,
--- a/src/routing/rollout/state.rs
+++ b/src/routing/rollout/state.rs
@@ -1,4 +1,4 @@
-//! What instances believe of roll-outs, and tell each other.
+//! State of roll-outs at an instance, and its propagation between instances.
 
 use std::time::{Duration, Instant};
 
@@ -8,81 +8,82 @@
 use super::{RolloutOrder, RolloutRecord, VersionSplit};
 use crate::names::{ServiceName, SoftwareVersion};
 
-/// How long the share of a trial holds after the instance that takes it further has said so: three exchanges. If that
-/// one is lost, a version that is not proven gets nothing.
-const TRIAL_LIFE: Duration = Duration::from_millis(2500);
+/// How long the share of a trial is valid after the controller's last update: three exchanges. If the controller is
+/// lost, a version that is not proven gets no requests after that.
+const TRIAL_SHARE_TTL: Duration = Duration::from_millis(2500);
 
-/// How far a roll-out has come; later ones outdo earlier ones, whoever tells them.
+/// Stage of a roll-out. Later stages supersede earlier ones, whichever instance reports them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// The version gets few requests.
+    /// The new version gets few requests.
     Trial,
-    /// Requests move to it.
+    /// Requests move to the new version.
     Moving,
-    /// It gets nothing any more.
+    /// The new version gets no requests any more.
     RolledBack,
-    /// It has taken over, and the others stop. Is told once the store has it: then it cannot be undone.
+    /// The new version has taken over, and the others stop. Propagated once it is stored, after which it cannot be
+    /// undone.
     Succeeded,
 }
 
-/// A roll-out at one moment.
+/// State of a roll-out at one time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutState {
     /// The service.
     pub service: ServiceName,
-    /// The version.
+    /// The new version.
     pub to: SoftwareVersion,
-    /// How far it has come.
+    /// The stage that it has reached.
     pub stage: Stage,
-    /// Fencing number of the instance that says so.
+    /// Fencing number of the controller that decided it.
     pub term: u64,
-    /// Grows with each change that this instance makes.
+    /// Number that grows with each change by this controller.
     pub step: u32,
-    /// Share of the service's requests that go to the version.
+    /// Share of the service's requests that goes to the new version.
     pub share: f64,
-    /// Servers of the version that are used.
+    /// Number of servers of the new version that are used.
     pub servers: usize,
-    /// Versions that get nothing.
+    /// Versions that get no requests.
     pub barred: Vec<SoftwareVersion>,
-    /// Whether the store has the stage, from where operators read it.
+    /// Whether the stage is stored, so that operators can read it.
     #[serde(default)]
     pub is_written: bool,
 }
 
-/// A state as instances tell it.
+/// A state as it is propagated between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutUpdate {
     /// The state.
     pub state: RolloutState,
-    /// Milliseconds since the instance that takes the roll-out further said so.
+    /// Milliseconds since the controller sent it.
     pub age_ms: u64,
 }
 
 #[derive(Debug)]
 struct Known {
     state: RolloutState,
-    /// When the instance that takes the roll-out further said so.
+    /// When the controller sent the state.
     as_of: Instant,
 }
 
-/// What an instance knows of roll-outs.
+/// Orders and states of roll-outs, as an instance knows them.
 #[derive(Debug, Default)]
 pub struct RolloutStates {
     orders: IndexMap<ServiceName, RolloutOrder>,
     known: IndexMap<ServiceName, Known>,
-    /// Versions whose order was taken back or replaced before they were proven.
+    /// Versions whose order was withdrawn or replaced before they were proven.
     unproven: IndexMap<ServiceName, IndexSet<SoftwareVersion>>,
 }
 
 impl Stage {
-    /// Returns whether nothing follows.
+    /// Returns whether no other stage follows.
     pub fn is_final(self) -> bool {
         self >= Stage::RolledBack
     }
 }
 
 impl RolloutState {
-    /// Returns what the store's record of a service says, before anything is known of requests.
+    /// Returns the state in a stored record, before any requests have been counted.
     pub fn of(service: &ServiceName, record: &RolloutRecord) -> RolloutState {
         RolloutState {
             service: service.clone(),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Returns whether nothing is left to do.
+    /// Returns whether the roll-out is complete and stored.
     pub fn is_done(&self) -> bool {
         self.stage.is_final() && self.is_written
     }
@@ -106,8 +107,8 @@
         self.stage == Stage::Succeeded
     }
 
-    /// Returns whether this is to be believed rather than `known`.
-    fn outdoes(&self, known: &RolloutState) -> bool {
+    /// Returns whether this state replaces `known`.
+    fn supersedes(&self, known: &RolloutState) -> bool {
         if self.to != known.to {
             return self.term > known.term;
         }
@@ -120,13 +121,14 @@
 }
 
 impl RolloutStates {
-    /// Takes what operators want; returns whether that is news.
+    /// Replaces the orders; returns whether they have changed.
     pub fn set_orders(&mut self, orders: &IndexMap<ServiceName, RolloutOrder>) -> bool {
         if self.orders == *orders {
             return false;
         }
         for (service, former) in std::mem::replace(&mut self.orders, orders.clone()) {
-            let is_proven = self.of(&service, &former.to).is_some_and(RolloutState::has_succeeded);
+            let is_proven =
+                self.state(&service, &former.to).is_some_and(RolloutState::has_succeeded);
             if !is_proven {
                 self.unproven.entry(service).or_default().insert(former.to);
             }
@@ -139,61 +141,61 @@
         true
     }
 
-    /// Returns the versions of a service whose order was taken back or replaced before they were proven.
+    /// Returns the versions of a service whose order was withdrawn or replaced before they were proven.
     pub fn unproven(&self, service: &ServiceName) -> impl Iterator<Item = &SoftwareVersion> {
         self.unproven.get(service).into_iter().flatten()
     }
 
-    /// Returns what operators want.
+    /// Returns the current orders.
     pub fn orders(&self) -> &IndexMap<ServiceName, RolloutOrder> {
         &self.orders
     }
 
-    /// Takes what another instance tells, or this one has decided; returns the stage if that is another one.
-    pub fn take(&mut self, now: Instant, told: &RolloutUpdate) -> Option<Stage> {
-        let as_of = now.checked_sub(Duration::from_millis(told.age_ms)).unwrap_or(now);
-        let state = &told.state;
+    /// Merges a state that was received or decided here; returns its stage if stage or version have changed.
+    pub fn merge(&mut self, now: Instant, update: &RolloutUpdate) -> Option<Stage> {
+        let as_of = now.checked_sub(Duration::from_millis(update.age_ms)).unwrap_or(now);
+        let state = &update.state;
         let before = self.known.get(&state.service);
-        if before.is_some_and(|known| !state.outdoes(&known.state)) {
+        if before.is_some_and(|known| !state.supersedes(&known.state)) {
             return None;
         }
         let stage = |known: &Known| (known.state.stage, known.state.to.clone());
-        let is_news = before.map(stage) != Some((state.stage, state.to.clone()));
+        let is_changed = before.map(stage) != Some((state.stage, state.to.clone()));
         let same = before.filter(|known| known.state == *state);
         let as_of = same.map_or(as_of, |known| known.as_of.max(as_of));
         let known = Known { state: state.clone(), as_of };
         self.known.insert(state.service.clone(), known);
-        is_news.then_some(state.stage)
+        is_changed.then_some(state.stage)
     }
 
-    /// Returns what is known of a service's roll-out to a version.
-    pub fn of(&self, service: &ServiceName, to: &SoftwareVersion) -> Option<&RolloutState> {
+    /// Returns the state of a service's roll-out to a version.
+    pub fn state(&self, service: &ServiceName, to: &SoftwareVersion) -> Option<&RolloutState> {
         self.known.get(service).map(|known| &known.state).filter(|state| state.to == *to)
     }
 
-    /// Returns the highest fencing number that is known of a service.
+    /// Returns the highest known fencing number of a service.
     pub fn term(&self, service: &ServiceName) -> u64 {
         self.known.get(service).map_or(0, |known| known.state.term)
     }
 
-    /// Returns what other instances are told.
+    /// Returns the states to propagate to other instances.
     pub fn updates(&self, now: Instant) -> Vec<RolloutUpdate> {
         let age = |known: &Known| now.saturating_duration_since(known.as_of).as_millis();
-        let told = |known: &Known| RolloutUpdate {
+        let update = |known: &Known| RolloutUpdate {
             state: known.state.clone(),
             age_ms: u64::try_from(age(known)).unwrap_or(u64::MAX),
         };
-        self.known.values().map(told).collect()
+        self.known.values().map(update).collect()
     }
 
-    /// Returns which servers requests may go to, for each service with a roll-out.
+    /// Returns the split of requests between versions, for each service with an order or a known state.
     pub fn version_splits(&self) -> Vec<VersionSplit> {
         let services = self.orders.keys().chain(self.known.keys());
         let services: IndexSet<&ServiceName> = services.collect();
-        services.into_iter().map(|service| self.split(service)).collect()
+        services.into_iter().map(|service| self.version_split(service)).collect()
     }
 
-    fn split(&self, service: &ServiceName) -> VersionSplit {
+    fn version_split(&self, service: &ServiceName) -> VersionSplit {
         let order = self.orders.get(service);
         let known = self.known.get(service);
         let mut barred = known.map_or_else(Vec::new, |known| known.state.barred.clone());
@@ -202,7 +204,7 @@
         if let Some(former) = known.filter(|_| current.is_none())
             && !former.state.has_succeeded()
         {
-            // As others know it, who have seen its order.
+            // Instances that have seen that version's order bar it as unproven.
             barred.push(former.state.to.clone());
         }
         let mut split = VersionSplit {
@@ -216,7 +218,7 @@
         let Some(Known { state, as_of }) = current else { return split };
         (split.share, split.servers) = (state.share, state.servers);
         match state.stage {
-            Stage::Trial => split.until = Some(*as_of + TRIAL_LIFE),
+            Stage::Trial => split.until = Some(*as_of + TRIAL_SHARE_TTL),
             Stage::Moving => {}
             Stage::RolledBack => {
                 split.barred.push(state.to.clone());
--- a/tests/suite/rollouts_random.rs
+++ b/tests/suite/rollouts_random.rs
@@ -244,7 +244,7 @@
             let told = former.states.updates(now);
             for instance in self.instances.iter_mut().step_by(3) {
                 for told in &told {
-                    instance.states.take(now, told);
+                    instance.states.merge(now, told);
                 }
             }
             self.frozen = None;
@@ -307,7 +307,7 @@
             servers_new: SERVERS,
             servers_old: SERVERS,
         };
-        let known = decider.states.of(&self.service, &self.to).map(|state| state.stage);
+        let known = decider.states.state(&self.service, &self.to).map(|state| state.stage);
         let next = match known.filter(|stage| stage.is_final()) {
             Some(stage) => stage,
             None => course.stage(decider.stage, &progress),
@@ -328,7 +328,7 @@
             barred: Vec::new(),
             is_written: false,
         };
-        decider.states.take(now, &RolloutUpdate { state, age_ms: 0 });
+        decider.states.merge(now, &RolloutUpdate { state, age_ms: 0 });
     }
 
     fn exchange(&mut self, now: Instant) {
@@ -337,11 +337,11 @@
             instance.reports_at = now + period.mul_f64(0.9 + 0.2 * self.rng.f64());
             let report = instance.evidence.report(&self.service, 0);
             for told in instance.states.updates(now) {
-                self.decider.states.take(now, &told);
+                self.decider.states.merge(now, &told);
             }
             self.decider.judge.add_report(now, &instance.node, RunId(1), report);
             for told in self.decider.states.updates(now) {
-                instance.states.take(now, &told);
+                instance.states.merge(now, &told);
             }
         }
     }
