--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! State of this instance about requests that crash the servers that run them, and what it exchanges about them.
+//! Crash suspects at this instance: requests that may crash the servers that run them, and the reports about them.
 
 use std::{
     io::ErrorKind,
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! State of this instance about roll-outs: operators' orders, the stage of each, and the responses of both versions.
+//! Roll-outs at this instance: operators' orders, the stage of each roll-out, and the responses of both versions.
 
 use std::{
     sync::{
--- a/src/routing/rollout/stage_policy.rs
+++ b/src/routing/rollout/stage_policy.rs
@@ -32,8 +32,8 @@
 /// Time that moving takes: the first step, the update of all instances, and the longest usual requests.
 const MOVING_DURATION: Duration = Duration::from_secs(6);
 
-/// Part of the time limit after which requests in flight at the old version are no longer waited for: they would finish
-/// when the time limit ends.
+/// Part of the time limit after which requests in flight at the old version are no longer waited for, since the
+/// roll-out would otherwise reach its time limit.
 const IN_FLIGHT_WAIT: f64 = 0.88;
 
 /// Share of the requests that moves in the first step, and the minimum duration of that step. All instances receive the
@@ -57,8 +57,8 @@
 const LATE_SCORE_MAX: f64 = 4.0;
 const OUTSIDE_WORST_DOMAIN: f64 = 0.15;
 
-/// The same for a small service, all of whose remaining requests fit in a part of the exposure limit. More responses
-/// cannot be had of it, and the version could not get too many requests if it were bad.
+/// The same for a small service, all of whose remaining requests fit in a part of the exposure limit. Such a
+/// service does not yield more responses, and the version could not get too many requests if it were bad.
 const SMALL_RESPONSES: u64 = 3;
 const SMALL_SCORE_MAX: f64 = 4.0;
 const SMALL_EXPOSURE: f64 = 0.45;
