--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -59,7 +59,7 @@
         let after = candidates.version();
         // One that knows a few only would have them taken for all.
         let tells = after != report.instances && gateway.peers.knows_others(now);
-        (tells.then(|| candidates.since(report.instances)), after != before)
+        (tells.then(|| candidates.update_since(report.instances)), after != before)
     };
     if is_news {
         gateway.instances_changed();
@@ -67,10 +67,15 @@
     if report.asks == Asks::InTurn {
         let began = !gateway.peers.is_read_from(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
-        aggregate.take(now, report.from.node.clone(), report.counts);
-        aggregate.take_silent(now, report.from.node.clone(), report.silent);
+        aggregate.record_counts(now, report.from.node.clone(), report.counts);
+        aggregate.record_unresponsive(now, report.from.node.clone(), report.silent);
         drop(aggregate);
-        lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
+        lock(&gateway.peers.budget).record_report(
+            now,
+            &report.from.node,
+            report.run,
+            report.spending,
+        );
         gateway.crash_suspects.apply_report(now, &report.crash_suspects);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
@@ -144,7 +149,7 @@
 fn summary(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
     let own_counts = lock(&gateway.picker).own_counts();
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take(now, gateway.settings.node.clone(), own_counts);
+    aggregate.record_counts(now, gateway.settings.node.clone(), own_counts);
     gateway
         .knowledge
         .with_servers(|roster| aggregate.summary(now, roster.servers().map(|server| &**server)))
@@ -153,15 +158,15 @@
 fn budget_sums(gateway: &Gateway, now: Instant) -> Vec<BudgetSum> {
     let own = gateway.spending(now);
     let mut budget = lock(&gateway.peers.budget);
-    budget.take(now, &gateway.settings.node, gateway.peers.run, own);
+    budget.record_report(now, &gateway.settings.node, gateway.peers.run, own);
     budget.sums(now)
 }
 
 fn all_silent(gateway: &Gateway, now: Instant) -> Vec<Tag> {
-    let own = lock(&gateway.picker).own_silent(now);
+    let own = lock(&gateway.picker).own_unresponsive(now);
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take_silent(now, gateway.settings.node.clone(), own);
-    aggregate.silent()
+    aggregate.record_unresponsive(now, gateway.settings.node.clone(), own);
+    aggregate.unresponsive()
 }
 
 /// Reads the store for an instance that it turns away.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -61,8 +61,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, Picked, Picker, RetryBudget, Spending, StoreShare,
-        ToldOrders, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, OrdersSnapshot, PickError, PickRequest, Picked, Picker,
+        RetryBudget, RetrySpending, StoreShare,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -160,7 +160,7 @@
         let service = &request.service;
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).request(now, terms);
+        self.budget_of(&mut budgets, service).record_request(now, terms);
         drop(budgets);
         let target = request.route.target_latency;
         lock(&self.picker).note_request(now, service, request.priority, target);
@@ -175,12 +175,12 @@
     pub fn pick(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
-    ) -> Result<(Picked, Flight<'_>), Unpicked> {
+        wanted: &PickRequest<'_>,
+    ) -> Result<(Picked, Flight<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
-        picker.begin(now, &server);
+        picker.start_request(now, &server);
         Ok((picked, Flight { gateway: self, server }))
     }
 
@@ -189,11 +189,11 @@
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).has(now, terms, instances, reserve)
+        self.budget_of(&mut budgets, service).allows(now, terms, instances, reserve)
     }
 
     /// Returns what this instance has spent at each service, for the sums over all.
-    pub fn spending(&self, now: Instant) -> Vec<Spending> {
+    pub fn spending(&self, now: Instant) -> Vec<RetrySpending> {
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
         budgets.iter_mut().map(|(service, budget)| budget.spending(now, terms, service)).collect()
@@ -204,7 +204,7 @@
         let mut budgets = lock(&self.budgets);
         for sum in sums {
             let service = sum.service.clone();
-            self.budget_of(&mut budgets, &service).set_sum(now, sum, fastrand::f64());
+            self.budget_of(&mut budgets, &service).set_fleet_sum(now, sum, fastrand::f64());
         }
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Takes what was read or told of operators' orders.
-    pub fn take_orders(&self, told: ToldOrders, source: &str) {
+    pub fn take_orders(&self, told: OrdersSnapshot, source: &str) {
         if self.knowledge.offer_orders(self.clock.now(), told) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
@@ -262,8 +262,9 @@
         }
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
-            self.knowledge.suspect_cold(now, zone, lasts);
+            let lasts =
+                |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
+            self.knowledge.assume_cold(now, zone, lasts);
             self.servers_changed();
         }
         zones != former || rollouts_changed
@@ -337,7 +338,7 @@
     /// Returns whether a newer intent has been known to exist for longer than changes may take: new callers
     /// are better off with another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let behind = self.knowledge.with_watch(|watch| watch.behind_for(now));
+        let behind = self.knowledge.with_watch(|watch| watch.outdated_for(now));
         behind.is_some_and(|behind| behind > self.settings.bounds.intent_in_force)
     }
 }
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{FleetPosition, InstanceChange, InstanceHistory, InstanceNews};
+use super::{FleetPosition, InstanceChange, InstanceHistory, InstanceListUpdate};
 use crate::names::{NodeName, ZoneName};
 
 /// First pause after an instance did not answer; doubled at each further time.
@@ -47,14 +47,15 @@
     ranked: Vec<InstanceInfo>,
     version: u64,
     history: InstanceHistory,
-    silent: IndexMap<NodeName, (Instant, Duration)>,
+    unresponsive: IndexMap<NodeName, (Instant, Duration)>,
 }
 
 impl Candidates {
     /// Returns the candidates as an instance knows them that knows only itself.
     pub fn new(own: InstanceInfo) -> Candidates {
-        let (history, silent) = (InstanceHistory::default(), IndexMap::new());
-        let mut candidates = Candidates { own, ranked: Vec::new(), version: 0, history, silent };
+        let (history, unresponsive) = (InstanceHistory::default(), IndexMap::new());
+        let mut candidates =
+            Candidates { own, ranked: Vec::new(), version: 0, history, unresponsive };
         candidates.set([]);
         candidates
     }
@@ -78,29 +79,32 @@
         let mut listed: IndexMap<NodeName, InstanceInfo> =
             instances.into_iter().map(|i| (i.node.clone(), i)).collect();
         listed.insert(own, self.own.clone());
-        let gone = |i: &&InstanceInfo| !listed.contains_key(&i.node);
-        let gone: Vec<NodeName> = self.ranked.iter().filter(gone).map(|i| i.node.clone()).collect();
+        let removed = |i: &&InstanceInfo| !listed.contains_key(&i.node);
+        let removed: Vec<NodeName> =
+            self.ranked.iter().filter(removed).map(|i| i.node.clone()).collect();
         let mut put: Vec<InstanceInfo> = listed.into_values().collect();
         let known = self.by_node();
         put.retain(|i| known.get(&i.node) != Some(&i));
-        self.change(put, gone);
+        self.change(put, removed);
     }
 
     /// Takes what another instance tells of the list; returns whether it has changed.
-    pub fn take(&mut self, news: InstanceNews) -> bool {
+    pub fn apply_update(&mut self, news: InstanceListUpdate) -> bool {
         let before = self.version;
         match news {
-            InstanceNews::Whole(all) => self.set(all),
-            InstanceNews::Changes(InstanceChange { put, gone }) => self.change(put, gone),
+            InstanceListUpdate::Whole(all) => self.set(all),
+            InstanceListUpdate::Changes(InstanceChange { put, removed }) => {
+                self.change(put, removed)
+            }
         }
         self.version != before
     }
 
     /// Returns what has changed in the list since it had `version`: all of it where that is too long ago.
-    pub fn since(&self, version: u64) -> InstanceNews {
+    pub fn update_since(&self, version: u64) -> InstanceListUpdate {
         match self.history.since(version) {
-            Some(change) if change.len() < self.ranked.len() => InstanceNews::Changes(change),
-            _ => InstanceNews::Whole(self.ranked.clone()),
+            Some(change) if change.len() < self.ranked.len() => InstanceListUpdate::Changes(change),
+            _ => InstanceListUpdate::Whole(self.ranked.clone()),
         }
     }
 
@@ -125,18 +129,18 @@
     }
 
     /// Changes the list.
-    fn change(&mut self, mut put: Vec<InstanceInfo>, mut gone: Vec<NodeName>) {
+    fn change(&mut self, mut put: Vec<InstanceInfo>, mut removed: Vec<NodeName>) {
         let before = self.version;
-        gone.retain(|node| *node != self.own.node);
+        removed.retain(|node| *node != self.own.node);
         put.retain(|instance| instance.node != self.own.node || *instance == self.own);
-        if put.len() + gone.len() > RANKED_ANEW {
-            self.rank_anew(&put, &gone);
+        if put.len() + removed.len() > RANKED_ANEW {
+            self.rerank(&put, &removed);
         } else {
-            gone.iter().for_each(|node| self.remove(node));
+            removed.iter().for_each(|node| self.remove(node));
             put.iter().for_each(|instance| self.insert(instance));
         }
         if self.version != before {
-            self.history.push(before, InstanceChange { put, gone });
+            self.history.push(before, InstanceChange { put, removed });
         }
     }
 
@@ -147,8 +151,9 @@
         self.ranked.insert(at, instance.clone());
     }
 
-    fn rank_anew(&mut self, put: &[InstanceInfo], gone: &[NodeName]) {
-        let changed: HashSet<&NodeName> = gone.iter().chain(put.iter().map(|i| &i.node)).collect();
+    fn rerank(&mut self, put: &[InstanceInfo], removed: &[NodeName]) {
+        let changed: HashSet<&NodeName> =
+            removed.iter().chain(put.iter().map(|i| &i.node)).collect();
         self.ranked.retain(|known| !changed.contains(&known.node));
         self.ranked.extend(put.iter().cloned());
         self.rank();
@@ -167,33 +172,33 @@
     }
 
     /// Returns the first instance that is not passed over; `None` for the own one.
-    pub fn first(&self, now: Instant) -> Option<&InstanceInfo> {
+    pub fn aggregator(&self, now: Instant) -> Option<&InstanceInfo> {
         self.ranked
             .iter()
-            .find(|i| i.node == self.own.node || !self.is_passed_over(now, i))
+            .find(|i| i.node == self.own.node || !self.is_skipped(now, i))
             .filter(|i| i.node != self.own.node)
     }
 
     /// Returns the other instances that are not passed over.
-    pub fn heard(&self, now: Instant) -> impl Iterator<Item = &InstanceInfo> {
+    pub fn responsive(&self, now: Instant) -> impl Iterator<Item = &InstanceInfo> {
         let others = self.ranked.iter().filter(|i| i.node != self.own.node);
-        others.filter(move |i| !self.is_passed_over(now, i))
+        others.filter(move |i| !self.is_skipped(now, i))
     }
 
-    fn is_passed_over(&self, now: Instant, instance: &InstanceInfo) -> bool {
-        self.silent.get(&instance.node).is_some_and(|(until, _)| now < *until)
+    fn is_skipped(&self, now: Instant, instance: &InstanceInfo) -> bool {
+        self.unresponsive.get(&instance.node).is_some_and(|(until, _)| now < *until)
     }
 
     /// Notes that an instance did not answer.
-    pub fn note_silent(&mut self, now: Instant, node: &NodeName) {
-        let pause = self.silent.get(node).map_or(Duration::ZERO, |(_, pause)| *pause);
+    pub fn note_unresponsive(&mut self, now: Instant, node: &NodeName) {
+        let pause = self.unresponsive.get(node).map_or(Duration::ZERO, |(_, pause)| *pause);
         let pause = (pause * 2).clamp(PAUSE_FIRST, PAUSE_MAX);
-        self.silent.insert(node.clone(), (now + pause, pause));
+        self.unresponsive.insert(node.clone(), (now + pause, pause));
     }
 
     /// Notes that an instance answered.
-    pub fn note_heard(&mut self, node: &NodeName) {
-        self.silent.shift_remove(node);
+    pub fn note_responsive(&mut self, node: &NodeName) {
+        self.unresponsive.shift_remove(node);
     }
 
     /// Returns all instances, the own one included.
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -27,11 +27,11 @@
 /// Decaying counts of good and bad answers, and pauses after failed connections.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    good: f64,
-    bad: f64,
+    successes: f64,
+    failures: f64,
     at: Option<Instant>,
     /// Weight of requests that wait in vain.
-    silent: f64,
+    stalls: f64,
     heard: Option<Instant>,
     pause: Duration,
     paused_until: Option<Instant>,
@@ -41,10 +41,10 @@
 
 impl Health {
     /// Notes an answer, or an event of a stream.
-    pub fn good(&mut self, now: Instant) {
+    pub fn note_success(&mut self, now: Instant) {
         self.decay(now);
-        self.good += 1.0;
-        self.silent = 0.0;
+        self.successes += 1.0;
+        self.stalls = 0.0;
         self.heard = Some(now);
         self.pause = Duration::ZERO;
         self.paused_until = None;
@@ -52,14 +52,14 @@
     }
 
     /// Notes a failure of a request that reached the server.
-    pub fn bad(&mut self, now: Instant) {
+    pub fn note_failure(&mut self, now: Instant) {
         self.decay(now);
-        self.bad += 1.0;
+        self.failures += 1.0;
     }
 
     /// Notes that no connection could be made, or that it went silent.
-    pub fn unreachable(&mut self, now: Instant) {
-        self.bad(now);
+    pub fn note_unreachable(&mut self, now: Instant) {
+        self.note_failure(now);
         self.pause_from(now);
     }
 
@@ -75,24 +75,24 @@
 
     /// Notes a request that has waited for a byte for longer than nearly all do; returns whether the server
     /// has come to count as silent.
-    pub fn silent(&mut self, now: Instant) -> bool {
-        self.bad(now);
-        self.silent += 1.0;
+    pub fn note_stall(&mut self, now: Instant) -> bool {
+        self.note_failure(now);
+        self.stalls += 1.0;
         let was_found = self.is_found_silent(now);
-        if self.silent >= SILENT_MIN {
+        if self.stalls >= SILENT_MIN {
             self.pause_from(now);
         }
         !was_found && self.is_found_silent(now)
     }
 
     /// Notes that a request that counted as waiting in vain was answered after all.
-    pub fn spoke(&mut self, now: Instant) {
-        self.good(now);
-        self.bad = (self.bad - 1.0).max(0.0);
+    pub fn clear_stall(&mut self, now: Instant) {
+        self.note_success(now);
+        self.failures = (self.failures - 1.0).max(0.0);
     }
 
     /// Takes the word of other instances that the server is silent.
-    pub fn told_silent(&mut self, now: Instant) {
+    pub fn note_reported_unresponsive(&mut self, now: Instant) {
         let heard = |at: Instant| now.saturating_duration_since(at) < HEARD_LATELY;
         if !self.heard.is_some_and(heard) {
             self.told_until = Some(now + TOLD_LIFE);
@@ -101,7 +101,7 @@
 
     /// Notes a request sent: the first one after a pause is a trial, and no other goes out until it is
     /// answered or the next pause is over.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn start_request(&mut self, now: Instant) {
         if self.is_on_trial(now) {
             self.paused_until = Some(now + self.pause);
         }
@@ -125,8 +125,8 @@
     /// Returns the share of failures, and whether there are enough to judge by.
     pub fn failure_share(&self, now: Instant) -> (f64, bool) {
         let weight = self.weight(now);
-        let (good, bad) = (self.good * weight, self.bad * weight);
-        (bad / (good + bad + 1.0), bad >= FAILURES_MIN)
+        let (successes, failures) = (self.successes * weight, self.failures * weight);
+        (failures / (successes + failures + 1.0), failures >= FAILURES_MIN)
     }
 
     fn weight(&self, now: Instant) -> f64 {
@@ -137,9 +137,9 @@
 
     fn decay(&mut self, now: Instant) {
         let weight = self.weight(now);
-        self.good *= weight;
-        self.bad *= weight;
-        self.silent *= weight;
+        self.successes *= weight;
+        self.failures *= weight;
+        self.stalls *= weight;
         self.at = Some(now);
     }
 }
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -11,7 +11,7 @@
 use super::Picker;
 use crate::{
     names::{ServiceName, SoftwareVersion, Tag},
-    routing::{BackendServer, VersionSplit, Wanted},
+    routing::{BackendServer, PickRequest, VersionSplit},
 };
 
 /// Which servers a request may go to.
@@ -63,7 +63,7 @@
     }
 
     /// Returns on which side a request is. One that has failed once goes to what is proven.
-    pub(super) fn side(&self, now: Instant, wanted: &Wanted<'_>) -> Side {
+    pub(super) fn side(&self, now: Instant, wanted: &PickRequest<'_>) -> Side {
         let Some(Versions { lane, others, .. }) = self.versions.get(wanted.service) else {
             return Side::Any;
         };
@@ -108,7 +108,7 @@
     }
 
     /// Returns how many requests of this instance are under way at servers of other versions than `to`.
-    pub fn under_way_beside(&self, service: &ServiceName, to: &SoftwareVersion) -> u32 {
+    pub fn in_flight_outside_version(&self, service: &ServiceName, to: &SoftwareVersion) -> u32 {
         let others = self.servers_of(service).filter(|t| t.server.version.as_ref() != Some(to));
         others.map(|t| t.load.own()).sum()
     }
@@ -124,7 +124,7 @@
 fn used_of<'s>(servers: impl Iterator<Item = &'s BackendServer>, most: usize) -> HashSet<Tag> {
     let mut zones: IndexMap<_, Vec<(Tag, Tag)>> = IndexMap::new();
     for server in servers {
-        zones.entry(&server.zone).or_default().push((server.place(), server.tag()));
+        zones.entry(&server.zone).or_default().push((server.stable_tag(), server.tag()));
     }
     zones.sort_unstable_keys();
     let mut turns: Vec<(usize, usize, Tag)> = Vec::new();
@@ -139,7 +139,7 @@
 
 /// Returns a number in [0, 1) that is another one for each request, and says nothing of the one by which requests are
 /// refused beyond capacity.
-fn draw(wanted: &Wanted<'_>) -> f64 {
+fn draw(wanted: &PickRequest<'_>) -> f64 {
     let spread = xxh3_64(&wanted.spread.to_le_bytes());
     // 53 bits make a float in [0, 1).
     (spread >> 11) as f64 / (1u64 << 53) as f64
--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -6,7 +6,9 @@
     time::{Duration, Instant},
 };
 
-use cartvane::routing::{Aggregate, BackendServer, FleetPosition, Incarnation, Picker, Wanted};
+use cartvane::routing::{
+    Aggregate, BackendServer, FleetPosition, Incarnation, PickRequest, Picker,
+};
 
 /// The operator's bound, and the requests beyond it that do not count.
 const BOUND: (f64, f64) = (2.0, 3.0);
@@ -103,24 +105,24 @@
         let id = |at: usize| -> Incarnation { self.servers[at].id.clone() };
         if let Some(at) = self.at[caller].take() {
             self.loads[at] -= 1;
-            self.pickers[instance].end(&id(at));
+            self.pickers[instance].finish_request(&id(at));
         }
         let affinity = self.case.hot.map(|hot| {
             let same = (caller as f64) < hot * self.case.callers as f64;
             if same { 7 } else { 1000 + caller as u64 }
         });
         let service = "llm".parse().expect("a name");
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &service,
             affinity,
             spread: self.spread,
             tried: &[],
             admission: None,
-            ..Wanted::of(&service)
+            ..PickRequest::new(&service)
         };
         let picked = self.pickers[instance].pick(now, &wanted).expect("a server");
         let at = self.servers.iter().position(|s| s.id == picked.server.id).expect("listed");
-        self.pickers[instance].begin(now, &id(at));
+        self.pickers[instance].start_request(now, &id(at));
         self.loads[at] += 1;
         self.at[caller] = Some(at);
         if judged {
@@ -133,7 +135,7 @@
     fn exchange(&mut self, now: Instant, instance: usize) {
         let own = self.pickers[instance].own_counts();
         let node = format!("n{instance}").parse().expect("a name");
-        self.aggregate.take(now, node, own.clone());
+        self.aggregate.record_counts(now, node, own.clone());
         let loads = self.aggregate.summary(now, self.servers.iter());
         self.pickers[instance].set_fleet_loads(now, &loads, &own);
     }
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -10,7 +10,8 @@
     adapter::{servers, store::StoreRow},
     gateway::skipped_log::SkippedLog,
     routing::{
-        Aggregate, BackendServer, ListHistory, ListNews, ListVersion, Picker, Roster, Wanted,
+        Aggregate, BackendServer, ListHistory, ListVersion, PickRequest, Picker, Roster,
+        ServerListUpdate,
     },
 };
 use proptest::{
@@ -138,27 +139,27 @@
     let now = Instant::now();
     let (before, after) = (server("a@1000", 1), server("a@2000", 1));
     let mut picker = picker(&[before.clone(), server("b@1000", 2)]);
-    (0..3).for_each(|_| picker.begin(now, &before.id));
-    (0..3).for_each(|_| picker.unreachable(now, &before.id));
+    (0..3).for_each(|_| picker.start_request(now, &before.id));
+    (0..3).for_each(|_| picker.note_unreachable(now, &before.id));
     assert_eq!(picker.own_counts().len(), 1);
-    assert_eq!(picker.own_silent(now).len(), 1);
+    assert_eq!(picker.own_unresponsive(now).len(), 1);
     list(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
-    assert!(picker.own_counts().is_empty() && picker.own_silent(now).is_empty());
-    picker.begin(now, &after.id);
-    (0..3).for_each(|_| picker.end(&before.id));
+    assert!(picker.own_counts().is_empty() && picker.own_unresponsive(now).is_empty());
+    picker.start_request(now, &after.id);
+    (0..3).for_each(|_| picker.finish_request(&before.id));
     let counts: Vec<u32> = picker.own_counts().iter().map(|(_, count)| *count).collect();
     assert_eq!(counts, [1], "what ends at the one before is not the other's");
-    picker.bad(now, &before.id);
-    picker.told_silent(now, &[before.tag()]);
+    picker.note_failure(now, &before.id);
+    picker.note_reported_unresponsive(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity: None,
         spread: 5,
         tried: &tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     assert_eq!(picker.pick(now, &wanted).expect("a server").server.id, after.id);
 }
@@ -172,13 +173,13 @@
     let service = "llm".parse().expect("a name");
     let homes = |picker: &Picker| -> Vec<String> {
         let home = |key: u64| {
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 service: &service,
                 affinity: Some(key),
                 spread: 5,
                 tried: &[],
                 admission: None,
-                ..Wanted::of(&service)
+                ..PickRequest::new(&service)
             };
             picker.pick(now, &wanted).expect("a server").server.id.server.to_string()
         };
@@ -194,8 +195,8 @@
     let now = Instant::now();
     let (before, after) = (server("a@1000", 1), server("a@2000", 1));
     let mut aggregate = Aggregate::default();
-    aggregate.take(now, "late".parse().expect("a name"), vec![(before.tag(), 9)]);
-    aggregate.take(now, "new".parse().expect("a name"), vec![(after.tag(), 2)]);
+    aggregate.record_counts(now, "late".parse().expect("a name"), vec![(before.tag(), 9)]);
+    aggregate.record_counts(now, "new".parse().expect("a name"), vec![(after.tag(), 2)]);
     let loads = aggregate.summary(now, [&after].into_iter());
     assert_eq!(loads[0].counts, [(after.tag(), 2)]);
 }
@@ -205,18 +206,18 @@
     let now = Instant::now();
     let mut roster = Roster::default();
     let listed = |roster: &Roster| roster.servers().map(|s| s.id.to_string()).collect::<Vec<_>>();
-    roster.observe(now, now, [server("a@1000", 1)]);
-    let change = roster.observe(now + SECOND, now + SECOND, [server("a@2000", 2)]);
-    assert_eq!((change.added.len(), change.gone.len()), (1, 1));
-    let change = roster.observe(now + SECOND * 2, now + SECOND * 2, [server("a@1000", 1)]);
+    roster.apply_list(now, now, [server("a@1000", 1)]);
+    let change = roster.apply_list(now + SECOND, now + SECOND, [server("a@2000", 2)]);
+    assert_eq!((change.added.len(), change.removed.len()), (1, 1));
+    let change = roster.apply_list(now + SECOND * 2, now + SECOND * 2, [server("a@1000", 1)]);
     assert_eq!(listed(&roster), ["a@2000"]);
-    assert!(change.added.is_empty() && change.gone.is_empty());
+    assert!(change.added.is_empty() && change.removed.is_empty());
     // The clock of a server may be anywhere.
     for born in ["a@3", "b@0", "b@18446744073709551615"] {
-        roster.observe(now + SECOND * 3, now + SECOND * 3, [server(born, 3)]);
+        roster.apply_list(now + SECOND * 3, now + SECOND * 3, [server(born, 3)]);
     }
     let after = now + SECOND * 20;
-    roster.observe(after, after, [server("b@1", 3)]);
+    roster.apply_list(after, after, [server("b@1", 3)]);
     assert!(!listed(&roster).is_empty());
 }
 
@@ -224,13 +225,13 @@
 fn a_server_whose_entry_is_overwritten_is_not_kept_after_an_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
     let later = now + SECOND * 5;
-    roster.overwritten("b");
-    let change = roster.observe(later, later, [server("a", 1)]);
+    roster.mark_overwritten("b");
+    let change = roster.apply_list(later, later, [server("a", 1)]);
     let left: Vec<_> = roster.servers().map(|s| s.id.to_string()).collect();
     assert_eq!(left, ["a", "c"], "what is only missing may come back");
-    assert_eq!(change.gone, [server("b", 2).id]);
+    assert_eq!(change.removed, [server("b", 2).id]);
 }
 
 #[test]
@@ -241,7 +242,7 @@
     history.push(before.clone());
     history.push(after.clone());
     let news = history.since(Some(ListVersion::of(&before)));
-    assert!(matches!(news, ListNews::Changes { .. }));
+    assert!(matches!(news, ServerListUpdate::Changes { .. }));
     assert_eq!(news.apply(&before).expect("a list"), after);
 }
 
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -14,7 +14,7 @@
 use cartvane::{
     gateway::GatewayHandle,
     names::ServiceName,
-    routing::{OperatorOrders, OrderChange, RolloutOrder, StoreEra, StoreVersion, ToldOrders},
+    routing::{OperatorOrders, OrderChange, OrdersSnapshot, RolloutOrder, StoreEra, StoreVersion},
 };
 use serde_json::{Value, json};
 use standins::{
