--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -38,7 +38,7 @@
     loop {
         gateway.crash_suspects.verdicts_changed.wait(POLL_INTERVAL);
         let now = gateway.clock.now();
-        let is_aggregator = lock(&gateway.peers.candidates).first(now).is_none();
+        let is_aggregator = lock(&gateway.peers.candidates).aggregator(now).is_none();
         if gateway.drain.is_draining() || !is_aggregator || !gateway.peers.knows_others(now) {
             continue;
         }
--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -83,7 +83,7 @@
 
 /// Returns whether this instance is the controller.
 fn is_controller(gateway: &Gateway, now: Instant) -> bool {
-    let is_aggregator = lock(&gateway.peers.candidates).first(now).is_none();
+    let is_aggregator = lock(&gateway.peers.candidates).aggregator(now).is_none();
     is_aggregator && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
 }
 
--- a/tests/suite/rollouts.rs
+++ b/tests/suite/rollouts.rs
@@ -301,17 +301,17 @@
     let order = RolloutOrder { to: "v2".parse().expect("a version"), time_limit: TIME_LIMIT };
     let ordered = OrderChange::Rollout { service: service.clone(), order: Some(order.clone()) };
     let mut known = OperatorOrders::default();
-    assert!(known.take(now, ToldOrders::read(as_of(4), [ordered])));
+    assert!(known.take(now, OrdersSnapshot::from_changes(as_of(4), [ordered])));
     let mut starting = OperatorOrders::default();
-    let unread = OrderChange::Unread(service.clone());
-    assert!(starting.take(now, ToldOrders::read(as_of(5), [unread])));
+    let unparsed = OrderChange::Unparsed(service.clone());
+    assert!(starting.take(now, OrdersSnapshot::from_changes(as_of(5), [unparsed])));
     assert!(known.take(now, starting.newest().clone()));
-    assert_eq!(known.in_force(now).rollouts.get(&service), Some(&order), "the order stays active");
+    assert_eq!(known.active(now).rollouts.get(&service), Some(&order), "the order stays active");
     assert!(starting.take(now, known.newest().clone()), "the starting instance adopts the order");
-    assert_eq!(starting.in_force(now).rollouts.get(&service), Some(&order));
+    assert_eq!(starting.active(now).rollouts.get(&service), Some(&order));
     let withdrawn = OrderChange::Rollout { service: service.clone(), order: None };
-    assert!(known.follow(now, as_of(6), [withdrawn]));
-    assert!(known.in_force(now).rollouts.is_empty(), "an order that is removed is withdrawn");
+    assert!(known.apply_changes(now, as_of(6), [withdrawn]));
+    assert!(known.active(now).rollouts.is_empty(), "an order that is removed is withdrawn");
 }
 
 /// Waits until servers of v2 get requests, and checks that they get none from a second after `change` on.
