--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -62,7 +62,7 @@
     match perform_here(gateway, request) {
         Err(fault @ StoreFault::NotDone(_)) => {
             gateway.store_failed("rollouts", &fault);
-            let helped = gateway.peers.ask_helper_for_rollouts(gateway.clock.now(), request);
+            let helped = gateway.peers.forward_rollout_request(gateway.clock.now(), request);
             helped.unwrap_or_else(|| RolloutTableReply::Failed(fault.to_string()))
         }
         Ok(reply) => reply,
--- a/tests/suite/crashing_requests.rs
+++ b/tests/suite/crashing_requests.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     support::eventually,
-    world::{KEY, intent, settings},
+    testbed::{KEY, intent, settings},
 };
 
 /// Body at which a server crashes.
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! All integration tests, as one crate.
+//! All integration tests, in one crate.
 
 mod answers;
 mod backoff_drawn;
@@ -6,6 +6,7 @@
 mod budget_drawn;
 mod budget_fleet;
 mod callers;
+mod cluster_state;
 mod cold_drawn;
 mod cold_servers;
 mod config;
@@ -26,7 +27,6 @@
 mod incarnations;
 mod intent_changes;
 mod intent_watch;
-mod knowledge;
 mod large_intent;
 mod log_lines;
 mod machines;
@@ -50,5 +50,5 @@
 mod store_eras;
 mod support;
 mod suspended;
+mod testbed;
 mod whole_path;
-mod world;
