--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -158,7 +158,7 @@
         if let Some(known) = lock(&self.crashes).has_crashed(now, &server.id) {
             return known;
         }
-        let is_in_use = gateway.knowledge.with_servers(|roster| {
+        let is_in_use = gateway.cluster_state.with_servers(|roster| {
             roster.servers().any(|listed| listed.id == server.id && !listed.leaving)
         });
         if !is_in_use {
@@ -167,7 +167,7 @@
         match gateway.conns.connect(server.address, now + CHECK_TIMEOUT) {
             Ok(conn) => {
                 lock(&self.crashes).note_alive(now, &server.id);
-                let max_connections = gateway.connections_of(&server.service);
+                let max_connections = gateway.max_connections(&server.service);
                 gateway.conns.keep(&server.id, conn, None, max_connections);
                 false
             }
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -39,7 +39,7 @@
         gateway.crash_suspects.verdicts_changed.wait(POLL_INTERVAL);
         let now = gateway.clock.now();
         let is_aggregator = lock(&gateway.peers.candidates).aggregator(now).is_none();
-        if gateway.drain.is_draining() || !is_aggregator || !gateway.peers.knows_others(now) {
+        if gateway.drain.is_draining() || !is_aggregator || !gateway.peers.has_joined(now) {
             continue;
         }
         if let Err(fault) = reconcile(gateway, &mut sync) {
--- a/src/gateway/rollout_controller.rs
+++ b/src/gateway/rollout_controller.rs
@@ -84,7 +84,7 @@
 /// Returns whether this instance is the controller.
 fn is_controller(gateway: &Gateway, now: Instant) -> bool {
     let is_aggregator = lock(&gateway.peers.candidates).aggregator(now).is_none();
-    is_aggregator && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
+    is_aggregator && gateway.peers.has_joined(now) && !gateway.drain.is_draining()
 }
 
 fn advance_service(
