--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -16,11 +16,11 @@
 
 /// Longest wait for a permit: several round trips between zones and a turn of a slow processor. Whoever waits longer
 /// is better off with another server, which reads the prompt in that time.
-pub const PERMIT_TIME: Duration = Duration::from_millis(60);
+pub const PERMIT_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Asks whether one more request may go to a cold server.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// The server.
     pub server: Tag,
     /// Its service.
@@ -75,8 +75,8 @@
         if !picked.cold || self.cold_terms(service).is_none() {
             return true;
         }
-        let ask = PermitAsk { server: picked.server.tag(), service: service.clone() };
-        let permit = self.ask_permit(&ask);
+        let ask = PermitRequest { server: picked.server.tag(), service: service.clone() };
+        let permit = self.request_permit(&ask);
         self.metrics.cold_permit(service, permit.name());
         permit == Permit::Granted
     }
@@ -86,7 +86,7 @@
         self.knowledge.intent()?.services.get(service)?.cold
     }
 
-    fn ask_permit(&self, ask: &PermitAsk) -> Permit {
+    fn request_permit(&self, ask: &PermitRequest) -> Permit {
         let now = self.clock.now();
         if !self.peers.knows_others(now) {
             return Permit::NobodyKnown;
@@ -95,7 +95,7 @@
         if self.peers.is_own(&granter) {
             return Permit::of(self.grant(ask));
         }
-        match self.peers.ask_permit(granter.address, ask) {
+        match self.peers.request_permit(granter.address, ask) {
             Ok(reply) => Permit::of(reply.granted),
             Err(fault) => {
                 log::info!("event=permit_unanswered peer={} reason={fault:?}", granter.node);
@@ -113,7 +113,7 @@
     }
 
     /// Grants a permit if the server's rate leaves one.
-    pub fn grant(&self, ask: &PermitAsk) -> bool {
+    pub fn grant(&self, ask: &PermitRequest) -> bool {
         let Some(terms) = self.cold_terms(&ask.service) else { return false };
         lock(&self.cold_permits.grants).grant(self.clock.now(), ask.server, terms.rate)
     }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -17,7 +17,7 @@
 use super::{
     Gateway,
     answering::{SUMS_AGE, Sums, sums},
-    cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
+    cold_permits::{PERMIT_PATH, PERMIT_TIMEOUT, PermitReply, PermitRequest},
     intent_reader,
     messages::{Asks, ConfirmedAgo, News, Report},
     rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
@@ -108,7 +108,7 @@
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
-            permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIME, traffic.clone()),
+            permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIMEOUT, traffic.clone()),
             links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIME, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
@@ -214,7 +214,11 @@
     /// # Errors
     ///
     /// Why it did not answer, for logs.
-    pub fn ask_permit(&self, of: SocketAddr, ask: &PermitAsk) -> Result<PermitReply, String> {
+    pub fn request_permit(
+        &self,
+        of: SocketAddr,
+        ask: &PermitRequest,
+    ) -> Result<PermitReply, String> {
         let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, ask);
         reply.map_err(|fault| fault.to_string())
     }
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -9,7 +9,7 @@
 use cartvane::{
     configs::fleet::chunks::{decode, encode},
     gateway::{
-        cold_permits::{PermitAsk, PermitReply},
+        cold_permits::{PermitReply, PermitRequest},
         messages::{Asks, ConfirmedAgo, News, Report},
         spread::{Offer, OfferReply},
     },
@@ -121,7 +121,7 @@
         changes: vec![Arc::new(PackedChange::pack(&IntentChange::whole(&Intent::empty())))],
         pass_on: vec![([10, 0, 0, 2], 8229).into()],
     };
-    let ask = PermitAsk { server: Tag(7), service: "llm".parse().expect("a name") };
+    let ask = PermitRequest { server: Tag(7), service: "llm".parse().expect("a name") };
     assert!(comes_back(&report()) && comes_back(&changes) && comes_back(&whole));
     assert!(comes_back(&offer) && comes_back(&OfferReply { version: 12 }));
     assert!(comes_back(&ask) && comes_back(&PermitReply { granted: true }));
@@ -165,6 +165,6 @@
     let without = ToldOrders { unread: IndexSet::new(), ..orders() };
     let read = decode::<News>(&news_bytes).expect("news");
     assert_eq!((read.version, &read.orders), (12, &without));
-    assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
+    assert!(decode::<PermitRequest>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
     assert_eq!(decode::<ToldOrders>(&orders_bytes).expect("orders"), without);
 }
