--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -229,7 +229,7 @@
             return true;
         }
         let reserve = if self.tries.was_slow() { SLOWNESS_RESERVE } else { 0.0 };
-        if self.gateway.take_repeat(now, &self.request.service, reserve) {
+        if self.gateway.take_retry(now, &self.request.service, reserve) {
             self.tries.repeat_granted();
             self.gateway.metrics.retry(&self.request.service);
             return true;
@@ -377,7 +377,7 @@
             admission: Some(self.request.priority),
         };
         let other = lock(&self.gateway.picker).pick(now, &wanted).is_ok();
-        other && self.gateway.has_repeat(now, &self.request.service, SLOWNESS_RESERVE)
+        other && self.gateway.has_retry(now, &self.request.service, SLOWNESS_RESERVE)
     }
 
     fn pass_whole(&mut self, conn: &mut Conn, opened: Opened<'a>) -> Option<Done> {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -186,7 +186,7 @@
     }
 
     /// Returns whether the budget of `service` has a repeat.
-    pub fn has_repeat(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
+    pub fn has_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
@@ -210,7 +210,7 @@
     }
 
     /// Takes one repeat from the budget of `service`.
-    pub fn take_repeat(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
+    pub fn take_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let mut budgets = lock(&self.budgets);
         let terms = &self.settings.bounds.retries;
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -223,7 +223,7 @@
     eventually("it is under way", || world.runs("r1") == 1);
     let gateway = world.instance.gateway();
     let (now, service) = (gateway.clock.now(), "app".parse().expect("a name"));
-    while gateway.take_repeat(now, &service, 0.0) {}
+    while gateway.take_retry(now, &service, 0.0) {}
     assert_eq!(caller.join().expect("an answer").status, 200);
     assert_eq!(world.runs("r1"), 1);
 }
