--- a/src/gateway/tries.rs
+++ b/src/gateway/attempts.rs
@@ -19,29 +19,29 @@
 
 /// A refusal of a request that has not been sent, or has not run where it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     reason: &'static str,
     /// When its caller should come back.
     after: Duration,
 }
 
-impl Refused {
+impl Refusal {
     /// Returns the refusal of a request for which there is no room.
-    pub fn overload(after: Duration) -> Refused {
+    pub fn overload(after: Duration) -> Refusal {
         let reason = "more requests come than can be served in time; this one has not run";
-        Refused { reason, after }
+        Refusal { reason, after }
     }
 
     /// Returns the refusal of a request whose servers all want none for a while.
-    pub fn backoff(after: Duration) -> Refused {
+    pub fn backoff(after: Duration) -> Refusal {
         let reason = "all backend servers want no requests for a while; this one has not run";
-        Refused { reason, after }
+        Refusal { reason, after }
     }
 }
 
 /// The tries of one request.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     servers: Vec<Incarnation>,
     /// Servers that may have run it.
     runs: u32,
@@ -54,7 +54,7 @@
     held: bool,
 }
 
-impl Tries {
+impl Attempts {
     /// Returns the servers tried.
     pub fn servers(&self) -> &[Incarnation] {
         &self.servers
@@ -146,9 +146,9 @@
 
     /// Returns the final answer where no server gave one. `refused` is why it was not sent, `left` the time that the
     /// caller still gives.
-    pub fn own_answer(&self, refused: Option<Refused>, left: Duration) -> OwnAnswer {
+    pub fn own_answer(&self, refused: Option<Refusal>, left: Duration) -> OwnAnswer {
         if !self.may_have_run() {
-            if let Some(Refused { reason, after }) = refused {
+            if let Some(Refusal { reason, after }) = refused {
                 return OwnAnswer::not_run(reason, after);
             }
             return OwnAnswer::not_run(
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -6,13 +6,13 @@
 
 use super::{
     Gateway,
+    attempts::{Attempts, Refusal},
     exchange::{self, HeadWait, ServerAnswer},
     flight::{Decided, Done, Flight, Opened},
     reply::{CALLER_STALL, ServerWords},
     request::{Outgoing, Request},
     silence::Silence,
     stream,
-    tries::{Refused, Tries},
 };
 use crate::{
     adapter,
@@ -52,10 +52,10 @@
     pub gateway: &'a Gateway,
     /// The request.
     pub request: &'a Request,
-    tries: Tries,
+    attempts: Attempts,
     last_failure: Option<WholeAnswer>,
     /// Why it was refused without being sent.
-    pub(super) refused: Option<Refused>,
+    pub(super) refused: Option<Refusal>,
     /// Cold servers that do not take it.
     denied: Vec<Incarnation>,
     decided: Option<Decided>,
@@ -69,7 +69,7 @@
         Forwarding {
             gateway,
             request,
-            tries: Tries::default(),
+            attempts: Attempts::default(),
             last_failure: None,
             refused: None,
             denied: Vec::new(),
@@ -107,17 +107,17 @@
         while self.may_try_again() {
             let now = self.gateway.clock.now();
             if now >= self.request.until {
-                self.tries.out_of_time();
+                self.attempts.out_of_time();
                 return None;
             }
             let wanted = Wanted {
                 service: &self.request.service,
                 affinity: self.request.affinity(),
                 spread: self.request.spread(),
-                tried: self.tries.servers(),
+                tried: self.attempts.servers(),
                 denied: &self.denied,
                 homes: &self.request.homes,
-                admission: (!self.tries.may_have_run()).then_some(self.request.priority),
+                admission: (!self.attempts.may_have_run()).then_some(self.request.priority),
             };
             let (picked, flight) = match self.gateway.pick(now, &wanted) {
                 Ok(picked) => picked,
@@ -154,7 +154,7 @@
         }
         drop(picker);
         self.note_version_fault(picked, fault);
-        self.tries.failed(server, fault);
+        self.attempts.failed(server, fault);
         if fault.ends_connection() {
             self.note_lost(picked);
         }
@@ -173,7 +173,7 @@
                 picked.rank,
                 picked.load,
                 fault.outcome(),
-                self.tries.arrivals()
+                self.attempts.arrivals()
             );
         }
     }
@@ -200,7 +200,7 @@
         let suspicion = &self.gateway.suspicion;
         suspicion.note_lost(self.gateway, self.request, picked, self.has_run_on());
         if suspicion.ends_here(self.request) {
-            self.tries.hold();
+            self.attempts.hold();
         }
     }
 
@@ -221,16 +221,16 @@
 
     /// Returns whether what is known allows another try.
     pub fn may_try_again(&self) -> bool {
-        self.tries.may_go_on(&self.request.route)
+        self.attempts.may_go_on(&self.request.route)
     }
 
     fn budget_allows(&mut self, now: Instant, picked: &Picked) -> bool {
-        if !self.tries.needs_repeat() {
+        if !self.attempts.needs_repeat() {
             return true;
         }
-        let reserve = if self.tries.was_slow() { SLOWNESS_RESERVE } else { 0.0 };
+        let reserve = if self.attempts.was_slow() { SLOWNESS_RESERVE } else { 0.0 };
         if self.gateway.take_retry(now, &self.request.service, reserve) {
-            self.tries.repeat_granted();
+            self.attempts.repeat_granted();
             self.gateway.metrics.retry(&self.request.service);
             return true;
         }
@@ -273,7 +273,7 @@
             last_event,
             prompt_holder: picked.holder.as_ref().map(|holder| holder.address),
         };
-        self.tries.sent();
+        self.attempts.sent();
         self.sent_at = Some(now);
         gateway.rollouts.note_sent(server);
         self.decided = Some(Decided {
@@ -281,7 +281,7 @@
             rank: picked.rank,
             load: picked.load,
             bound: picked.bound,
-            arrivals: self.tries.arrivals(),
+            arrivals: self.attempts.arrivals(),
             running: None,
             first: None,
         });
@@ -362,10 +362,10 @@
     /// Returns whether a request that `server` is slow with could be sent to another one: giving
     /// it up without that would only lose it.
     pub fn could_go_elsewhere(&self, now: Instant, server: &Incarnation) -> bool {
-        if !self.tries.may_go_on_after_this(&self.request.route) {
+        if !self.attempts.may_go_on_after_this(&self.request.route) {
             return false;
         }
-        let mut tried = self.tries.servers().to_vec();
+        let mut tried = self.attempts.servers().to_vec();
         tried.push(server.clone());
         let wanted = Wanted {
             service: &self.request.service,
@@ -403,7 +403,7 @@
         if whole.status.is_server_error() {
             lock(&self.gateway.picker).bad(self.gateway.clock.now(), &picked.server.id);
             self.note_version(&picked, AnswerSeen::Failed);
-            self.tries.answered_with_error(&picked.server.id);
+            self.attempts.answered_with_error(&picked.server.id);
             log::info!(
                 "event=server_error request={} server={} status={}",
                 self.request.asked.id,
@@ -472,7 +472,7 @@
 
     /// Gives the final answer of a request that no server answered.
     pub fn give_up(&mut self, conn: &mut Conn) -> Done {
-        if self.tries.caller_left() {
+        if self.attempts.caller_left() {
             return Done {
                 status: 0,
                 outcome: Outcome::Unknown,
@@ -484,11 +484,11 @@
             return self.send_whole(conn, &whole, "server error");
         }
         let left = self.request.until.saturating_duration_since(self.gateway.clock.now());
-        let own = self.tries.own_answer(self.refused, left);
+        let own = self.attempts.own_answer(self.refused, left);
         let keep = self.keep_alive();
         let keep = own.send(conn, keep, self.request.method == Method::HEAD);
         let status = own.status.as_u16();
-        Done { status, outcome: self.tries.outcome(), keep, reason: own.reason }
+        Done { status, outcome: self.attempts.outcome(), keep, reason: own.reason }
     }
 
     /// Returns whether the caller's connection may serve another request after this one.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,6 +5,7 @@
 //! `instance_table` tells instances of each other.
 
 pub mod answering;
+pub mod attempts;
 pub mod cold_permits;
 pub mod connection;
 pub mod drain;
@@ -36,7 +37,6 @@
 pub mod start;
 pub mod stream;
 pub mod suspicion;
-pub mod tries;
 pub mod unpicked;
 
 use std::{
--- a/src/gateway/unpicked.rs
+++ b/src/gateway/unpicked.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{forward::Forwarding, tries::Refused};
+use super::{attempts::Refusal, forward::Forwarding};
 use crate::{routing::Unpicked, utils::sync::lock};
 
 /// Part of a pause by which the last of the callers that were refused during it come back later than the first: together
@@ -26,7 +26,7 @@
             let overload = picker.overload(&request.service);
             overload.refuse(now, admitted, draw, target, most)
         };
-        self.refused = Some(Refused::overload(after));
+        self.refused = Some(Refusal::overload(after));
         self.gateway.metrics.refusal(&request.service, "overload");
         log::info!(
             "event=overload request={} service={} priority={} admitted={admitted:.2} wait_ms={} \
@@ -42,7 +42,7 @@
     /// Notes that all servers want no requests until `left` is over.
     fn note_backoff(&mut self, left: Duration, draw: f64) {
         let after = left.mul_f64(1.0 + RETURN_SPREAD * draw);
-        self.refused = Some(Refused::backoff(after));
+        self.refused = Some(Refusal::backoff(after));
         self.gateway.metrics.refusal(&self.request.service, "backoff");
         log::info!(
             "event=all_back_off request={} service={} retry_after_ms={}",
