--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 
-use super::reply::OwnAnswer;
+use super::response::OwnAnswer;
 use crate::{
     contract::outcome::{AttemptFault, Outcome},
     routing::{Incarnation, Route},
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -8,8 +8,8 @@
     Gateway,
     flight::{Decided, Done},
     forward::Forwarding,
-    reply::OwnAnswer,
     request::{Asked, Request},
+    response::OwnAnswer,
 };
 use crate::{
     adapter,
@@ -186,7 +186,7 @@
     let continues = head.header("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
     if continues {
         // A caller that is gone is noticed by the read that follows.
-        let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", super::reply::CALLER_STALL);
+        let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", super::response::CALLER_STALL);
     }
     let mut reader = BodyReader::new(framing);
     let idle = gateway.knowledge.idle_time().max(IDLE_TIME_FIRST);
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -5,8 +5,8 @@
 use http::Method;
 
 use super::{
-    reply::ServerWords,
     request::{Outgoing, Request},
+    response::ResponseMetadata,
 };
 use crate::{
     adapter,
@@ -33,7 +33,7 @@
     /// Says until when to wait on; `None` gives the attempt up.
     pub longer: &'a dyn Fn() -> Option<Instant>,
     /// Takes what the server says of itself, whatever its answer is and whichever request it is for.
-    pub heard: &'a dyn Fn(&ServerWords),
+    pub heard: &'a dyn Fn(&ResponseMetadata),
 }
 
 /// A backend server's answer whose body is still to be read.
@@ -41,7 +41,7 @@
     /// Head.
     pub head: ResponseHead,
     /// What the head says beside the answer.
-    pub words: ServerWords,
+    pub metadata: ResponseMetadata,
     conn: Conn,
     body: BodyReader,
     request_whole: bool,
@@ -73,13 +73,13 @@
     let request_whole = sent == bytes.len();
     for _ in 0..=FOREIGN_MAX {
         let head = read_head(&mut conn, wait, caller)?;
-        let words = adapter::answers::decode(&head);
-        (wait.heard)(&words);
+        let metadata = adapter::answers::decode(&head);
+        (wait.heard)(&metadata);
         let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
         let mut body = BodyReader::new(framing);
-        let own = words.request_id.as_deref().is_none_or(|id| id == request.asked.id);
+        let own = metadata.request_id.as_deref().is_none_or(|id| id == request.asked.id);
         if own {
-            return Ok(ServerAnswer { head, words, conn, body, request_whole });
+            return Ok(ServerAnswer { head, metadata, conn, body, request_whole });
         }
         // A second answer to an earlier request; this request's own comes behind it.
         log::warn!("event=foreign_answer request={} server={}", request.asked.id, outgoing.server);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -9,8 +9,8 @@
     attempts::{Attempts, Refusal},
     exchange::{self, HeadWait, ServerAnswer},
     flight::{Decided, Done, Flight, Opened},
-    reply::{CALLER_STALL, ServerWords},
     request::{Outgoing, Request},
+    response::{CALLER_STALL, ResponseMetadata},
     silence::Silence,
     stream,
 };
@@ -298,7 +298,8 @@
             }
             self.longer_patience(&server.id)
         };
-        let heard = |words: &ServerWords| gateway.take_notices(request, &server.id, words);
+        let heard =
+            |metadata: &ResponseMetadata| gateway.take_notices(request, &server.id, metadata);
         let wait = HeadWait { until: silence.until(patience), longer: &longer, heard: &heard };
         let answer = exchange::send(conn, request, &outgoing, &wait, watched)?;
         silence.ended();
@@ -312,10 +313,10 @@
         let now = self.gateway.clock.now();
         let server = &picked.server;
         let mut picker = lock(&self.gateway.picker);
-        if let Some(load) = answer.words.load {
+        if let Some(load) = answer.metadata.load {
             picker.report(now, &server.id, load);
         }
-        if answer.words.wrong_server {
+        if answer.metadata.wrong_server {
             drop(picker);
             log::warn!(
                 "event=server_replaced request={} server={} address={}",
@@ -325,10 +326,10 @@
             );
             self.gateway.forget_server(&server.id);
         }
-        if answer.words.not_run {
+        if answer.metadata.not_run {
             return Err(AttemptFault::Refused);
         }
-        if answer.head.status.is_success() && !answer.words.signed {
+        if answer.head.status.is_success() && !answer.metadata.signed {
             return Err(AttemptFault::Garbage);
         }
         Ok(())
@@ -440,7 +441,7 @@
 
     /// Keeps the connection of an answer that was read to its end.
     pub fn keep_connection(&self, server: &Incarnation, answer: ServerAnswer) {
-        let kept_for = answer.words.kept_for;
+        let kept_for = answer.metadata.kept_for;
         let Some(conn) = answer.into_reusable() else { return };
         let most = self.gateway.connections_of(&self.request.service);
         self.gateway.conns.keep(server, conn, kept_for, most);
--- a/src/gateway/reply.rs
+++ b/src/gateway/response.rs
@@ -18,7 +18,7 @@
 
 /// What a backend server's head says beside the answer itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ServerWords {
+pub struct ResponseMetadata {
     /// Id of the request that is answered.
     pub request_id: Option<String>,
     /// Whether the answer is proved to be the server's own.
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -9,7 +9,7 @@
     exchange::ServerAnswer,
     flight::{Done, Opened},
     forward::Forwarding,
-    reply::CALLER_STALL,
+    response::CALLER_STALL,
 };
 use crate::{
     adapter,
