--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -8,7 +8,7 @@
     Gateway,
     flight::{Decided, Done},
     forward::Forwarding,
-    request::{Asked, Request},
+    request::{Request, RequestMetadata},
     response::LocalResponse,
 };
 use crate::{
@@ -265,7 +265,7 @@
 ) -> Result<Request, LocalResponse> {
     let Some((digest, left)) = gateway.suspicion.held(now, &request) else { return Ok(request) };
     gateway.metrics.refusal(&request.service, "ends_servers");
-    log::info!("event=request_held request={} digest={digest}", request.asked.id);
+    log::info!("event=request_held request={} digest={digest}", request.metadata.id);
     Err(LocalResponse::not_run(
         "backend servers ended as they ran this request; it has not run again",
         left,
@@ -289,7 +289,7 @@
     log::info!(
         "event=request request={} route={} service={} team={} status={} outcome={} reason={:?} \
          took_ms={} target_ms={} version={} version_age_ms={} servers_age_ms={}{decided}",
-        request.asked.id,
+        request.metadata.id,
         request.route.name,
         request.service,
         request.team.as_ref().map_or("", TeamName::as_str),
@@ -316,7 +316,7 @@
     let Some(intent) = intent else {
         return Err(unknowing("this instance does not know the configuration yet"));
     };
-    let asked = adapter::headers::decode_request(&head)
+    let metadata = adapter::headers::decode_request(&head)
         .map_err(|bad| LocalResponse::new(StatusCode::BAD_REQUEST, bad.what))?;
     let sure = gateway.intent_is_fresh(began);
     let deny = |status, reason| {
@@ -330,18 +330,18 @@
     let Some(route) = intent.routes.find(host, &head.target) else {
         return Err(deny(StatusCode::NOT_FOUND, "no route serves this host and path"));
     };
-    let team = asked.key.as_deref().and_then(|key| intent.teams.holder(key));
+    let team = metadata.key.as_deref().and_then(|key| intent.teams.holder(key));
     if team.is_none() && intent.teams.needs_key() && !route.public {
         return Err(deny(StatusCode::UNAUTHORIZED, "the key is not known; send a team's key"));
     }
-    let Some(service) = route.service_for(share_point(route, &asked)) else {
+    let Some(service) = route.service_for(share_point(route, &metadata)) else {
         return Err(unknowing("the route has no service with a weight above zero"));
     };
     let limit = route.timeout;
     if !gateway.drain.has_time_for(began, limit) {
         return Err(LocalResponse::not_run("this instance is leaving", RETRY_AFTER_LEAVING));
     }
-    let deadline = asked.deadline.map_or(limit, |deadline| deadline.min(limit));
+    let deadline = metadata.deadline.map_or(limit, |deadline| deadline.min(limit));
     let priority = team.and_then(|team| team.priority).unwrap_or(route.priority);
     let keep_alive = head.keep_alive();
     Ok(Request {
@@ -359,15 +359,15 @@
         keep_alive,
         http10: head.http10,
         version: intent.version,
-        asked,
+        metadata,
     })
 }
 
 /// Returns the point that decides among a route's services: requests with a shared prompt stay
 /// together, the others are spread by their ids.
-fn share_point(route: &Route, asked: &Asked) -> u64 {
-    match asked.affinity {
+fn share_point(route: &Route, metadata: &RequestMetadata) -> u64 {
+    match metadata.affinity {
         Some(key) if route.affinity => ChatKey::of(&[&route.name, &key.to_string()]).0,
-        _ => ChatKey::of(&[&asked.id]).0,
+        _ => ChatKey::of(&[&metadata.id]).0,
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -77,12 +77,16 @@
         (wait.heard)(&metadata);
         let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
         let mut body = BodyReader::new(framing);
-        let own = metadata.request_id.as_deref().is_none_or(|id| id == request.asked.id);
+        let own = metadata.request_id.as_deref().is_none_or(|id| id == request.metadata.id);
         if own {
             return Ok(ServerResponse { head, metadata, conn, body, request_whole });
         }
         // A second answer to an earlier request; this request's own comes behind it.
-        log::warn!("event=foreign_answer request={} server={}", request.asked.id, outgoing.server);
+        log::warn!(
+            "event=foreign_answer request={} server={}",
+            request.metadata.id,
+            outgoing.server
+        );
         while next_piece(&mut conn, &mut body, until, caller)?.is_some() {}
     }
     Err(AttemptFault::Foreign)
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -168,7 +168,7 @@
             log::info!(
                 "event=attempt_failed request={} server={} rank={} load={:.1} fault={fault:?} \
                  outcome={} arrivals={}{ended}",
-                self.request.asked.id,
+                self.request.metadata.id,
                 server,
                 picked.rank,
                 picked.load,
@@ -236,7 +236,7 @@
         }
         log::info!(
             "event=repeat_denied request={} server={} reason=budget",
-            self.request.asked.id,
+            self.request.metadata.id,
             picked.server.id
         );
         false
@@ -320,7 +320,7 @@
             drop(picker);
             log::warn!(
                 "event=server_replaced request={} server={} address={}",
-                self.request.asked.id,
+                self.request.metadata.id,
                 server.id,
                 server.address
             );
@@ -407,7 +407,7 @@
             self.attempts.answered_with_error(&picked.server.id);
             log::info!(
                 "event=server_error request={} server={} status={}",
-                self.request.asked.id,
+                self.request.metadata.id,
                 picked.server.id,
                 whole.status.as_u16()
             );
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -17,7 +17,7 @@
             return;
         }
         let now = self.clock.now();
-        let (id, service) = (&request.asked.id, &request.service);
+        let (id, service) = (&request.metadata.id, &request.service);
         if metadata.leaving {
             self.metrics.server_notice(service, "leaving");
             if lock(&self.picker).said_leaving(now, server) {
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -16,7 +16,7 @@
 
 /// What a request's head asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestMetadata {
     /// The caller's id of the request.
     pub id: String,
     /// How long the caller waits.
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct Request {
     /// What its head asks for.
-    pub asked: Asked,
+    pub metadata: RequestMetadata,
     /// Its route.
     pub route: Arc<Route>,
     /// Service that serves it.
@@ -106,11 +106,11 @@
 
     /// Returns the hash that spreads requests without a shared prompt.
     pub fn spread(&self) -> u64 {
-        ChatKey::of(&[&self.asked.id]).0
+        ChatKey::of(&[&self.metadata.id]).0
     }
 
     /// Returns the hash by which the request finds its like, if its route asks for that.
     pub fn affinity(&self) -> Option<u64> {
-        if self.route.affinity { self.asked.affinity } else { None }
+        if self.route.affinity { self.metadata.affinity } else { None }
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -54,7 +54,7 @@
 /// Passes an opened stream on; `None` where it failed before its first event and may be tried
 /// again.
 pub fn pass(forwarding: &mut Forwarding<'_>, conn: &mut Conn, opened: Opened<'_>) -> Option<Done> {
-    let mut splitter = EventSplitter::after(forwarding.request.asked.last_event.clone());
+    let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event.clone());
     let status = opened.answer.head.status;
     let headers = adapter::answers::passed_on(&opened.answer.head);
     let mut source = Source::new(opened);
@@ -131,7 +131,7 @@
         if opened.answer.head.status.is_success() {
             log::info!(
                 "event=stream_resumed request={} server={} after_event={last}",
-                forwarding.request.asked.id,
+                forwarding.request.metadata.id,
                 opened.picked.server.id
             );
             forwarding.gateway.metrics.resumed(&forwarding.request.service);
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -94,7 +94,7 @@
     /// Notes that a request was answered well.
     pub fn note_answered(&self, now: Instant, request: &Request) {
         if let Some(digest) = self.clear_answered(now, request.look(), || request.digest()) {
-            log::info!("event=request_cleared digest={digest} request={}", request.asked.id);
+            log::info!("event=request_cleared digest={digest} request={}", request.metadata.id);
         }
     }
 
--- a/src/gateway/unpicked.rs
+++ b/src/gateway/unpicked.rs
@@ -31,7 +31,7 @@
         log::info!(
             "event=overload request={} service={} priority={} admitted={admitted:.2} wait_ms={} \
              retry_after_ms={}",
-            request.asked.id,
+            request.metadata.id,
             request.service,
             request.priority,
             wait.as_millis(),
@@ -46,7 +46,7 @@
         self.gateway.metrics.refusal(&self.request.service, "backoff");
         log::info!(
             "event=all_back_off request={} service={} retry_after_ms={}",
-            self.request.asked.id,
+            self.request.metadata.id,
             self.request.service,
             after.as_millis()
         );
