--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -317,7 +317,7 @@
         return Err(unknowing("this instance does not know the configuration yet"));
     };
     let metadata = adapter::headers::decode_request(&head)
-        .map_err(|bad| LocalResponse::new(StatusCode::BAD_REQUEST, bad.what))?;
+        .map_err(|bad| LocalResponse::new(StatusCode::BAD_REQUEST, bad.reason))?;
     let sure = gateway.intent_is_fresh(began);
     let deny = |status, reason| {
         if sure {
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -5,7 +5,7 @@
 use http::Method;
 
 use super::{
-    request::{Outgoing, Request},
+    request::{AttemptHeaders, Request},
     response::ResponseMetadata,
 };
 use crate::{
@@ -57,7 +57,7 @@
 pub fn send(
     mut conn: Conn,
     request: &Request,
-    outgoing: &Outgoing<'_>,
+    outgoing: &AttemptHeaders<'_>,
     wait: &HeadWait<'_>,
     caller: Option<&Conn>,
 ) -> Result<ServerResponse, AttemptFault> {
@@ -172,7 +172,7 @@
     }
 }
 
-fn request_bytes(request: &Request, outgoing: &Outgoing<'_>) -> Vec<u8> {
+fn request_bytes(request: &Request, outgoing: &AttemptHeaders<'_>) -> Vec<u8> {
     let headers = adapter::headers::encode_request(&request.headers, outgoing);
     let mut buf = Vec::with_capacity(1024 + request.body.len());
     buf.extend_from_slice(request.method.as_str().as_bytes());
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -9,7 +9,7 @@
     attempts::{Attempts, Refusal},
     exchange::{self, HeadWait, ServerResponse},
     flight::{Decided, Done, Flight, Opened},
-    request::{Outgoing, Request},
+    request::{AttemptHeaders, Request},
     response::{CALLER_STALL, ResponseMetadata},
     silence::Silence,
     stream,
@@ -102,8 +102,12 @@
 
     /// Sends the request until a server answers with a head; `None` where no more tries are left.
     ///
-    /// `last_event` is the last event of a stream that the caller has.
-    pub fn open(&mut self, caller: Option<&Conn>, last_event: Option<&str>) -> Option<Opened<'a>> {
+    /// `last_event_id` is the last event of a stream that the caller has.
+    pub fn open(
+        &mut self,
+        caller: Option<&Conn>,
+        last_event_id: Option<&str>,
+    ) -> Option<Opened<'a>> {
         while self.may_try_again() {
             let now = self.gateway.clock.now();
             if now >= self.request.until {
@@ -133,7 +137,7 @@
             if !self.budget_allows(now, &picked) {
                 return None;
             }
-            match self.attempt(caller, &picked, flight, last_event) {
+            match self.attempt(caller, &picked, flight, last_event_id) {
                 Ok(opened) => return Some(opened),
                 Err(fault) => self.note_fault(&picked, fault),
             }
@@ -247,7 +251,7 @@
         caller: Option<&Conn>,
         picked: &Picked,
         flight: Flight<'a>,
-        last_event: Option<&str>,
+        last_event_id: Option<&str>,
     ) -> Result<Opened<'a>, AttemptFault> {
         let (gateway, request) = (self.gateway, self.request);
         let server = &picked.server;
@@ -265,12 +269,12 @@
         if lock(&gateway.picker).forbids_requests(now, &server.id) {
             return Err(AttemptFault::Withheld);
         }
-        let outgoing = Outgoing {
-            left: request.until.saturating_duration_since(now),
+        let outgoing = AttemptHeaders {
+            time_left: request.until.saturating_duration_since(now),
             server: &server.id.server,
             team: request.team.as_ref(),
             priority: request.priority,
-            last_event,
+            last_event_id,
             prompt_holder: picked.holder.as_ref().map(|holder| holder.address),
         };
         self.attempts.sent();
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -26,22 +26,22 @@
     /// Hash of the part of the prompt that other requests share.
     pub affinity: Option<u64>,
     /// Last event that the caller has of an earlier try.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// A request whose head cannot be understood.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{what}")]
+#[error("{reason}")]
 pub struct BadRequest {
     /// What is wrong and how to mend it.
-    pub what: &'static str,
+    pub reason: &'static str,
 }
 
 /// What one attempt adds to the caller's headers.
 #[derive(Debug)]
-pub struct Outgoing<'a> {
+pub struct AttemptHeaders<'a> {
     /// Time left for the whole answer.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The only server that may run it.
     pub server: &'a ServerId,
     /// Team of the caller.
@@ -49,7 +49,7 @@
     /// Rank among requests; 0 goes first.
     pub priority: u8,
     /// Last event that the caller has.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Server from which the shared prompt's memory is fetched, where the one that runs the
     /// request does not keep it.
     pub prompt_holder: Option<SocketAddr>,
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -54,7 +54,7 @@
 /// Passes an opened stream on; `None` where it failed before its first event and may be tried
 /// again.
 pub fn pass(forwarding: &mut Forwarding<'_>, conn: &mut Conn, opened: Opened<'_>) -> Option<Done> {
-    let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event.clone());
+    let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event_id.clone());
     let status = opened.answer.head.status;
     let headers = adapter::answers::passed_on(&opened.answer.head);
     let mut source = Source::new(opened);
--- a/tests/suite/platform.rs
+++ b/tests/suite/platform.rs
@@ -4,7 +4,7 @@
 
 use cartvane::{
     adapter::{headers, intent, prompt, servers, settings, store::StoreRow},
-    gateway::request::Outgoing,
+    gateway::request::AttemptHeaders,
     link::http1::RequestHead,
     names::ServiceName,
     routing::RouteKind,
@@ -175,12 +175,12 @@
     let asked = headers::decode_request(&head).expect("a request");
     assert_eq!((asked.id.as_str(), asked.key.as_deref()), ("r", Some("k")));
     let (server, team) = ("s".parse().expect("an id"), "crew".parse().expect("a name"));
-    let outgoing = Outgoing {
-        left: Duration::from_millis(1234),
+    let outgoing = AttemptHeaders {
+        time_left: Duration::from_millis(1234),
         server: &server,
         team: Some(&team),
         priority: 200,
-        last_event: Some("4"),
+        last_event_id: Some("4"),
         prompt_holder: Some(([10, 0, 0, 9], 80).into()),
     };
     let sent = headers::encode_request(&head.headers, &outgoing);
