--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -6,8 +6,8 @@
 
 use super::{
     Gateway,
-    flight::{Decided, Done},
     forward::Forwarding,
+    in_flight::{Completion, LastAttempt},
     request::{Request, RequestMetadata},
     response::LocalResponse,
 };
@@ -137,12 +137,12 @@
 }
 
 struct Ended {
-    done: Option<Done>,
+    done: Option<Completion>,
     service: String,
 }
 
-fn done_of(own: &LocalResponse, keep: bool) -> Done {
-    Done { status: own.status.as_u16(), outcome: Outcome::NotRun, keep, reason: own.reason }
+fn done_of(own: &LocalResponse, keep: bool) -> Completion {
+    Completion { status: own.status.as_u16(), outcome: Outcome::NotRun, keep, reason: own.reason }
 }
 
 fn refuse_head(conn: &mut Conn, fault: &HeadFault) -> After {
@@ -272,7 +272,7 @@
     ))
 }
 
-fn log_end(gateway: &Gateway, request: &Request, done: &Done, decided: Option<&Decided>) {
+fn log_end(gateway: &Gateway, request: &Request, done: &Completion, decided: Option<&LastAttempt>) {
     let now = gateway.clock.now();
     let millis = |age: Option<Duration>| age.map_or(-1, |age| age.as_millis() as i64);
     let decided = decided.map_or_else(String::new, |d| {
@@ -283,7 +283,7 @@
             d.load,
             d.bound,
             d.arrivals,
-            millis(d.first)
+            millis(d.first_byte_after)
         )
     });
     log::info!(
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -8,7 +8,7 @@
     Gateway,
     attempts::{Attempts, Refusal},
     exchange::{self, HeadWait, ServerResponse},
-    flight::{Decided, Done, Flight, Opened},
+    in_flight::{Completion, InFlightGuard, LastAttempt, OpenResponse},
     request::{AttemptHeaders, Request},
     response::{CALLER_STALL, ResponseMetadata},
     silence::Silence,
@@ -58,7 +58,7 @@
     pub(super) refused: Option<Refusal>,
     /// Cold servers that do not take it.
     denied: Vec<Incarnation>,
-    decided: Option<Decided>,
+    last_attempt: Option<LastAttempt>,
     /// When it last went out.
     sent_at: Option<Instant>,
 }
@@ -73,18 +73,18 @@
             last_failure: None,
             refused: None,
             denied: Vec::new(),
-            decided: None,
+            last_attempt: None,
             sent_at: None,
         }
     }
 
     /// Carries the request through and answers the caller on `conn`.
-    pub fn run(mut self, conn: &mut Conn) -> (Done, Option<Decided>) {
+    pub fn run(mut self, conn: &mut Conn) -> (Completion, Option<LastAttempt>) {
         let done = self.carry(conn);
-        (done, self.decided)
+        (done, self.last_attempt)
     }
 
-    fn carry(&mut self, conn: &mut Conn) -> Done {
+    fn carry(&mut self, conn: &mut Conn) -> Completion {
         loop {
             let Some(opened) = self.open(Some(conn), None) else { return self.give_up(conn) };
             let streams = self.request.route.kind.is_stream();
@@ -107,7 +107,7 @@
         &mut self,
         caller: Option<&Conn>,
         last_event_id: Option<&str>,
-    ) -> Option<Opened<'a>> {
+    ) -> Option<OpenResponse<'a>> {
         while self.may_try_again() {
             let now = self.gateway.clock.now();
             if now >= self.request.until {
@@ -211,14 +211,14 @@
     /// Notes that events have come from the last server.
     pub fn note_running(&mut self) {
         let now = self.gateway.clock.now();
-        if let Some(decided) = &mut self.decided {
-            decided.running.get_or_insert(now);
+        if let Some(last_attempt) = &mut self.last_attempt {
+            last_attempt.running.get_or_insert(now);
         }
     }
 
     /// Returns whether the last server has run the request for a while.
     fn has_run_on(&self) -> bool {
-        let running = self.decided.as_ref().and_then(|decided| decided.running);
+        let running = self.last_attempt.as_ref().and_then(|last_attempt| last_attempt.running);
         let time = running.map(|since| self.gateway.clock.now().saturating_duration_since(since));
         time.is_some_and(|time| time >= RAN_ON)
     }
@@ -250,9 +250,9 @@
         &mut self,
         caller: Option<&Conn>,
         picked: &Picked,
-        flight: Flight<'a>,
+        flight: InFlightGuard<'a>,
         last_event_id: Option<&str>,
-    ) -> Result<Opened<'a>, AttemptFault> {
+    ) -> Result<OpenResponse<'a>, AttemptFault> {
         let (gateway, request) = (self.gateway, self.request);
         let server = &picked.server;
         let once = !request.route.kind.may_run_again();
@@ -280,14 +280,14 @@
         self.attempts.sent();
         self.sent_at = Some(now);
         gateway.rollouts.note_sent(server);
-        self.decided = Some(Decided {
+        self.last_attempt = Some(LastAttempt {
             server: server.id.clone(),
             rank: picked.rank,
             load: picked.load,
             bound: picked.bound,
             arrivals: self.attempts.arrivals(),
             running: None,
-            first: None,
+            first_byte_after: None,
         });
         // A caller that leaves ends only what may run again or is a stream: ending anything else
         // leaves its outcome in doubt.
@@ -309,7 +309,7 @@
         silence.ended();
         let head = gateway.clock.now();
         self.take_words(picked, &answer)?;
-        Ok(Opened { answer, picked: picked.clone(), flight, sent: now, head })
+        Ok(OpenResponse { answer, picked: picked.clone(), flight, sent: now, head })
     }
 
     /// Acts on what a head says beside the answer.
@@ -385,9 +385,9 @@
         other && self.gateway.has_retry(now, &self.request.service, SLOWNESS_RESERVE)
     }
 
-    fn pass_whole(&mut self, conn: &mut Conn, opened: Opened<'a>) -> Option<Done> {
+    fn pass_whole(&mut self, conn: &mut Conn, opened: OpenResponse<'a>) -> Option<Completion> {
         let times = (opened.sent, opened.head);
-        let Opened { mut answer, picked, flight, .. } = opened;
+        let OpenResponse { mut answer, picked, flight, .. } = opened;
         let caller =
             if self.request.route.kind == RouteKind::AtMostOnce { None } else { Some(&*conn) };
         let body = match answer.whole(self.request.until, caller) {
@@ -439,7 +439,7 @@
         self.gateway.metrics.attempt(&self.request.service, None);
     }
 
-    fn end_unless_again(&mut self, conn: &mut Conn) -> Option<Done> {
+    fn end_unless_again(&mut self, conn: &mut Conn) -> Option<Completion> {
         if self.may_try_again() { None } else { Some(self.give_up(conn)) }
     }
 
@@ -455,8 +455,8 @@
     pub fn note_first_byte(&mut self) {
         let took = self.gateway.clock.now().saturating_duration_since(self.request.began);
         self.gateway.metrics.first_byte(&self.request.service, took);
-        if let Some(decided) = &mut self.decided {
-            decided.first = Some(took);
+        if let Some(last_attempt) = &mut self.last_attempt {
+            last_attempt.first_byte_after = Some(took);
         }
     }
 
@@ -465,14 +465,14 @@
         conn: &mut Conn,
         whole: &BufferedResponse,
         reason: &'static str,
-    ) -> Done {
+    ) -> Completion {
         self.note_first_byte();
         let keep = self.keep_alive();
         let note = AnswerNote::plain(keep);
         let head_only = self.request.method == Method::HEAD;
         let (headers, body) = (&whole.headers, &whole.body);
         let sent = send_whole(conn, CALLER_STALL, whole.status, headers, &note, body, head_only);
-        Done {
+        Completion {
             status: whole.status.as_u16(),
             outcome: Outcome::Run,
             keep: keep && sent.is_ok(),
@@ -481,9 +481,9 @@
     }
 
     /// Gives the final answer of a request that no server answered.
-    pub fn give_up(&mut self, conn: &mut Conn) -> Done {
+    pub fn give_up(&mut self, conn: &mut Conn) -> Completion {
         if self.attempts.caller_left() {
-            return Done {
+            return Completion {
                 status: 0,
                 outcome: Outcome::Unknown,
                 keep: false,
@@ -498,7 +498,7 @@
         let keep = self.keep_alive();
         let keep = own.send(conn, keep, self.request.method == Method::HEAD);
         let status = own.status.as_u16();
-        Done { status, outcome: self.attempts.outcome(), keep, reason: own.reason }
+        Completion { status, outcome: self.attempts.outcome(), keep, reason: own.reason }
     }
 
     /// Returns whether the caller's connection may serve another request after this one.
--- a/src/gateway/flight.rs
+++ b/src/gateway/in_flight.rs
@@ -11,7 +11,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Done {
+pub struct Completion {
     /// Status that the caller got; 0 where it left before any.
     pub status: u16,
     /// Whether the request ran.
@@ -24,7 +24,7 @@
 
 /// What decided where a request went, for its log line.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Decided {
+pub struct LastAttempt {
     /// Last server that it was sent to.
     pub server: Incarnation,
     /// The server's place in the request's rank.
@@ -38,17 +38,17 @@
     /// Since when the server's answer has events or a part of its body.
     pub running: Option<Instant>,
     /// Time until the caller had the first bytes of a server's answer.
-    pub first: Option<Duration>,
+    pub first_byte_after: Option<Duration>,
 }
 
 /// An answer whose head has come from the server that was picked for it.
-pub struct Opened<'g> {
+pub struct OpenResponse<'g> {
     /// The answer.
     pub answer: ServerResponse,
     /// The server.
     pub picked: Picked,
     /// Counts the request at the server until it ends.
-    pub flight: Flight<'g>,
+    pub flight: InFlightGuard<'g>,
     /// When the request was sent.
     pub sent: Instant,
     /// When the answer's head came.
@@ -56,14 +56,14 @@
 }
 
 /// Counts a request at a server for as long as it lives.
-pub struct Flight<'g> {
+pub struct InFlightGuard<'g> {
     /// The instance.
     pub gateway: &'g Gateway,
     /// The server.
     pub server: Incarnation,
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         lock(&self.gateway.picker).end(&self.server);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -10,10 +10,10 @@
 pub mod connection;
 pub mod drain;
 pub mod exchange;
-pub mod flight;
 pub mod forward;
 pub mod handle;
 pub mod held_table;
+pub mod in_flight;
 pub mod instance_table;
 pub mod intent_reader;
 pub mod knowledge;
@@ -51,7 +51,7 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cold_permits::ColdPermits, drain::Drain, flight::Flight, knowledge::Knowledge,
+    cold_permits::ColdPermits, drain::Drain, in_flight::InFlightGuard, knowledge::Knowledge,
     list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, settings::GatewaySettings, skipped_log::SkippedLog,
     suspicion::Suspicion,
@@ -177,12 +177,12 @@
         &self,
         now: Instant,
         wanted: &Wanted<'_>,
-    ) -> Result<(Picked, Flight<'_>), Unpicked> {
+    ) -> Result<(Picked, InFlightGuard<'_>), Unpicked> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
         picker.begin(now, &server);
-        Ok((picked, Flight { gateway: self, server }))
+        Ok((picked, InFlightGuard { gateway: self, server }))
     }
 
     /// Returns whether the budget of `service` has a repeat.
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -7,8 +7,8 @@
 
 use super::{
     exchange::ServerResponse,
-    flight::{Done, Opened},
     forward::Forwarding,
+    in_flight::{Completion, OpenResponse},
     response::CALLER_STALL,
 };
 use crate::{
@@ -40,7 +40,7 @@
 
 /// One source of events: a server's answer and how its bytes become events.
 struct Source<'g> {
-    opened: Opened<'g>,
+    opened: OpenResponse<'g>,
     splits: bool,
 }
 
@@ -53,7 +53,11 @@
 
 /// Passes an opened stream on; `None` where it failed before its first event and may be tried
 /// again.
-pub fn pass(forwarding: &mut Forwarding<'_>, conn: &mut Conn, opened: Opened<'_>) -> Option<Done> {
+pub fn pass(
+    forwarding: &mut Forwarding<'_>,
+    conn: &mut Conn,
+    opened: OpenResponse<'_>,
+) -> Option<Completion> {
     let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event_id.clone());
     let status = opened.answer.head.status;
     let headers = adapter::answers::passed_on(&opened.answer.head);
@@ -75,7 +79,8 @@
     let note = AnswerNote::plain(keep);
     let framing = if request.http10 { AnswerBody::UntilClose } else { AnswerBody::Chunked };
     let code = status.as_u16();
-    let ended = |keep, reason| Some(Done { status: code, outcome: Outcome::Run, keep, reason });
+    let ended =
+        |keep, reason| Some(Completion { status: code, outcome: Outcome::Run, keep, reason });
     let started = AnswerWriter::start(conn, CALLER_STALL, status, &headers, &note, framing, &first);
     let Ok(mut writer) = started else { return ended(false, "caller left") };
     let mut pace = Pace::new(forwarding.gateway.clock.now());
@@ -89,10 +94,10 @@
                 }
             }
             Brought::End => {
-                let Opened { picked, sent, head, .. } = &source.opened;
+                let OpenResponse { picked, sent, head, .. } = &source.opened;
                 forwarding.note_good(picked, *sent, *head);
                 forwarding.note_version(picked, pace.seen(forwarding.gateway.clock.now()));
-                let Opened { answer, picked, .. } = source.opened;
+                let OpenResponse { answer, picked, .. } = source.opened;
                 forwarding.keep_connection(&picked.server.id, answer);
                 let sent = writer.end().is_ok();
                 return ended(sent && keep, "answered");
@@ -163,7 +168,7 @@
 }
 
 impl<'g> Source<'g> {
-    fn new(opened: Opened<'g>) -> Source<'g> {
+    fn new(opened: OpenResponse<'g>) -> Source<'g> {
         let headers = &opened.answer.head.headers;
         let kind = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
         let splits = kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
