--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -7,11 +7,11 @@
 use super::{
     Gateway,
     attempts::{Attempts, Refusal},
-    exchange::{self, HeadWait, ServerResponse},
     in_flight::{Completion, InFlightGuard, LastAttempt, OpenResponse},
     request::{AttemptHeaders, Request},
     response::{CALLER_STALL, ResponseMetadata},
-    silence::Silence,
+    server_call::{self, HeadWait, ServerResponse},
+    stall_timer::StallTimer,
     stream,
 };
 use crate::{
@@ -126,7 +126,7 @@
             let (picked, flight) = match self.gateway.pick(now, &wanted) {
                 Ok(picked) => picked,
                 Err(why) => {
-                    self.note_unpicked(now, why, wanted.draw());
+                    self.note_pick_error(now, why, wanted.draw());
                     return None;
                 }
             };
@@ -293,7 +293,7 @@
         // leaves its outcome in doubt.
         let watched = if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
         let silence = lock(&gateway.picker).overload(&request.service).silence(picked.wait);
-        let silence = Silence::new(gateway, &server.id, silence.map(|time| now + time));
+        let silence = StallTimer::new(gateway, &server.id, silence.map(|time| now + time));
         let patience = self.patience(now, &server.id);
         let longer = || {
             silence.look();
@@ -305,7 +305,7 @@
         let heard =
             |metadata: &ResponseMetadata| gateway.take_notices(request, &server.id, metadata);
         let wait = HeadWait { until: silence.until(patience), longer: &longer, heard: &heard };
-        let answer = exchange::send(conn, request, &outgoing, &wait, watched)?;
+        let answer = server_call::send(conn, request, &outgoing, &wait, watched)?;
         silence.ended();
         let head = gateway.clock.now();
         self.take_words(picked, &answer)?;
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Gateway, exchange::ServerResponse};
+use super::{Gateway, server_call::ServerResponse};
 use crate::{
     contract::outcome::Outcome,
     routing::{Incarnation, Picked},
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,7 +9,6 @@
 pub mod cold_permits;
 pub mod connection;
 pub mod drain;
-pub mod exchange;
 pub mod forward;
 pub mod handle;
 pub mod held_table;
@@ -23,21 +22,22 @@
 pub mod messages;
 pub mod notices;
 pub mod peers;
+pub mod pick_error;
 pub mod request;
 pub mod response;
 pub mod rollout_keeper;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
+pub mod server_call;
 pub mod server_conns;
 pub mod settings;
-pub mod silence;
 pub mod skipped_log;
 pub mod spread;
+pub mod stall_timer;
 pub mod start;
 pub mod stream;
 pub mod suspicion;
-pub mod unpicked;
 
 use std::{
     collections::HashSet,
--- a/src/gateway/unpicked.rs
+++ b/src/gateway/pick_error.rs
@@ -11,7 +11,7 @@
 
 impl Forwarding<'_> {
     /// Notes why no server was picked, for the final answer.
-    pub(super) fn note_unpicked(&mut self, now: Instant, why: Unpicked, draw: f64) {
+    pub(super) fn note_pick_error(&mut self, now: Instant, why: Unpicked, draw: f64) {
         let request = self.request;
         let (admitted, wait) = match why {
             Unpicked::Overload { admitted, wait } => (admitted, wait),
--- a/src/gateway/silence.rs
+++ b/src/gateway/stall_timer.rs
@@ -14,7 +14,7 @@
 const LATE_MAX: Duration = Duration::from_millis(100);
 
 /// A wait for a server's next bytes.
-pub struct Silence<'g> {
+pub struct StallTimer<'g> {
     gateway: &'g Gateway,
     server: &'g Incarnation,
     /// When the silence speaks against the server.
@@ -23,14 +23,14 @@
     counted: Cell<bool>,
 }
 
-impl<'g> Silence<'g> {
+impl<'g> StallTimer<'g> {
     /// Returns a wait that speaks against `server` from `from` on; `None` where no wait does.
     pub fn new(
         gateway: &'g Gateway,
         server: &'g Incarnation,
         from: Option<Instant>,
-    ) -> Silence<'g> {
-        Silence { gateway, server, from, looked: Cell::new(false), counted: Cell::new(false) }
+    ) -> StallTimer<'g> {
+        StallTimer { gateway, server, from, looked: Cell::new(false), counted: Cell::new(false) }
     }
 
     /// Returns when to look next, at `end` at the latest.
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -6,10 +6,10 @@
 use http::header::CONTENT_TYPE;
 
 use super::{
-    exchange::ServerResponse,
     forward::Forwarding,
     in_flight::{Completion, OpenResponse},
     response::CALLER_STALL,
+    server_call::ServerResponse,
 };
 use crate::{
     adapter,
