--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -90,7 +90,7 @@
 }
 
 /// Returns until when a caller's connection may wait for its next request that has been idle since then.
-pub fn idle_until(gateway: &Gateway, since: Instant) -> Instant {
+pub fn idle_deadline(gateway: &Gateway, since: Instant) -> Instant {
     let idle_time = gateway.knowledge.idle_time();
     since + if idle_time.is_zero() { IDLE_TIME_FIRST } else { idle_time }
 }
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -35,9 +35,9 @@
     leaving: Mutex<Option<Leaving>>,
     draining: AtomicBool,
     closed: AtomicBool,
-    busy: AtomicUsize,
+    in_flight: AtomicUsize,
     /// Becomes readable when idle connections are to close.
-    idle_end: PipeReader,
+    idle_close_signal: PipeReader,
     /// Dropped to make the other end readable.
     idle_open: Mutex<Option<PipeWriter>>,
 }
@@ -50,11 +50,11 @@
 
 /// Counts a request under way for as long as it lives.
 #[derive(Debug)]
-pub struct Busy<'d>(&'d Drain);
+pub struct RequestGuard<'d>(&'d Drain);
 
-impl Drop for Busy<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
-        self.0.busy.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -65,22 +65,22 @@
     ///
     /// No pipe can be made.
     pub fn open() -> io::Result<Drain> {
-        let (idle_end, idle_open) = io::pipe()?;
+        let (idle_close_signal, idle_open) = io::pipe()?;
         Ok(Drain {
             leaving: Mutex::default(),
             draining: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            busy: AtomicUsize::new(0),
-            idle_end,
+            in_flight: AtomicUsize::new(0),
+            idle_close_signal,
             idle_open: Mutex::new(Some(idle_open)),
         })
     }
 
     /// Notes a request under way; `None` when the process is about to end.
-    pub fn enter(&self) -> Option<Busy<'_>> {
-        self.busy.fetch_add(1, Ordering::SeqCst);
-        let busy = Busy(self);
-        if self.closed.load(Ordering::SeqCst) { None } else { Some(busy) }
+    pub fn enter(&self) -> Option<RequestGuard<'_>> {
+        self.in_flight.fetch_add(1, Ordering::SeqCst);
+        let in_flight = RequestGuard(self);
+        if self.closed.load(Ordering::SeqCst) { None } else { Some(in_flight) }
     }
 
     /// Begins to leave; the kill comes `grace` after `now`.
@@ -110,13 +110,13 @@
     /// # Errors
     ///
     /// It cannot be duplicated.
-    pub fn idle_end(&self) -> io::Result<PipeReader> {
-        self.idle_end.try_clone()
+    pub fn idle_close_signal(&self) -> io::Result<PipeReader> {
+        self.idle_close_signal.try_clone()
     }
 
     /// Returns the number of requests under way.
-    pub fn busy(&self) -> usize {
-        self.busy.load(Ordering::SeqCst)
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::SeqCst)
     }
 
     /// Waits until nothing is under way and nothing new is to be expected, or until shortly before
@@ -130,12 +130,12 @@
                 drop(lock(&self.idle_open).take());
             }
             if now >= end {
-                return self.busy() == 0;
+                return self.in_flight() == 0;
             }
-            if now >= quiet_from && self.busy() == 0 {
+            if now >= quiet_from && self.in_flight() == 0 {
                 self.closed.store(true, Ordering::SeqCst);
                 thread::sleep(LAST_LOOK);
-                if self.busy() == 0 {
+                if self.in_flight() == 0 {
                     return true;
                 }
                 self.closed.store(false, Ordering::SeqCst);
--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -33,7 +33,7 @@
     /// An address cannot be listened on, or a thread cannot be started.
     pub fn spawn(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<GatewayHandle> {
         let gateway = Arc::new(Gateway::open(settings, clock)?);
-        let closing = gateway.drain.idle_end().context("cannot make a pipe")?;
+        let closing = gateway.drain.idle_close_signal().context("cannot make a pipe")?;
         let idle = IdleConns::spawn(clock.clone(), closing).context("cannot watch connections")?;
         let readiness = serve_readiness(&gateway, &idle)?;
         let metrics = serve_metrics(&gateway, &idle);
@@ -88,7 +88,7 @@
     pub fn drain(&self) -> bool {
         let grace = self.gateway.settings.bounds.grace;
         self.gateway.drain.start(self.gateway.clock.now(), grace);
-        log::warn!("event=draining under_way={}", self.gateway.drain.busy());
+        log::warn!("event=draining under_way={}", self.gateway.drain.in_flight());
         let clean = self.gateway.drain.finish(&self.gateway.clock);
         log::warn!("event=stopped every_request_finished={clean}");
         clean
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -79,7 +79,7 @@
     let listen = gateway.settings.addresses.callers;
     let most = gateway.settings.connections;
     let (waiting, serving) = (Arc::clone(gateway), Arc::clone(gateway));
-    let rules = idle_rules(idle, move |since| connection::idle_until(&waiting, since), true);
+    let rules = idle_rules(idle, move |since| connection::idle_deadline(&waiting, since), true);
     let serve = move |conn: Conn| -> Served { connection::serve(&serving, conn) };
     Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
         .with_context(|| format!("cannot listen for callers on {listen}"))
