--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -106,7 +106,7 @@
         Ok(head) => head,
         Err(fault) => return refuse_head(conn, &fault),
     };
-    let began = gateway.clock.now();
+    let received_at = gateway.clock.now();
     let Some(_busy) = gateway.drain.enter() else {
         // The process is about to end and has not read the body; nothing has run.
         return After::Ends;
@@ -115,20 +115,21 @@
     let Some(mut usage) = gateway.usage.enter(u32::MAX) else { return After::Ends };
     gateway.metrics.request_began();
     let body_bytes = limits.map_or(usize::MAX, |limits| limits.body_bytes);
-    let (outcome, after) = match read_body(gateway, conn, &head, began, body_bytes, &mut usage) {
-        Ok(body) => {
-            let ended = answer(gateway, conn, head, body, intent.as_deref(), began);
-            let after = After::of(ended.done.is_some_and(|done| done.keep));
-            (ended, after)
-        }
-        Err(own) => {
-            own.send(conn, false, false);
-            log::info!("event=refused status={} reason={:?}", own.status.as_u16(), own.reason);
-            let ended = Ended { done: Some(done_of(&own, false)), service: String::new() };
-            (ended, After::EndsUnread)
-        }
-    };
-    let took = gateway.clock.now().saturating_duration_since(began);
+    let (outcome, after) =
+        match read_body(gateway, conn, &head, received_at, body_bytes, &mut usage) {
+            Ok(body) => {
+                let ended = answer(gateway, conn, head, body, intent.as_deref(), received_at);
+                let after = After::of(ended.done.is_some_and(|done| done.keep));
+                (ended, after)
+            }
+            Err(own) => {
+                own.send(conn, false, false);
+                log::info!("event=refused status={} reason={:?}", own.status.as_u16(), own.reason);
+                let ended = Ended { done: Some(done_of(&own, false)), service: String::new() };
+                (ended, After::EndsUnread)
+            }
+        };
+    let took = gateway.clock.now().saturating_duration_since(received_at);
     let done = outcome.done;
     let status = done.map_or(0, |done| done.status);
     let result = done.map_or(Outcome::Unknown, |done| done.outcome);
@@ -170,7 +171,7 @@
     gateway: &Gateway,
     conn: &mut Conn,
     head: &RequestHead,
-    began: Instant,
+    received_at: Instant,
     most: usize,
     usage: &mut UsageGuard<'_>,
 ) -> Result<Vec<u8>, LocalResponse> {
@@ -195,7 +196,7 @@
     let idle = gateway.knowledge.idle_time().max(IDLE_TIME_FIRST);
     let mut body = Vec::new();
     loop {
-        let piece = match reader.next_by(conn, |conn| conn.fill_beside(began + idle, None)) {
+        let piece = match reader.next_by(conn, |conn| conn.fill_beside(received_at + idle, None)) {
             Ok(Some(piece)) => piece,
             Ok(None) => return Ok(body),
             Err(ReadFault::TooLarge) => return Err(too_large()),
@@ -227,16 +228,16 @@
     head: RequestHead,
     body: Vec<u8>,
     intent: Option<&Intent>,
-    began: Instant,
+    received_at: Instant,
 ) -> Ended {
     let keep = head.keep_alive() && !gateway.drain.is_draining();
     let head_only = head.method == Method::HEAD;
     let target = head.target.clone();
     let id = adapter::headers::request_id(&head).unwrap_or_default().to_owned();
-    let admitted = admit(gateway, head, body, intent, began);
-    match admitted.and_then(|request| refuse_held(gateway, request, began)) {
+    let admitted = admit(gateway, head, body, intent, received_at);
+    match admitted.and_then(|request| refuse_held(gateway, request, received_at)) {
         Ok(request) => {
-            gateway.note_request(began, &request);
+            gateway.note_request(received_at, &request);
             let (done, decided) = Forwarding::new(gateway, &request).run(conn);
             log_end(gateway, &request, &done, decided.as_ref());
             Ended { done: Some(done), service: request.service.to_string() }
@@ -249,7 +250,7 @@
                 own.status.as_u16(),
                 own.reason,
                 gateway.knowledge.version(),
-                gateway.knowledge.intent_age(began).map_or(-1, |age| age.as_millis() as i64)
+                gateway.knowledge.intent_age(received_at).map_or(-1, |age| age.as_millis() as i64)
             );
             Ended { done: Some(done_of(&own, keep)), service: String::new() }
         }
@@ -296,7 +297,7 @@
         done.status,
         done.outcome,
         done.reason,
-        now.saturating_duration_since(request.began).as_millis(),
+        now.saturating_duration_since(request.received_at).as_millis(),
         request.route.target_latency.as_millis(),
         request.version,
         millis(gateway.knowledge.intent_age(now)),
@@ -310,7 +311,7 @@
     head: RequestHead,
     body: Vec<u8>,
     intent: Option<&Intent>,
-    began: Instant,
+    received_at: Instant,
 ) -> Result<Request, LocalResponse> {
     let unknowing = |reason| LocalResponse::not_run(reason, RETRY_AFTER_UNKNOWING);
     let Some(intent) = intent else {
@@ -318,7 +319,7 @@
     };
     let metadata = adapter::headers::decode_request(&head)
         .map_err(|bad| LocalResponse::new(StatusCode::BAD_REQUEST, bad.reason))?;
-    let sure = gateway.intent_is_fresh(began);
+    let sure = gateway.intent_is_fresh(received_at);
     let deny = |status, reason| {
         if sure {
             LocalResponse::new(status, reason)
@@ -338,10 +339,10 @@
         return Err(unknowing("the route has no service with a weight above zero"));
     };
     let limit = route.timeout;
-    if !gateway.drain.has_time_for(began, limit) {
+    if !gateway.drain.has_time_for(received_at, limit) {
         return Err(LocalResponse::not_run("this instance is leaving", RETRY_AFTER_LEAVING));
     }
-    let deadline = metadata.deadline.map_or(limit, |deadline| deadline.min(limit));
+    let timeout = metadata.timeout.map_or(limit, |timeout| timeout.min(limit));
     let priority = team.and_then(|team| team.priority).unwrap_or(route.priority);
     let keep_alive = head.keep_alive();
     Ok(Request {
@@ -354,8 +355,8 @@
         target: head.target,
         headers: head.headers,
         body,
-        began,
-        until: began + deadline,
+        received_at,
+        deadline: received_at + timeout,
         keep_alive,
         http10: head.http10,
         version: intent.version,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -110,7 +110,7 @@
     ) -> Option<OpenResponse<'a>> {
         while self.may_try_again() {
             let now = self.gateway.clock.now();
-            if now >= self.request.until {
+            if now >= self.request.deadline {
                 self.attempts.out_of_time();
                 return None;
             }
@@ -261,7 +261,7 @@
             Some(conn) => conn,
             None => gateway
                 .conns
-                .connect(server.address, request.until)
+                .connect(server.address, request.deadline)
                 .map_err(|_| AttemptFault::Connect)?,
         };
         let now = gateway.clock.now();
@@ -270,7 +270,7 @@
             return Err(AttemptFault::Withheld);
         }
         let outgoing = AttemptHeaders {
-            time_left: request.until.saturating_duration_since(now),
+            time_left: request.deadline.saturating_duration_since(now),
             server: &server.id.server,
             team: request.team.as_ref(),
             priority: request.priority,
@@ -343,13 +343,13 @@
     fn patience(&self, now: Instant, server: &Incarnation) -> Instant {
         let route = &self.request.route;
         if !self.could_go_elsewhere(now, server) {
-            return self.request.until;
+            return self.request.deadline;
         }
         let patience = match route.kind {
             RouteKind::ResumableStream => route.target_latency * FIRST_EVENT_TARGETS,
             _ => route.target_latency.max(PATIENCE_MIN),
         };
-        self.request.until.min(now + patience)
+        self.request.deadline.min(now + patience)
     }
 
     /// Returns until when a head is awaited further after the first patience is over; `None` where
@@ -358,10 +358,10 @@
     /// What was free elsewhere when the wait began, a server or a repeat, may have been taken since.
     fn longer_patience(&self, server: &Incarnation) -> Option<Instant> {
         let now = self.gateway.clock.now();
-        if now >= self.request.until || self.could_go_elsewhere(now, server) {
+        if now >= self.request.deadline || self.could_go_elsewhere(now, server) {
             return None;
         }
-        Some(self.request.until.min(now + PATIENCE_MIN))
+        Some(self.request.deadline.min(now + PATIENCE_MIN))
     }
 
     /// Returns whether a request that `server` is slow with could be sent to another one: giving
@@ -390,7 +390,7 @@
         let OpenResponse { mut answer, picked, flight, .. } = opened;
         let caller =
             if self.request.route.kind == RouteKind::AtMostOnce { None } else { Some(&*conn) };
-        let body = match answer.whole(self.request.until, caller) {
+        let body = match answer.whole(self.request.deadline, caller) {
             Ok(body) => body,
             Err(fault) => {
                 drop(flight);
@@ -453,7 +453,7 @@
 
     /// Notes that the caller gets the first bytes of a server's answer now.
     pub fn note_first_byte(&mut self) {
-        let took = self.gateway.clock.now().saturating_duration_since(self.request.began);
+        let took = self.gateway.clock.now().saturating_duration_since(self.request.received_at);
         self.gateway.metrics.first_byte(&self.request.service, took);
         if let Some(last_attempt) = &mut self.last_attempt {
             last_attempt.first_byte_after = Some(took);
@@ -493,7 +493,7 @@
         if let Some(whole) = self.last_failure.take() {
             return self.send_whole(conn, &whole, "server error");
         }
-        let left = self.request.until.saturating_duration_since(self.gateway.clock.now());
+        let left = self.request.deadline.saturating_duration_since(self.gateway.clock.now());
         let own = self.attempts.local_response(self.refused, left);
         let keep = self.keep_alive();
         let keep = own.send(conn, keep, self.request.method == Method::HEAD);
--- a/src/gateway/pick_error.rs
+++ b/src/gateway/pick_error.rs
@@ -19,7 +19,7 @@
             Unpicked::NoServer => return,
         };
         // Callers heed a third of the time that they have left, at most.
-        let most = request.until.saturating_duration_since(now) / 3;
+        let most = request.deadline.saturating_duration_since(now) / 3;
         let target = request.route.target_latency;
         let after = {
             let mut picker = lock(&self.gateway.picker);
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -20,7 +20,7 @@
     /// The caller's id of the request.
     pub id: String,
     /// How long the caller waits.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
     /// Hash of the part of the prompt that other requests share.
@@ -79,9 +79,9 @@
     /// Body.
     pub body: Vec<u8>,
     /// When its head had come.
-    pub began: Instant,
+    pub received_at: Instant,
     /// When the final answer is due.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Whether the connection may serve another request.
     pub keep_alive: bool,
     /// Whether the caller speaks HTTP/1.0.
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -209,16 +209,16 @@
 fn waits_on(forwarding: &Forwarding<'_>, source: &Source<'_>) -> bool {
     let now = forwarding.gateway.clock.now();
     let server = &source.opened.picked.server.id;
-    now < forwarding.request.until && !forwarding.could_go_elsewhere(now, server)
+    now < forwarding.request.deadline && !forwarding.could_go_elsewhere(now, server)
 }
 
 /// Returns when a silent source counts as stalled.
 fn stall_end(forwarding: &Forwarding<'_>) -> Instant {
     let request = forwarding.request;
     if request.route.kind != RouteKind::ResumableStream {
-        return request.until;
+        return request.deadline;
     }
     let pause = request.route.gap_target.unwrap_or(request.route.target_latency);
     let stall = (pause * STALL_PAUSES).max(STALL_MIN);
-    request.until.min(forwarding.gateway.clock.now() + stall)
+    request.deadline.min(forwarding.gateway.clock.now() + stall)
 }
