--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -1,4 +1,4 @@
-//! Asks other instances for permits of requests to cold backend servers, and grants them.
+//! Permits for requests to cold backend servers: requested from other instances, and granted to them.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -11,14 +11,14 @@
     utils::sync::lock,
 };
 
-/// Path of the question.
+/// Path of permit requests.
 pub const PERMIT_PATH: &str = "/cold";
 
-/// Longest wait for a permit: several round trips between zones and a turn of a slow processor. Whoever waits longer
-/// is better off with another server, which reads the prompt in that time.
+/// Maximum wait for a permit: several round trips between zones plus a scheduling delay on a slow processor. After that
+/// the request is better sent to another server, which processes the prompt within that time.
 pub const PERMIT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Asks whether one more request may go to a cold server.
+/// A request for a permit to send one more request to a cold server.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The server.
@@ -27,41 +27,41 @@
     pub service: ServiceName,
 }
 
-/// The answer.
+/// The reply to a [`PermitRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PermitReply {
-    /// Whether it may.
+    /// Whether the request may be sent.
     pub granted: bool,
 }
 
-/// What came of a question.
+/// The result of a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Permit {
     Granted,
     Denied,
-    /// Those that could grant it do not answer.
+    /// No granter is available, or the granter did not reply.
     Unanswered,
-    /// This instance has just started, and may take itself for the only one.
-    NobodyKnown,
+    /// This instance has just started and knows no other one, so it could wrongly act as the only granter.
+    NoPeersKnown,
 }
 
 impl Permit {
-    fn of(granted: bool) -> Permit {
+    fn from_granted(granted: bool) -> Permit {
         if granted { Permit::Granted } else { Permit::Denied }
     }
 
-    /// Returns its name in metrics.
-    fn name(self) -> &'static str {
+    /// Returns the label value in metrics.
+    fn label(self) -> &'static str {
         match self {
             Permit::Granted => "granted",
             Permit::Denied => "denied",
             Permit::Unanswered => "unanswered",
-            Permit::NobodyKnown => "nobody-known",
+            Permit::NoPeersKnown => "nobody-known",
         }
     }
 }
 
-/// What an instance knows of permits.
+/// Permits granted by this instance, and the instances that grant permits to it.
 #[derive(Debug, Default)]
 pub struct ColdPermits {
     grants: Mutex<ColdGrants>,
@@ -69,34 +69,35 @@
 }
 
 impl Gateway {
-    /// Returns whether a request may go to the server that was picked for it: always, unless that is cold.
+    /// Returns whether a request may be sent to the picked server. Only a cold server of a service with a limit for
+    /// cold servers needs a permit.
     pub fn may_send(&self, picked: &Picked) -> bool {
         let service = &picked.server.service;
         if !picked.cold || self.cold_terms(service).is_none() {
             return true;
         }
-        let ask = PermitRequest { server: picked.server.tag(), service: service.clone() };
-        let permit = self.request_permit(&ask);
-        self.metrics.cold_permit(service, permit.name());
+        let request = PermitRequest { server: picked.server.tag(), service: service.clone() };
+        let permit = self.request_permit(&request);
+        self.metrics.cold_permit(service, permit.label());
         permit == Permit::Granted
     }
 
-    /// Returns what the servers of a service bear while they are cold, if that is little.
+    /// Returns the limit for cold servers of a service, if its servers have one.
     pub(super) fn cold_terms(&self, service: &ServiceName) -> Option<ColdTerms> {
         self.knowledge.intent()?.services.get(service)?.cold
     }
 
-    fn request_permit(&self, ask: &PermitRequest) -> Permit {
+    fn request_permit(&self, request: &PermitRequest) -> Permit {
         let now = self.clock.now();
         if !self.peers.knows_others(now) {
-            return Permit::NobodyKnown;
+            return Permit::NoPeersKnown;
         }
-        let Some(granter) = self.granter(ask.server) else { return Permit::Unanswered };
+        let Some(granter) = self.granter(request.server) else { return Permit::Unanswered };
         if self.peers.is_own(&granter) {
-            return Permit::of(self.grant(ask));
+            return Permit::from_granted(self.grant(request));
         }
-        match self.peers.request_permit(granter.address, ask) {
-            Ok(reply) => Permit::of(reply.granted),
+        match self.peers.request_permit(granter.address, request) {
+            Ok(reply) => Permit::from_granted(reply.granted),
             Err(fault) => {
                 log::info!("event=permit_unanswered peer={} reason={fault:?}", granter.node);
                 let now = self.clock.now();
@@ -112,9 +113,9 @@
         granters.of(self.clock.now(), server, &candidates).cloned()
     }
 
-    /// Grants a permit if the server's rate leaves one.
-    pub fn grant(&self, ask: &PermitRequest) -> bool {
-        let Some(terms) = self.cold_terms(&ask.service) else { return false };
-        lock(&self.cold_permits.grants).grant(self.clock.now(), ask.server, terms.rate)
+    /// Grants a permit unless the rate limit of the cold server is exhausted.
+    pub fn grant(&self, request: &PermitRequest) -> bool {
+        let Some(terms) = self.cold_terms(&request.service) else { return false };
+        lock(&self.cold_permits.grants).grant(self.clock.now(), request.server, terms.rate)
     }
 }
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving without cutting a request: what is under way finishes, nothing new begins at the end.
+//! Draining: requests in flight finish before the process ends, and no new ones are accepted near the end.
 
 use std::{
     io::{self, PipeReader, PipeWriter},
@@ -12,43 +12,43 @@
 
 use crate::{clock::Clock, utils::sync::lock};
 
-/// How long new connections may still come after the signal: the platform looks at readiness once
-/// a second and takes an instance out after two misses.
-const STILL_FOUND: Duration = Duration::from_millis(3200);
+/// How long new connections may still arrive after the signal: the platform checks readiness once a second and removes
+/// an instance after two failed checks.
+const DEREGISTRATION_TIME: Duration = Duration::from_millis(3200);
 
-/// When idle connections of callers are closed after the signal: by then new ones go elsewhere.
-const IDLE_CLOSED: Duration = Duration::from_millis(2200);
+/// When idle connections of callers are closed after the signal: by then new ones are routed to other instances.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2200);
 
-/// Time before the kill at which the process ends by itself: room for a slow machine's last steps.
-const END_BEFORE_KILL: Duration = Duration::from_millis(700);
+/// How long before the kill the process ends by itself: time for the last steps on a slow machine.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Pause between two looks at the requests under way.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between closing the entrance and the end, for requests that were just coming in.
-const LAST_LOOK: Duration = Duration::from_millis(20);
+/// Wait after new requests are rejected, for requests that were just being accepted.
+const FINAL_CHECK_DELAY: Duration = Duration::from_millis(20);
 
-/// The state of leaving.
+/// The drain state of an instance.
 #[derive(Debug)]
 pub struct Drain {
-    /// When the process ends, once it is leaving.
-    leaving: Mutex<Option<Leaving>>,
+    /// Start and end of the drain, once it has started.
+    period: Mutex<Option<DrainPeriod>>,
     draining: AtomicBool,
+    /// Whether new requests are rejected.
     closed: AtomicBool,
     in_flight: AtomicUsize,
-    /// Becomes readable when idle connections are to close.
+    /// Readable once idle connections must be closed.
     idle_close_signal: PipeReader,
-    /// Dropped to make the other end readable.
-    idle_open: Mutex<Option<PipeWriter>>,
+    /// Dropped to make `idle_close_signal` readable.
+    idle_close_writer: Mutex<Option<PipeWriter>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Leaving {
+struct DrainPeriod {
     since: Instant,
     end: Instant,
 }
 
-/// Counts a request under way for as long as it lives.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct RequestGuard<'d>(&'d Drain);
 
@@ -59,88 +59,88 @@
 }
 
 impl Drain {
-    /// Returns the state of an instance that stays.
+    /// Returns the state of an instance that is not draining.
     ///
     /// # Errors
     ///
-    /// No pipe can be made.
+    /// The pipe cannot be created.
     pub fn open() -> io::Result<Drain> {
-        let (idle_close_signal, idle_open) = io::pipe()?;
+        let (idle_close_signal, idle_close_writer) = io::pipe()?;
         Ok(Drain {
-            leaving: Mutex::default(),
+            period: Mutex::default(),
             draining: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
             idle_close_signal,
-            idle_open: Mutex::new(Some(idle_open)),
+            idle_close_writer: Mutex::new(Some(idle_close_writer)),
         })
     }
 
-    /// Notes a request under way; `None` when the process is about to end.
+    /// Counts a new request; `None` when the process is about to end.
     pub fn enter(&self) -> Option<RequestGuard<'_>> {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        let in_flight = RequestGuard(self);
-        if self.closed.load(Ordering::SeqCst) { None } else { Some(in_flight) }
+        let guard = RequestGuard(self);
+        if self.closed.load(Ordering::SeqCst) { None } else { Some(guard) }
     }
 
-    /// Begins to leave; the kill comes `grace` after `now`.
+    /// Starts the drain; the process is killed `grace` after `now`.
     pub fn start(&self, now: Instant, grace: Duration) {
-        let end = now + grace.saturating_sub(END_BEFORE_KILL);
-        *lock(&self.leaving) = Some(Leaving { since: now, end });
+        let end = now + grace.saturating_sub(KILL_MARGIN);
+        *lock(&self.period) = Some(DrainPeriod { since: now, end });
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Returns whether the instance is leaving.
+    /// Returns whether the drain has started.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Returns whether a request that comes now can still be carried through: one that came while
-    /// callers could not know better, or one that ends in time for sure.
+    /// Returns whether a request that arrives now may be served. While draining, that is one that callers could not yet
+    /// send elsewhere, or one that ends in time even if it takes `longest`.
     pub fn has_time_for(&self, now: Instant, longest: Duration) -> bool {
         if !self.is_draining() {
             return true;
         }
-        let leaving = *lock(&self.leaving);
-        leaving.is_none_or(|l| now < l.since + IDLE_CLOSED || now + longest < l.end)
+        let period = *lock(&self.period);
+        period.is_none_or(|p| now < p.since + IDLE_CLOSE_DELAY || now + longest < p.end)
     }
 
-    /// Returns what becomes readable when idle connections are to close.
+    /// Returns a pipe that becomes readable when idle connections must be closed.
     ///
     /// # Errors
     ///
-    /// It cannot be duplicated.
+    /// The pipe cannot be duplicated.
     pub fn idle_close_signal(&self) -> io::Result<PipeReader> {
         self.idle_close_signal.try_clone()
     }
 
-    /// Returns the number of requests under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Waits until nothing is under way and nothing new is to be expected, or until shortly before
-    /// the kill; returns whether every request finished.
+    /// Waits until no request is in flight and no new ones are expected, or until shortly before the kill. Returns
+    /// whether every request finished.
     pub fn finish(&self, clock: &Clock) -> bool {
-        let Some(Leaving { since, end }) = *lock(&self.leaving) else { return true };
-        let quiet_from = (since + STILL_FOUND).min(end);
+        let Some(DrainPeriod { since, end }) = *lock(&self.period) else { return true };
+        let deregistered_at = (since + DEREGISTRATION_TIME).min(end);
         loop {
             let now = clock.now();
-            if now >= since + IDLE_CLOSED {
-                drop(lock(&self.idle_open).take());
+            if now >= since + IDLE_CLOSE_DELAY {
+                drop(lock(&self.idle_close_writer).take());
             }
             if now >= end {
                 return self.in_flight() == 0;
             }
-            if now >= quiet_from && self.in_flight() == 0 {
+            if now >= deregistered_at && self.in_flight() == 0 {
                 self.closed.store(true, Ordering::SeqCst);
-                thread::sleep(LAST_LOOK);
+                thread::sleep(FINAL_CHECK_DELAY);
                 if self.in_flight() == 0 {
                     return true;
                 }
                 self.closed.store(false, Ordering::SeqCst);
             }
-            thread::sleep(LOOK_PERIOD);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -1,10 +1,10 @@
-//! Heeds what backend servers say of themselves in their answers.
+//! Handles notices of backend servers in their responses: that they are leaving, or want no requests for a while.
 
 use super::{Gateway, request::Request, response::ResponseMetadata};
 use crate::{routing::Incarnation, utils::sync::lock};
 
 impl Gateway {
-    /// Takes what a server says of itself, from the head of an answer to `request` on: the list may not say it for a long
+    /// Applies the notices in the head of a response to `request` at once: the server list may not have them for a long
     /// time.
     pub fn take_notices(
         &self,
@@ -12,7 +12,7 @@
         server: &Incarnation,
         metadata: &ResponseMetadata,
     ) {
-        // What another server says, which has the address now, is not of this one.
+        // The response is from another server that has the address now, so its notices are not about this one.
         if metadata.wrong_server {
             return;
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, understood and admitted.
+//! A caller's request: decoded, admitted, and as it is sent to a backend server.
 
 use std::{
     net::SocketAddr,
@@ -14,84 +14,84 @@
     zone::rendezvous::ChatKey,
 };
 
-/// What a request's head asks for.
+/// Metadata from the headers of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// The caller's id of the request.
+    /// Id of the request, chosen by the caller.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Option<String>,
-    /// Hash of the part of the prompt that other requests share.
+    /// Hash of the prompt prefix that other requests share.
     pub affinity: Option<u64>,
-    /// Last event that the caller has of an earlier try.
+    /// Id of the last stream event that the caller received in an earlier attempt.
     pub last_event_id: Option<String>,
 }
 
-/// A request whose head cannot be understood.
+/// A request whose head is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct BadRequest {
-    /// What is wrong and how to mend it.
+    /// What is wrong and how to correct it.
     pub reason: &'static str,
 }
 
-/// What one attempt adds to the caller's headers.
+/// Headers that an attempt adds to those of the caller.
 #[derive(Debug)]
 pub struct AttemptHeaders<'a> {
-    /// Time left for the whole answer.
+    /// Time left for the whole response.
     pub time_left: Duration,
-    /// The only server that may run it.
+    /// The only server that may run the request.
     pub server: &'a ServerId,
     /// Team of the caller.
     pub team: Option<&'a TeamName>,
-    /// Rank among requests; 0 goes first.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// Last event that the caller has.
+    /// Id of the last stream event that the caller received.
     pub last_event_id: Option<&'a str>,
-    /// Server from which the shared prompt's memory is fetched, where the one that runs the
-    /// request does not keep it.
+    /// Server from which the cache of the shared prompt is fetched, if the server that runs the request does not have
+    /// it.
     pub prompt_holder: Option<SocketAddr>,
 }
 
-/// A request that was admitted.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Request {
-    /// What its head asks for.
+    /// Metadata from its headers.
     pub metadata: RequestMetadata,
     /// Its route.
     pub route: Arc<Route>,
-    /// Service that serves it.
+    /// Service that handles it.
     pub service: ServiceName,
     /// Team of its caller.
     pub team: Option<TeamName>,
-    /// Where it may be served.
+    /// Regions that may serve it.
     pub homes: HomeRegions,
-    /// Rank among requests; 0 goes first.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Headers, as sent.
+    /// Headers, as received.
     pub headers: HeaderMap,
     /// Body.
     pub body: Vec<u8>,
-    /// When its head had come.
+    /// When its head was received.
     pub received_at: Instant,
-    /// When the final answer is due.
+    /// When the response is due.
     pub deadline: Instant,
     /// Whether the connection may serve another request.
     pub keep_alive: bool,
-    /// Whether the caller speaks HTTP/1.0.
+    /// Whether the caller uses HTTP/1.0.
     pub http10: bool,
-    /// Version of the intent by which it was admitted.
+    /// Version of the intent that it was admitted under.
     pub version: u64,
 }
 
 impl Request {
-    /// Returns what the request has in common with the same one, sent again; hashes the whole body.
+    /// Returns a digest that is the same when the request is sent again; hashes the whole body.
     pub fn digest(&self) -> RequestDigest {
         let host = self.headers.get(HOST).map_or(&b""[..], |host| host.as_bytes());
         let team = self.team.as_ref().map_or("", TeamName::as_str);
@@ -104,12 +104,12 @@
         ])
     }
 
-    /// Returns the hash that spreads requests without a shared prompt.
+    /// Returns the hash by which requests without a shared prompt are distributed.
     pub fn spread(&self) -> u64 {
         ChatKey::of(&[&self.metadata.id]).0
     }
 
-    /// Returns the hash by which the request finds its like, if its route asks for that.
+    /// Returns the hash of the shared prompt, if the route has prompt affinity.
     pub fn affinity(&self) -> Option<u64> {
         if self.route.affinity { self.metadata.affinity } else { None }
     }
