--- a/src/gateway/server_conns.rs
+++ b/src/gateway/server_conns.rs
@@ -1,4 +1,4 @@
-//! Kept connections to backend servers.
+//! Pool of idle connections to backend servers.
 
 use std::{
     collections::HashMap,
@@ -17,37 +17,37 @@
     utils::sync::lock,
 };
 
-/// Longest time to connect: many round trips within a region, and less than callers' targets.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
+/// Maximum time to connect: many round trips within a region, and less than callers' target latencies.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time that bytes may stay unacknowledged before a server counts as silent: several
-/// retransmissions on a link that loses packets.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1000);
+/// How long sent bytes may stay unacknowledged before the connection fails: several retransmissions on a link that
+/// loses packets.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Idle time after which a kept connection is not used, where the server does not say how long it
-/// keeps it: servers count in whole seconds, so this is under the least they can mean.
-const IDLE_UNSAID: Duration = Duration::from_millis(800);
+/// Maximum idle time of a pooled connection if the server does not announce its keep-alive timeout. Servers configure
+/// it in whole seconds, so this is below the smallest one.
+const IDLE_MAX_AGE: Duration = Duration::from_millis(800);
 
-/// Part of the server's own idle time during which a kept connection is used.
-const IDLE_SHARE: f64 = 0.7;
+/// Fraction of the server's keep-alive timeout during which a pooled connection is used.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
-/// Longest idle time of a connection that carries a request which may run only once: well under the least
-/// time after which servers close idle connections, and as long as most pauses between two such requests
-/// (0.3 s took a new connection for every second request, and brought nothing).
-const IDLE_ONCE: Duration = Duration::from_millis(1500);
+/// Maximum idle time of a connection for a request that may run only once: well below the shortest time after which
+/// servers close idle connections, and as long as most pauses between two such requests. With 0.3 s, every second
+/// request needed a new connection, without any benefit.
+const IDLE_MAX_AGE_ONCE: Duration = Duration::from_millis(1500);
 
-/// Most idle connections kept for each server, whatever the server allows.
-const IDLE_MAX: usize = 16;
+/// Maximum number of idle connections per server, whatever the server allows.
+const IDLE_CONNS_MAX: usize = 16;
 
-struct Idle {
+struct IdleConn {
     conn: Conn,
     since: Instant,
-    usable_for: Duration,
+    max_age: Duration,
 }
 
-/// Idle connections by server: one that starts again has none of those that it had.
+/// Idle connections by incarnation of the server: a restarted server starts with none.
 pub struct ServerConns {
-    idle: Mutex<HashMap<Incarnation, Vec<Idle>>>,
+    idle: Mutex<HashMap<Incarnation, Vec<IdleConn>>>,
     clock: Clock,
     instances: AtomicUsize,
 }
@@ -63,62 +63,62 @@
         self.instances.store(instances.max(1), Ordering::Relaxed);
     }
 
-    /// Returns a kept connection, if one is sure enough for the request.
+    /// Returns an idle connection that the server is unlikely to close; `once` for a request that may run only once.
     pub fn take(&self, server: &Incarnation, once: bool) -> Option<Conn> {
         let now = self.clock.now();
         loop {
-            let kept = lock(&self.idle).get_mut(server)?.pop()?;
-            let age = now.saturating_duration_since(kept.since);
-            let most = if once { kept.usable_for.min(IDLE_ONCE) } else { kept.usable_for };
-            if age >= most {
-                // The others are older still.
+            let idle = lock(&self.idle).get_mut(server)?.pop()?;
+            let age = now.saturating_duration_since(idle.since);
+            let max_age = if once { idle.max_age.min(IDLE_MAX_AGE_ONCE) } else { idle.max_age };
+            if age >= max_age {
+                // The other connections to the server are older still.
                 lock(&self.idle).remove(server);
                 return None;
             }
-            if kept.conn.state() == ConnState::Open {
-                return Some(kept.conn);
+            if idle.conn.state() == ConnState::Open {
+                return Some(idle.conn);
             }
         }
     }
 
-    /// Makes a new connection before `until`.
+    /// Opens a new connection before `deadline`.
     ///
     /// # Errors
     ///
-    /// No connection was made in time; nothing has been sent.
-    pub fn connect(&self, address: SocketAddr, until: Instant) -> std::io::Result<Conn> {
-        let left = until.saturating_duration_since(self.clock.now());
-        let conn = Conn::connect(address, left.min(CONNECT_TIME), &self.clock)?;
-        conn.set_unacknowledged_timeout(UNACKNOWLEDGED_TIME)?;
+    /// The connection could not be opened in time; nothing has been sent.
+    pub fn connect(&self, address: SocketAddr, deadline: Instant) -> std::io::Result<Conn> {
+        let time_left = deadline.saturating_duration_since(self.clock.now());
+        let conn = Conn::connect(address, time_left.min(CONNECT_TIMEOUT), &self.clock)?;
+        conn.set_unacknowledged_timeout(UNACKNOWLEDGED_TIMEOUT)?;
         Ok(conn)
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool after a response was read to its end.
     ///
-    /// `most` is how many connections the server takes from all instances.
+    /// `max_connections` is how many connections the server accepts from all instances together.
     pub fn keep(
         &self,
         server: &Incarnation,
         mut conn: Conn,
         keep_alive_for: Option<Duration>,
-        most: u32,
+        max_connections: u32,
     ) {
         conn.give_back_buffer();
-        let usable_for = keep_alive_for.map_or(IDLE_UNSAID, |time| time.mul_f64(IDLE_SHARE));
-        // Half of an instance's part stays free for requests in flight.
-        let part = most as usize / (2 * self.instances.load(Ordering::Relaxed));
+        let max_age = keep_alive_for.map_or(IDLE_MAX_AGE, |time| time.mul_f64(KEEP_ALIVE_FRACTION));
+        // Half of an instance's share stays free for requests in flight.
+        let share = max_connections as usize / (2 * self.instances.load(Ordering::Relaxed));
         let now = self.clock.now();
         let mut idle = lock(&self.idle);
         let conns = idle.entry(server.clone()).or_default();
-        // The last one kept is the first one taken, so the oldest may never be looked at again.
-        conns.retain(|kept| now.saturating_duration_since(kept.since) < kept.usable_for);
-        if conns.len() < part.clamp(1, IDLE_MAX) {
-            conns.push(Idle { conn, since: now, usable_for });
+        // Connections are taken last in, first out, so `take` may never reach the oldest ones.
+        conns.retain(|idle| now.saturating_duration_since(idle.since) < idle.max_age);
+        if conns.len() < share.clamp(1, IDLE_CONNS_MAX) {
+            conns.push(IdleConn { conn, since: now, max_age });
         }
     }
 
-    /// Drops the connections to servers that `known` does not name.
-    pub fn retain(&self, known: impl Fn(&Incarnation) -> bool) {
-        lock(&self.idle).retain(|server, _| known(server));
+    /// Closes the idle connections to servers for which `is_listed` returns false.
+    pub fn retain(&self, is_listed: impl Fn(&Incarnation) -> bool) {
+        lock(&self.idle).retain(|server, _| is_listed(server));
     }
 }
