--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! What has become of a request's tries at backend servers, and whether there may be another.
+//! The attempts of a request at backend servers, and whether another one is allowed.
 
 use std::time::Duration;
 
@@ -10,99 +10,97 @@
     routing::{Incarnation, Route},
 };
 
-/// Most servers to which a connection is tried for one request.
-const CONNECTS_MAX: usize = 4;
+/// Maximum number of servers tried for one request.
+const SERVERS_TRIED_MAX: usize = 4;
 
-/// When to come back after a refusal for want of a working server: about the time in which a
-/// paused server is tried again.
-const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// `Retry-After` if no server works: about the time after which a paused server is tried again.
+const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(300);
 
-/// A refusal of a request that has not been sent, or has not run where it was sent.
+/// The refusal of a request that was not sent, or was not run by the servers it was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     reason: &'static str,
-    /// When its caller should come back.
-    after: Duration,
+    retry_after: Duration,
 }
 
 impl Refusal {
-    /// Returns the refusal of a request for which there is no room.
-    pub fn overload(after: Duration) -> Refusal {
+    /// Returns the refusal of a request that exceeds the capacity of the service.
+    pub fn overload(retry_after: Duration) -> Refusal {
         let reason = "more requests come than can be served in time; this one has not run";
-        Refusal { reason, after }
+        Refusal { reason, retry_after }
     }
 
-    /// Returns the refusal of a request whose servers all want none for a while.
-    pub fn backoff(after: Duration) -> Refusal {
+    /// Returns the refusal of a request whose servers all back off.
+    pub fn backoff(retry_after: Duration) -> Refusal {
         let reason = "all backend servers want no requests for a while; this one has not run";
-        Refusal { reason, after }
+        Refusal { reason, retry_after }
     }
 }
 
-/// The tries of one request.
+/// The attempts of one request.
 #[derive(Debug, Default)]
 pub struct Attempts {
     servers: Vec<Incarnation>,
-    /// Servers that may have run it.
+    /// Number of servers that may have run the request.
     runs: u32,
-    /// Times that it may have arrived somewhere.
+    /// Number of times that the request may have arrived at a server.
     arrivals: u32,
-    /// A repeat that the budget has granted and that has not gone out.
-    granted: bool,
+    /// Whether the retry budget has granted a retry that has not been sent.
+    retry_granted: bool,
     last_fault: Option<AttemptFault>,
-    /// Whether servers may end of it.
+    /// Whether the request may crash servers.
     held: bool,
 }
 
 impl Attempts {
-    /// Returns the servers tried.
+    /// Returns the servers that were tried.
     pub fn servers(&self) -> &[Incarnation] {
         &self.servers
     }
 
-    /// Returns how often it may have arrived somewhere.
+    /// Returns how often the request may have arrived at a server.
     pub fn arrivals(&self) -> u32 {
         self.arrivals
     }
 
-    /// Returns whether a server may have run it.
+    /// Returns whether a server may have run the request.
     pub fn may_have_run(&self) -> bool {
         self.runs > 0
     }
 
-    /// Returns what is known of its outcome where no server answered.
+    /// Returns the outcome of a request that no server responded to.
     pub fn outcome(&self) -> Outcome {
         if self.may_have_run() { Outcome::Unknown } else { Outcome::NotRun }
     }
 
-    /// Returns whether its caller has left.
+    /// Returns whether the caller has disconnected.
     pub fn caller_left(&self) -> bool {
         self.last_fault == Some(AttemptFault::CallerGone)
     }
 
-    /// Returns whether the last server failed by being slow.
+    /// Returns whether the last server failed by a timeout or a stall.
     pub fn was_slow(&self) -> bool {
         matches!(self.last_fault, Some(AttemptFault::HeadTimeout | AttemptFault::StalledBody))
     }
 
-    /// Returns whether the next try is a repeat that the budget has to grant.
-    pub fn needs_repeat(&self) -> bool {
-        self.arrivals > 0 && !self.granted
+    /// Returns whether the next attempt is a retry that the retry budget has to grant.
+    pub fn needs_retry_grant(&self) -> bool {
+        self.arrivals > 0 && !self.retry_granted
     }
 
-    /// Notes that the budget has granted a repeat.
-    pub fn repeat_granted(&mut self) {
-        self.granted = true;
+    /// Records that the retry budget has granted a retry.
+    pub fn note_retry_granted(&mut self) {
+        self.retry_granted = true;
     }
 
-    /// Notes that it goes out to a server.
-    pub fn sent(&mut self) {
+    /// Records that the request is sent to a server.
+    pub fn note_sent(&mut self) {
         self.arrivals += 1;
-        self.granted = false;
+        self.retry_granted = false;
     }
 
-    /// Notes that it failed at a server.
-    pub fn failed(&mut self, server: &Incarnation, fault: AttemptFault) {
+    /// Records that the attempt at a server failed.
+    pub fn note_failure(&mut self, server: &Incarnation, fault: AttemptFault) {
         self.servers.push(server.clone());
         if fault.outcome() != Outcome::NotRun {
             self.runs += 1;
@@ -110,50 +108,50 @@
         self.last_fault = Some(fault);
     }
 
-    /// Notes that a server ran it and answered with an error of its own.
-    pub fn answered_with_error(&mut self, server: &Incarnation) {
+    /// Records that a server ran the request and responded with a server error.
+    pub fn note_server_error(&mut self, server: &Incarnation) {
         self.servers.push(server.clone());
         self.runs += 1;
         self.last_fault = None;
     }
 
-    /// Notes that its time was over before another server was picked.
-    pub fn out_of_time(&mut self) {
+    /// Records that the deadline passed before another server was picked.
+    pub fn note_deadline_passed(&mut self) {
         self.last_fault.get_or_insert(AttemptFault::HeadTimeout);
     }
 
-    /// Notes that servers may end of it: it goes to no other one.
+    /// Holds the request, which may crash servers: no further attempt is allowed.
     pub fn hold(&mut self) {
         self.held = true;
     }
 
-    /// Returns whether what is known allows another try on `route`.
-    pub fn may_go_on(&self, route: &Route) -> bool {
-        if self.held || self.caller_left() || self.servers.len() >= CONNECTS_MAX {
+    /// Returns whether another attempt on `route` is allowed.
+    pub fn may_retry(&self, route: &Route) -> bool {
+        if self.held || self.caller_left() || self.servers.len() >= SERVERS_TRIED_MAX {
             return false;
         }
         !self.may_have_run() || self.has_runs_left(route, 0)
     }
 
-    /// Returns whether there could be another try after the one under way.
-    pub fn may_go_on_after_this(&self, route: &Route) -> bool {
-        self.has_runs_left(route, 1) && self.servers.len() + 1 < CONNECTS_MAX
+    /// Returns whether another attempt would be allowed after the one in flight.
+    pub fn may_retry_after_current(&self, route: &Route) -> bool {
+        self.has_runs_left(route, 1) && self.servers.len() + 1 < SERVERS_TRIED_MAX
     }
 
-    fn has_runs_left(&self, route: &Route, under_way: u32) -> bool {
-        route.kind.may_run_again() && self.runs + under_way < route.max_attempts
+    fn has_runs_left(&self, route: &Route, in_flight: u32) -> bool {
+        route.kind.may_run_again() && self.runs + in_flight < route.max_attempts
     }
 
-    /// Returns the final answer where no server gave one. `refused` is why it was not sent, `left` the time that the
-    /// caller still gives.
-    pub fn local_response(&self, refused: Option<Refusal>, left: Duration) -> LocalResponse {
+    /// Returns the response if no server gave one. `refusal` is why the request was not sent; `time_left` is the time
+    /// until its deadline.
+    pub fn local_response(&self, refusal: Option<Refusal>, time_left: Duration) -> LocalResponse {
         if !self.may_have_run() {
-            if let Some(Refusal { reason, after }) = refused {
-                return LocalResponse::not_run(reason, after);
+            if let Some(Refusal { reason, retry_after }) = refusal {
+                return LocalResponse::not_run(reason, retry_after);
             }
             return LocalResponse::not_run(
                 "no backend server took the request; it has not run",
-                RETRY_AFTER.min(left / 3),
+                RETRY_AFTER_NO_SERVER.min(time_left / 3),
             );
         }
         if self.was_slow() {
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: reads requests, admits them, and answers each.
+//! A caller's connection: reads requests, admits them, and responds to each.
 
 use std::time::{Duration, Instant};
 
@@ -24,64 +24,65 @@
     zone::rendezvous::ChatKey,
 };
 
-/// Head and idle limits until the operator's are known.
-const HEAD_BYTES_FIRST: usize = 16 << 10;
-const HEAD_TIME_FIRST: Duration = Duration::from_secs(3);
-const IDLE_TIME_FIRST: Duration = Duration::from_secs(15);
+/// Limits that apply until the intent with the operator's limits has been read.
+const HEAD_BYTES_DEFAULT: usize = 16 << 10;
+const HEAD_TIMEOUT_DEFAULT: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(15);
 
-/// How long the first connections wait for an instance that is starting; callers give up on a
-/// connection that is not read for a second.
-const START_PATIENCE: Duration = Duration::from_millis(300);
+/// How long the first connections wait while the instance is starting. Callers give up on a connection that is not read
+/// for a second.
+const STARTUP_WAIT_MAX: Duration = Duration::from_millis(300);
 
-/// How long a thread waits for a connection's next request before the connection is left to the watch over idle
-/// ones: a new connection's first request comes right behind it.
-const BUSY: Duration = Duration::from_millis(20);
+/// How long a thread waits for the next request of a connection before it hands the connection to the poller of idle
+/// connections. The first request of a new connection follows at once.
+const NEXT_REQUEST_WAIT: Duration = Duration::from_millis(20);
 
-/// When to come back to an instance that does not know enough to answer.
-const RETRY_AFTER_UNKNOWING: Duration = Duration::from_millis(200);
+/// `Retry-After` if the instance has no intent, or one that may be outdated.
+const RETRY_AFTER_NO_INTENT: Duration = Duration::from_millis(200);
 
-/// When to come back to an instance that holds as many bytes as it may: bodies are sent on within
-/// some hundredths of a second.
-const RETRY_AFTER_FULL: Duration = Duration::from_millis(200);
+/// `Retry-After` if the instance has reached its limit for buffered bodies: a body is forwarded within some hundredths
+/// of a second.
+const RETRY_AFTER_BODY_LIMIT: Duration = Duration::from_millis(200);
 
-/// When to come back to another instance than one that is leaving: at once.
-const RETRY_AFTER_LEAVING: Duration = Duration::from_millis(20);
+/// `Retry-After` if the instance is draining: another instance can serve the request at once.
+const RETRY_AFTER_DRAINING: Duration = Duration::from_millis(20);
 
-/// Rank of requests whose route states none: between the most and the least urgent.
+/// Priority of requests whose route has none: midway between the most and the least urgent.
 const PRIORITY_DEFAULT: u8 = 5;
 
-/// What becomes of a connection after a request.
-enum After {
-    /// It may carry another request.
-    GoesOn,
-    /// It ends at once. A request that comes meanwhile is not read, so that its caller may send it
-    /// again, also where it may run only once.
-    Ends,
-    /// It ends after a refusal, while the rest of the refused request may still be coming in.
-    EndsUnread,
+/// What happens to a connection after a request.
+enum Disposition {
+    /// The connection stays open for another request.
+    KeepAlive,
+    /// The connection is closed at once. A request that arrives meanwhile is not read, so that the caller may send it
+    /// again even if it may run only once.
+    Close,
+    /// The connection is closed after a refusal; the rest of the refused request is read and discarded for a short
+    /// time.
+    LingeringClose,
 }
 
-impl After {
-    fn of(keep: bool) -> After {
-        if keep { After::GoesOn } else { After::Ends }
+impl Disposition {
+    fn of(keep_alive: bool) -> Disposition {
+        if keep_alive { Disposition::KeepAlive } else { Disposition::Close }
     }
 }
 
-/// Serves a connection as long as one request closely follows the other.
+/// Serves the requests of a connection until it closes or the next request does not follow at once.
 pub fn serve(gateway: &Gateway, mut conn: Conn) -> Served {
-    // An instance that has just started knows enough within some hundredths of a second.
-    gateway.knowledge.wait_complete(START_PATIENCE);
+    // After a start, the intent and the server list arrive within some hundredths of a second.
+    gateway.knowledge.wait_complete(STARTUP_WAIT_MAX);
     loop {
         conn.give_back_buffer();
-        match conn.first_byte(gateway.clock.now() + BUSY) {
+        match conn.first_byte(gateway.clock.now() + NEXT_REQUEST_WAIT) {
             Ok(true) => {}
             Ok(false) => return Served::Waits(conn),
             Err(_) => return Served::Ended,
         }
         match serve_one(gateway, &mut conn) {
-            After::GoesOn => {}
-            After::Ends => return Served::Ended,
-            After::EndsUnread => {
+            Disposition::KeepAlive => {}
+            Disposition::Close => return Served::Ended,
+            Disposition::LingeringClose => {
                 linger(&mut conn);
                 return Served::Ended;
             }
@@ -89,82 +90,89 @@
     }
 }
 
-/// Returns until when a caller's connection may wait for its next request that has been idle since then.
+/// Returns when a caller's connection that has been idle since `since` is closed.
 pub fn idle_deadline(gateway: &Gateway, since: Instant) -> Instant {
-    let idle_time = gateway.knowledge.idle_time();
-    since + if idle_time.is_zero() { IDLE_TIME_FIRST } else { idle_time }
+    let timeout = gateway.knowledge.idle_time();
+    since + if timeout.is_zero() { IDLE_TIMEOUT_DEFAULT } else { timeout }
 }
 
-/// Serves one request.
-fn serve_one(gateway: &Gateway, conn: &mut Conn) -> After {
+fn serve_one(gateway: &Gateway, conn: &mut Conn) -> Disposition {
     let intent = gateway.knowledge.intent();
     let limits = intent.as_ref().map(|intent| &intent.limits);
-    let head_bytes = limits.map_or(HEAD_BYTES_FIRST, |limits| limits.head_bytes);
-    let head_time = limits.map_or(HEAD_TIME_FIRST, |limits| limits.head_time);
-    let until = gateway.clock.now() + head_time;
-    let head = match RequestHead::read(conn, head_bytes, until) {
+    let head_bytes = limits.map_or(HEAD_BYTES_DEFAULT, |limits| limits.head_bytes);
+    let head_timeout = limits.map_or(HEAD_TIMEOUT_DEFAULT, |limits| limits.head_time);
+    let head_deadline = gateway.clock.now() + head_timeout;
+    let head = match RequestHead::read(conn, head_bytes, head_deadline) {
         Ok(head) => head,
         Err(fault) => return refuse_head(conn, &fault),
     };
     let received_at = gateway.clock.now();
-    let Some(_busy) = gateway.drain.enter() else {
-        // The process is about to end and has not read the body; nothing has run.
-        return After::Ends;
+    let Some(_in_flight) = gateway.drain.enter() else {
+        // The process is about to end. The body has not been read, so nothing has run.
+        return Disposition::Close;
     };
-    // Only bytes are limited here: connections have a limit of their own.
-    let Some(mut usage) = gateway.usage.enter(u32::MAX) else { return After::Ends };
+    // Only the bytes are limited here; the listener limits connections.
+    let Some(mut usage) = gateway.usage.enter(u32::MAX) else { return Disposition::Close };
     gateway.metrics.request_began();
     let body_bytes = limits.map_or(usize::MAX, |limits| limits.body_bytes);
-    let (outcome, after) =
+    let (served, disposition) =
         match read_body(gateway, conn, &head, received_at, body_bytes, &mut usage) {
             Ok(body) => {
-                let ended = answer(gateway, conn, head, body, intent.as_deref(), received_at);
-                let after = After::of(ended.done.is_some_and(|done| done.keep));
-                (ended, after)
+                let served = respond(gateway, conn, head, body, intent.as_deref(), received_at);
+                let keep_alive = served.completion.is_some_and(|completion| completion.keep_alive);
+                (served, Disposition::of(keep_alive))
             }
-            Err(own) => {
-                own.send(conn, false, false);
-                log::info!("event=refused status={} reason={:?}", own.status.as_u16(), own.reason);
-                let ended = Ended { done: Some(done_of(&own, false)), service: String::new() };
-                (ended, After::EndsUnread)
+            Err(refusal) => {
+                refusal.send(conn, false, false);
+                let status = refusal.status.as_u16();
+                log::info!("event=refused status={status} reason={:?}", refusal.reason);
+                let completion = Some(refused_completion(&refusal, false));
+                (ServedRequest { completion, service: String::new() }, Disposition::LingeringClose)
             }
         };
     let took = gateway.clock.now().saturating_duration_since(received_at);
-    let done = outcome.done;
-    let status = done.map_or(0, |done| done.status);
-    let result = done.map_or(Outcome::Unknown, |done| done.outcome);
-    gateway.metrics.request_ended(&outcome.service, status, result, took);
-    after
+    let completion = served.completion;
+    let status = completion.map_or(0, |completion| completion.status);
+    let outcome = completion.map_or(Outcome::Unknown, |completion| completion.outcome);
+    gateway.metrics.request_ended(&served.service, status, outcome, took);
+    disposition
 }
 
-struct Ended {
-    done: Option<Completion>,
+/// A request that was served or refused, for metrics.
+struct ServedRequest {
+    completion: Option<Completion>,
+    /// Empty if the request was refused.
     service: String,
 }
 
-fn done_of(own: &LocalResponse, keep: bool) -> Completion {
-    Completion { status: own.status.as_u16(), outcome: Outcome::NotRun, keep, reason: own.reason }
+fn refused_completion(refusal: &LocalResponse, keep_alive: bool) -> Completion {
+    Completion {
+        status: refusal.status.as_u16(),
+        outcome: Outcome::NotRun,
+        keep_alive,
+        reason: refusal.reason,
+    }
 }
 
-fn refuse_head(conn: &mut Conn, fault: &HeadFault) -> After {
-    let own = match fault {
+fn refuse_head(conn: &mut Conn, fault: &HeadFault) -> Disposition {
+    let refusal = match fault {
         HeadFault::Read(ReadFault::Timeout) => {
             LocalResponse::new(StatusCode::REQUEST_TIMEOUT, "the head did not come in time")
         }
-        HeadFault::Read(_) => return After::Ends,
+        HeadFault::Read(_) => return Disposition::Close,
         HeadFault::TooLarge => LocalResponse::new(
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             "the head is larger than allowed; send fewer or shorter headers",
         ),
-        HeadFault::Bad(what) => LocalResponse::new(StatusCode::BAD_REQUEST, what),
+        HeadFault::Bad(reason) => LocalResponse::new(StatusCode::BAD_REQUEST, reason),
         HeadFault::Coding => LocalResponse::new(
             StatusCode::NOT_IMPLEMENTED,
             "only the transfer coding chunked is understood",
         ),
     };
-    log::info!("event=refused status={} reason={:?}", own.status.as_u16(), own.reason);
-    own.send(conn, false, false);
-    After::EndsUnread
+    log::info!("event=refused status={} reason={:?}", refusal.status.as_u16(), refusal.reason);
+    refusal.send(conn, false, false);
+    Disposition::LingeringClose
 }
 
 fn read_body(
@@ -172,7 +180,7 @@
     conn: &mut Conn,
     head: &RequestHead,
     received_at: Instant,
-    most: usize,
+    max_bytes: usize,
     usage: &mut UsageGuard<'_>,
 ) -> Result<Vec<u8>, LocalResponse> {
     let too_large = || {
@@ -184,53 +192,55 @@
     let framing = head.framing().map_err(|_| {
         LocalResponse::new(StatusCode::BAD_REQUEST, "the body's framing is contradictory")
     })?;
-    if matches!(framing, BodyFraming::Length(length) if length > most as u64) {
+    if matches!(framing, BodyFraming::Length(length) if length > max_bytes as u64) {
         return Err(too_large());
     }
-    let continues = head.header("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
-    if continues {
-        // A caller that is gone is noticed by the read that follows.
-        let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", super::response::CALLER_STALL);
+    let expects_continue =
+        head.header("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
+    if expects_continue {
+        // If the caller has disconnected, the following read fails.
+        let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", super::response::CALLER_WRITE_TIMEOUT);
     }
     let mut reader = BodyReader::new(framing);
-    let idle = gateway.knowledge.idle_time().max(IDLE_TIME_FIRST);
+    let timeout = gateway.knowledge.idle_time().max(IDLE_TIMEOUT_DEFAULT);
     let mut body = Vec::new();
     loop {
-        let piece = match reader.next_by(conn, |conn| conn.fill_beside(received_at + idle, None)) {
+        let piece = match reader.next_by(conn, |conn| conn.fill_beside(received_at + timeout, None))
+        {
             Ok(Some(piece)) => piece,
             Ok(None) => return Ok(body),
             Err(ReadFault::TooLarge) => return Err(too_large()),
-            Err(fault) => return Err(cut_body(&fault)),
+            Err(fault) => return Err(body_refusal(&fault)),
         };
-        if body.len() + piece.len() > most {
+        if body.len() + piece.len() > max_bytes {
             return Err(too_large());
         }
         if !usage.reserve(piece.len() as u64, gateway.settings.body_bytes) {
             return Err(LocalResponse::not_run(
                 "this instance holds as many bytes of bodies as it may; try another one",
-                RETRY_AFTER_FULL,
+                RETRY_AFTER_BODY_LIMIT,
             ));
         }
         body.extend_from_slice(&piece);
     }
 }
 
-fn cut_body(fault: &ReadFault) -> LocalResponse {
+fn body_refusal(fault: &ReadFault) -> LocalResponse {
     if matches!(fault, ReadFault::Timeout) {
         return LocalResponse::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
     }
     LocalResponse::new(StatusCode::BAD_REQUEST, "the body was cut or is not framed")
 }
 
-fn answer(
+fn respond(
     gateway: &Gateway,
     conn: &mut Conn,
     head: RequestHead,
     body: Vec<u8>,
     intent: Option<&Intent>,
     received_at: Instant,
-) -> Ended {
-    let keep = head.keep_alive() && !gateway.drain.is_draining();
+) -> ServedRequest {
+    let keep_alive = head.keep_alive() && !gateway.drain.is_draining();
     let head_only = head.method == Method::HEAD;
     let target = head.target.clone();
     let id = adapter::headers::request_id(&head).unwrap_or_default().to_owned();
@@ -238,65 +248,73 @@
     match admitted.and_then(|request| refuse_held(gateway, request, received_at)) {
         Ok(request) => {
             gateway.note_request(received_at, &request);
-            let (done, decided) = Forwarding::new(gateway, &request).run(conn);
-            log_end(gateway, &request, &done, decided.as_ref());
-            Ended { done: Some(done), service: request.service.to_string() }
+            let (completion, last_attempt) = Forwarding::new(gateway, &request).run(conn);
+            log_completion(gateway, &request, &completion, last_attempt.as_ref());
+            ServedRequest { completion: Some(completion), service: request.service.to_string() }
         }
-        Err(own) => {
-            let keep = own.send(conn, keep, head_only);
+        Err(refusal) => {
+            let keep_alive = refusal.send(conn, keep_alive, head_only);
             log::info!(
                 "event=refused request={id} status={} reason={:?} target={target:?} version={} \
                  version_age_ms={}",
-                own.status.as_u16(),
-                own.reason,
+                refusal.status.as_u16(),
+                refusal.reason,
                 gateway.knowledge.version(),
                 gateway.knowledge.intent_age(received_at).map_or(-1, |age| age.as_millis() as i64)
             );
-            Ended { done: Some(done_of(&own, keep)), service: String::new() }
+            let completion = Some(refused_completion(&refusal, keep_alive));
+            ServedRequest { completion, service: String::new() }
         }
     }
 }
 
-/// Refuses a request that ends the servers that run it: at once, at every instance alike, and with the time after
-/// which it may be tried again.
+/// Refuses a held request, which crashes the servers that run it. All instances refuse it at once, with the time after
+/// which it may be retried.
 fn refuse_held(
     gateway: &Gateway,
     request: Request,
     now: Instant,
 ) -> Result<Request, LocalResponse> {
-    let Some((digest, left)) = gateway.suspicion.held(now, &request) else { return Ok(request) };
+    let Some((digest, held_for)) = gateway.suspicion.held(now, &request) else {
+        return Ok(request);
+    };
     gateway.metrics.refusal(&request.service, "ends_servers");
     log::info!("event=request_held request={} digest={digest}", request.metadata.id);
     Err(LocalResponse::not_run(
         "backend servers ended as they ran this request; it has not run again",
-        left,
+        held_for,
     ))
 }
 
-fn log_end(gateway: &Gateway, request: &Request, done: &Completion, decided: Option<&LastAttempt>) {
+fn log_completion(
+    gateway: &Gateway,
+    request: &Request,
+    completion: &Completion,
+    last_attempt: Option<&LastAttempt>,
+) {
     let now = gateway.clock.now();
     let millis = |age: Option<Duration>| age.map_or(-1, |age| age.as_millis() as i64);
-    let decided = decided.map_or_else(String::new, |d| {
+    let attempt = last_attempt.map_or_else(String::new, |attempt| {
         format!(
             " server={} rank={} load={:.1} bound={:.1} arrivals={} first_ms={}",
-            d.server,
-            d.rank,
-            d.load,
-            d.bound,
-            d.arrivals,
-            millis(d.first_byte_after)
+            attempt.server,
+            attempt.rank,
+            attempt.load,
+            attempt.bound,
+            attempt.arrivals,
+            millis(attempt.first_byte_after)
         )
     });
     log::info!(
         "event=request request={} route={} service={} team={} status={} outcome={} reason={:?} \
-         took_ms={} target_ms={} version={} version_age_ms={} servers_age_ms={}{decided}",
+         took_ms={} target_ms={} version={} version_age_ms={} servers_age_ms={}{attempt}",
         request.metadata.id,
         request.route.name,
         request.service,
         request.team.as_ref().map_or("", TeamName::as_str),
-        done.status,
-        done.outcome,
-        done.reason,
+        completion.status,
+        completion.outcome,
+        completion.reason,
         now.saturating_duration_since(request.received_at).as_millis(),
         request.route.target_latency.as_millis(),
         request.version,
@@ -305,7 +323,7 @@
     );
 }
 
-/// Finds out what a request is and whether it may be served.
+/// Decodes a request and finds its route, team and service, or refuses it.
 fn admit(
     gateway: &Gateway,
     head: RequestHead,
@@ -313,18 +331,18 @@
     intent: Option<&Intent>,
     received_at: Instant,
 ) -> Result<Request, LocalResponse> {
-    let unknowing = |reason| LocalResponse::not_run(reason, RETRY_AFTER_UNKNOWING);
+    let no_intent = |reason| LocalResponse::not_run(reason, RETRY_AFTER_NO_INTENT);
     let Some(intent) = intent else {
-        return Err(unknowing("this instance does not know the configuration yet"));
+        return Err(no_intent("this instance does not know the configuration yet"));
     };
     let metadata = adapter::headers::decode_request(&head)
-        .map_err(|bad| LocalResponse::new(StatusCode::BAD_REQUEST, bad.reason))?;
-    let sure = gateway.intent_is_fresh(received_at);
+        .map_err(|error| LocalResponse::new(StatusCode::BAD_REQUEST, error.reason))?;
+    let is_fresh = gateway.intent_is_fresh(received_at);
     let deny = |status, reason| {
-        if sure {
+        if is_fresh {
             LocalResponse::new(status, reason)
         } else {
-            unknowing("this instance's configuration may be out of date")
+            no_intent("this instance's configuration may be out of date")
         }
     };
     let host = head.header("host").unwrap_or_default();
@@ -336,11 +354,11 @@
         return Err(deny(StatusCode::UNAUTHORIZED, "the key is not known; send a team's key"));
     }
     let Some(service) = route.service_for(share_point(route, &metadata)) else {
-        return Err(unknowing("the route has no service with a weight above zero"));
+        return Err(no_intent("the route has no service with a weight above zero"));
     };
     let limit = route.timeout;
     if !gateway.drain.has_time_for(received_at, limit) {
-        return Err(LocalResponse::not_run("this instance is leaving", RETRY_AFTER_LEAVING));
+        return Err(LocalResponse::not_run("this instance is leaving", RETRY_AFTER_DRAINING));
     }
     let timeout = metadata.timeout.map_or(limit, |timeout| timeout.min(limit));
     let priority = team.and_then(|team| team.priority).unwrap_or(route.priority);
@@ -364,8 +382,8 @@
     })
 }
 
-/// Returns the point that decides among a route's services: requests with a shared prompt stay
-/// together, the others are spread by their ids.
+/// Returns the hash that selects one of a route's services: requests with a shared prompt go to the same one, the
+/// others are distributed by their ids.
 fn share_point(route: &Route, metadata: &RequestMetadata) -> u64 {
     match metadata.affinity {
         Some(key) if route.affinity => ChatKey::of(&[&route.name, &key.to_string()]).0,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! A request's way to a backend server: picking, sending, trying again, and the final answer.
+//! Forwards a request: picks a backend server, sends the request, retries, and responds to the caller.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
     attempts::{Attempts, Refusal},
     in_flight::{Completion, InFlightGuard, LastAttempt, OpenResponse},
     request::{AttemptHeaders, Request},
-    response::{CALLER_STALL, ResponseMetadata},
+    response::{CALLER_WRITE_TIMEOUT, ResponseMetadata},
     server_call::{self, HeadWait, ServerResponse},
     stall_timer::StallTimer,
     stream,
@@ -25,28 +25,29 @@
     utils::sync::lock,
 };
 
-/// Least time that an idempotent request is given at one server before another is tried.
-const PATIENCE_MIN: Duration = Duration::from_millis(250);
+/// Minimum wait for the response head of an idempotent request before a retry at another server.
+const HEAD_WAIT_MIN: Duration = Duration::from_millis(250);
 
-/// Times a stream's target latency after which another server is tried, where that may be: a full
-/// server is late by less, and callers give up after four times the target.
-const FIRST_EVENT_TARGETS: u32 = 2;
+/// Maximum wait for the head of a resumable stream before a retry at another server, in target latencies of the route.
+/// A server at capacity is late by less, and callers give up after four target latencies.
+const STREAM_HEAD_WAIT_TARGETS: u32 = 2;
 
-/// Time since its first event after which a server has run a request without ending of it: ends by a request came 40 to
-/// 104 ms after the server began to run it.
-const RAN_ON: Duration = Duration::from_millis(500);
+/// Time since the first event after which the request is taken not to crash the server: servers crashed by a request
+/// did so 40 to 104 ms after they began to run it.
+const SURVIVED_AFTER: Duration = Duration::from_millis(500);
 
-/// Part of the retry budget that repeats for slowness leave to repeats for failures.
-const SLOWNESS_RESERVE: f64 = 0.5;
+/// Fraction of the retry budget that is reserved for retries after failures; retries after slow responses cannot use
+/// it.
+const FAILURE_RESERVE: f64 = 0.5;
 
-/// A whole answer of a server.
+/// A response of a server that was read to its end.
 struct BufferedResponse {
     status: StatusCode,
     headers: http::HeaderMap,
     body: Vec<u8>,
 }
 
-/// A request on its way.
+/// A request that is being forwarded.
 pub struct Forwarding<'a> {
     /// The instance.
     pub gateway: &'a Gateway,
@@ -54,64 +55,64 @@
     pub request: &'a Request,
     attempts: Attempts,
     last_failure: Option<BufferedResponse>,
-    /// Why it was refused without being sent.
-    pub(super) refused: Option<Refusal>,
-    /// Cold servers that do not take it.
+    /// Why the request was refused without being sent.
+    pub(super) refusal: Option<Refusal>,
+    /// Cold servers that the request has no permit for.
     denied: Vec<Incarnation>,
     last_attempt: Option<LastAttempt>,
-    /// When it last went out.
+    /// When the request was last sent.
     sent_at: Option<Instant>,
 }
 
 impl<'a> Forwarding<'a> {
-    /// Returns a request that has not been sent anywhere.
+    /// Starts to forward `request`.
     pub fn new(gateway: &'a Gateway, request: &'a Request) -> Forwarding<'a> {
         Forwarding {
             gateway,
             request,
             attempts: Attempts::default(),
             last_failure: None,
-            refused: None,
+            refusal: None,
             denied: Vec::new(),
             last_attempt: None,
             sent_at: None,
         }
     }
 
-    /// Carries the request through and answers the caller on `conn`.
+    /// Forwards the request and sends the response to the caller on `conn`.
     pub fn run(mut self, conn: &mut Conn) -> (Completion, Option<LastAttempt>) {
-        let done = self.carry(conn);
-        (done, self.last_attempt)
+        let completion = self.forward(conn);
+        (completion, self.last_attempt)
     }
 
-    fn carry(&mut self, conn: &mut Conn) -> Completion {
+    fn forward(&mut self, conn: &mut Conn) -> Completion {
         loop {
-            let Some(opened) = self.open(Some(conn), None) else { return self.give_up(conn) };
-            let streams = self.request.route.kind.is_stream();
-            if streams && opened.answer.head.status.is_success() {
-                match stream::pass(self, conn, opened) {
-                    Some(done) => return done,
+            let Some(open) = self.open(Some(conn), None) else { return self.respond_failed(conn) };
+            let is_stream = self.request.route.kind.is_stream();
+            if is_stream && open.response.head.status.is_success() {
+                match stream::relay(self, conn, open) {
+                    Some(completion) => return completion,
                     None => continue,
                 }
             }
-            if let Some(done) = self.pass_whole(conn, opened) {
-                return done;
+            if let Some(completion) = self.relay_buffered(conn, open) {
+                return completion;
             }
         }
     }
 
-    /// Sends the request until a server answers with a head; `None` where no more tries are left.
+    /// Sends the request until a server responds with a head; `None` if no attempt is left.
     ///
-    /// `last_event_id` is the last event of a stream that the caller has.
+    /// `last_event_id` is the last event of a stream that the caller received.
     pub fn open(
         &mut self,
         caller: Option<&Conn>,
         last_event_id: Option<&str>,
     ) -> Option<OpenResponse<'a>> {
-        while self.may_try_again() {
+        while self.may_retry() {
             let now = self.gateway.clock.now();
             if now >= self.request.deadline {
-                self.attempts.out_of_time();
+                self.attempts.note_deadline_passed();
                 return None;
             }
             let wanted = Wanted {
@@ -123,10 +124,10 @@
                 homes: &self.request.homes,
                 admission: (!self.attempts.may_have_run()).then_some(self.request.priority),
             };
-            let (picked, flight) = match self.gateway.pick(now, &wanted) {
+            let (picked, in_flight) = match self.gateway.pick(now, &wanted) {
                 Ok(picked) => picked,
-                Err(why) => {
-                    self.note_pick_error(now, why, wanted.draw());
+                Err(error) => {
+                    self.note_pick_error(now, error, wanted.draw());
                     return None;
                 }
             };
@@ -137,15 +138,15 @@
             if !self.budget_allows(now, &picked) {
                 return None;
             }
-            match self.attempt(caller, &picked, flight, last_event_id) {
-                Ok(opened) => return Some(opened),
+            match self.attempt(caller, &picked, in_flight, last_event_id) {
+                Ok(open) => return Some(open),
                 Err(fault) => self.note_fault(&picked, fault),
             }
         }
         None
     }
 
-    /// Notes that a request that reached a server failed there.
+    /// Records that an attempt at a server failed.
     pub fn note_fault(&mut self, picked: &Picked, fault: AttemptFault) {
         let now = self.gateway.clock.now();
         let server = &picked.server.id;
@@ -153,25 +154,25 @@
         match fault {
             AttemptFault::Connect => picker.unreachable(now, server),
             AttemptFault::CallerGone | AttemptFault::Withheld | AttemptFault::BeforeSend => {}
-            // A refusal counts too: each further request there would spend a repeat.
+            // A refusal counts too: each further request to the server would spend a retry.
             _ => picker.bad(now, server),
         }
         drop(picker);
         self.note_version_fault(picked, fault);
-        self.attempts.failed(server, fault);
+        self.attempts.note_failure(server, fault);
         if fault.ends_connection() {
-            self.note_lost(picked);
+            self.note_connection_lost(picked);
         }
         self.gateway.metrics.attempt(&self.request.service, Some(fault));
         if fault != AttemptFault::CallerGone {
-            let ended = if fault.ends_connection() {
-                format!(" digest={} ran_on={}", self.request.digest(), self.has_run_on())
+            let suspect = if fault.ends_connection() {
+                format!(" digest={} ran_on={}", self.request.digest(), self.has_survived())
             } else {
                 String::new()
             };
             log::info!(
                 "event=attempt_failed request={} server={} rank={} load={:.1} fault={fault:?} \
-                 outcome={} arrivals={}{ended}",
+                 outcome={} arrivals={}{suspect}",
                 self.request.metadata.id,
                 server,
                 picked.rank,
@@ -182,59 +183,60 @@
         }
     }
 
-    /// Notes what a fault says of the version of the server's software: connections fail for reasons of the machine or
-    /// the network too, and say nothing.
+    /// Records a fault as evidence on the server's software version. Failed connections are no evidence, as the machine
+    /// or the network can cause them too.
     fn note_version_fault(&self, picked: &Picked, fault: AttemptFault) {
         let now = self.gateway.clock.now();
         let waited = self.sent_at.map(|at| now.saturating_duration_since(at));
-        let seen = match (fault, waited) {
+        let observation = match (fault, waited) {
             (AttemptFault::Garbage, _) => AnswerSeen::Failed,
             (AttemptFault::HeadTimeout, Some(waited)) => AnswerSeen::Took(waited),
             _ => return,
         };
-        self.note_version(picked, seen);
+        self.note_version(picked, observation);
     }
 
-    /// Notes what an answer says of the version of the server's software.
-    pub fn note_version(&self, picked: &Picked, seen: AnswerSeen) {
-        self.gateway.rollouts.note_answer(&self.request.route.name, &picked.server, seen);
+    /// Records a response as evidence on the server's software version.
+    pub fn note_version(&self, picked: &Picked, observation: AnswerSeen) {
+        self.gateway.rollouts.note_answer(&self.request.route.name, &picked.server, observation);
     }
 
-    fn note_lost(&mut self, picked: &Picked) {
+    /// Records that the connection ended while the server may have been running the request, which may have crashed it.
+    fn note_connection_lost(&mut self, picked: &Picked) {
         let suspicion = &self.gateway.suspicion;
-        suspicion.note_lost(self.gateway, self.request, picked, self.has_run_on());
+        suspicion.note_lost(self.gateway, self.request, picked, self.has_survived());
         if suspicion.ends_here(self.request) {
             self.attempts.hold();
         }
     }
 
-    /// Notes that events have come from the last server.
+    /// Records that events have arrived from the last server.
     pub fn note_running(&mut self) {
         let now = self.gateway.clock.now();
-        if let Some(last_attempt) = &mut self.last_attempt {
-            last_attempt.running.get_or_insert(now);
+        if let Some(attempt) = &mut self.last_attempt {
+            attempt.running_since.get_or_insert(now);
         }
     }
 
-    /// Returns whether the last server has run the request for a while.
-    fn has_run_on(&self) -> bool {
-        let running = self.last_attempt.as_ref().and_then(|last_attempt| last_attempt.running);
+    /// Returns whether the last server has run the request for long enough that the request is unlikely to crash it.
+    fn has_survived(&self) -> bool {
+        let running = self.last_attempt.as_ref().and_then(|attempt| attempt.running_since);
         let time = running.map(|since| self.gateway.clock.now().saturating_duration_since(since));
-        time.is_some_and(|time| time >= RAN_ON)
+        time.is_some_and(|time| time >= SURVIVED_AFTER)
     }
 
-    /// Returns whether what is known allows another try.
-    pub fn may_try_again(&self) -> bool {
-        self.attempts.may_go_on(&self.request.route)
+    /// Returns whether another attempt is allowed.
+    pub fn may_retry(&self) -> bool {
+        self.attempts.may_retry(&self.request.route)
     }
 
     fn budget_allows(&mut self, now: Instant, picked: &Picked) -> bool {
-        if !self.attempts.needs_repeat() {
+        if !self.attempts.needs_retry_grant() {
             return true;
         }
-        let reserve = if self.attempts.was_slow() { SLOWNESS_RESERVE } else { 0.0 };
+        let reserve = if self.attempts.was_slow() { FAILURE_RESERVE } else { 0.0 };
         if self.gateway.take_retry(now, &self.request.service, reserve) {
-            self.attempts.repeat_granted();
+            self.attempts.note_retry_granted();
             self.gateway.metrics.retry(&self.request.service);
             return true;
         }
@@ -250,14 +252,14 @@
         &mut self,
         caller: Option<&Conn>,
         picked: &Picked,
-        flight: InFlightGuard<'a>,
+        in_flight: InFlightGuard<'a>,
         last_event_id: Option<&str>,
     ) -> Result<OpenResponse<'a>, AttemptFault> {
         let (gateway, request) = (self.gateway, self.request);
         let server = &picked.server;
         let once = !request.route.kind.may_run_again();
-        let kept = gateway.conns.take(&server.id, once);
-        let conn = match kept {
+        let idle = gateway.conns.take(&server.id, once);
+        let conn = match idle {
             Some(conn) => conn,
             None => gateway
                 .conns
@@ -265,11 +267,11 @@
                 .map_err(|_| AttemptFault::Connect)?,
         };
         let now = gateway.clock.now();
-        // Another answer of the server may have come while the connection was made.
+        // Another response may have brought a notice of the server while the connection was opened.
         if lock(&gateway.picker).forbids_requests(now, &server.id) {
             return Err(AttemptFault::Withheld);
         }
-        let outgoing = AttemptHeaders {
+        let headers = AttemptHeaders {
             time_left: request.deadline.saturating_duration_since(now),
             server: &server.id.server,
             team: request.team.as_ref(),
@@ -277,7 +279,7 @@
             last_event_id,
             prompt_holder: picked.holder.as_ref().map(|holder| holder.address),
         };
-        self.attempts.sent();
+        self.attempts.note_sent();
         self.sent_at = Some(now);
         gateway.rollouts.note_sent(server);
         self.last_attempt = Some(LastAttempt {
@@ -286,41 +288,50 @@
             load: picked.load,
             bound: picked.bound,
             arrivals: self.attempts.arrivals(),
-            running: None,
+            running_since: None,
             first_byte_after: None,
         });
-        // A caller that leaves ends only what may run again or is a stream: ending anything else
-        // leaves its outcome in doubt.
-        let watched = if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
-        let silence = lock(&gateway.picker).overload(&request.service).silence(picked.wait);
-        let silence = StallTimer::new(gateway, &server.id, silence.map(|time| now + time));
-        let patience = self.patience(now, &server.id);
-        let longer = || {
-            silence.look();
-            if gateway.clock.now() < patience {
-                return Some(silence.until(patience));
+        // A disconnect of the caller ends only idempotent requests and streams: ending any other request would leave
+        // its outcome unknown.
+        let watched_caller =
+            if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
+        let stall_after = lock(&gateway.picker).overload(&request.service).silence(picked.wait);
+        let stall = StallTimer::new(gateway, &server.id, stall_after.map(|time| now + time));
+        let deadline = self.head_deadline(now, &server.id);
+        let extend = || {
+            stall.check();
+            if gateway.clock.now() < deadline {
+                return Some(stall.next_check(deadline));
             }
-            self.longer_patience(&server.id)
+            self.extended_head_deadline(&server.id)
         };
-        let heard =
+        let on_metadata =
             |metadata: &ResponseMetadata| gateway.take_notices(request, &server.id, metadata);
-        let wait = HeadWait { until: silence.until(patience), longer: &longer, heard: &heard };
-        let answer = server_call::send(conn, request, &outgoing, &wait, watched)?;
-        silence.ended();
-        let head = gateway.clock.now();
-        self.take_words(picked, &answer)?;
-        Ok(OpenResponse { answer, picked: picked.clone(), flight, sent: now, head })
+        let wait = HeadWait {
+            deadline: stall.next_check(deadline),
+            extend: &extend,
+            on_metadata: &on_metadata,
+        };
+        let response = server_call::send(conn, request, &headers, &wait, watched_caller)?;
+        stall.finish();
+        let head_at = gateway.clock.now();
+        self.take_metadata(picked, &response)?;
+        Ok(OpenResponse { response, picked: picked.clone(), in_flight, sent_at: now, head_at })
     }
 
-    /// Acts on what a head says beside the answer.
-    fn take_words(&self, picked: &Picked, answer: &ServerResponse) -> Result<(), AttemptFault> {
+    /// Applies the metadata of a response; fails if the response cannot be used.
+    fn take_metadata(
+        &self,
+        picked: &Picked,
+        response: &ServerResponse,
+    ) -> Result<(), AttemptFault> {
         let now = self.gateway.clock.now();
         let server = &picked.server;
         let mut picker = lock(&self.gateway.picker);
-        if let Some(load) = answer.metadata.load {
+        if let Some(load) = response.metadata.load {
             picker.report(now, &server.id, load);
         }
-        if answer.metadata.wrong_server {
+        if response.metadata.wrong_server {
             drop(picker);
             log::warn!(
                 "event=server_replaced request={} server={} address={}",
@@ -330,44 +341,44 @@
             );
             self.gateway.forget_server(&server.id);
         }
-        if answer.metadata.not_run {
+        if response.metadata.not_run {
             return Err(AttemptFault::Refused);
         }
-        if answer.head.status.is_success() && !answer.metadata.signed {
+        if response.head.status.is_success() && !response.metadata.sealed {
             return Err(AttemptFault::Garbage);
         }
         Ok(())
     }
 
-    /// Returns until when a head is awaited before another server is tried.
-    fn patience(&self, now: Instant, server: &Incarnation) -> Instant {
+    /// Returns how long to wait for the response head before a retry at another server.
+    fn head_deadline(&self, now: Instant, server: &Incarnation) -> Instant {
         let route = &self.request.route;
-        if !self.could_go_elsewhere(now, server) {
+        if !self.could_retry_elsewhere(now, server) {
             return self.request.deadline;
         }
-        let patience = match route.kind {
-            RouteKind::ResumableStream => route.target_latency * FIRST_EVENT_TARGETS,
-            _ => route.target_latency.max(PATIENCE_MIN),
+        let wait = match route.kind {
+            RouteKind::ResumableStream => route.target_latency * STREAM_HEAD_WAIT_TARGETS,
+            _ => route.target_latency.max(HEAD_WAIT_MIN),
         };
-        self.request.deadline.min(now + patience)
+        self.request.deadline.min(now + wait)
     }
 
-    /// Returns until when a head is awaited further after the first patience is over; `None` where
-    /// another server is to be tried now, or no time is left.
+    /// Returns how much longer to wait for the response head after its first deadline; `None` to retry at another
+    /// server now, or if the request is out of time.
     ///
-    /// What was free elsewhere when the wait began, a server or a repeat, may have been taken since.
-    fn longer_patience(&self, server: &Incarnation) -> Option<Instant> {
+    /// The server or the retry that was available when the wait started may have been used meanwhile.
+    fn extended_head_deadline(&self, server: &Incarnation) -> Option<Instant> {
         let now = self.gateway.clock.now();
-        if now >= self.request.deadline || self.could_go_elsewhere(now, server) {
+        if now >= self.request.deadline || self.could_retry_elsewhere(now, server) {
             return None;
         }
-        Some(self.request.deadline.min(now + PATIENCE_MIN))
+        Some(self.request.deadline.min(now + HEAD_WAIT_MIN))
     }
 
-    /// Returns whether a request that `server` is slow with could be sent to another one: giving
-    /// it up without that would only lose it.
-    pub fn could_go_elsewhere(&self, now: Instant, server: &Incarnation) -> bool {
-        if !self.attempts.may_go_on_after_this(&self.request.route) {
+    /// Returns whether a request that is slow at `server` could be retried at another one. Otherwise ending the attempt
+    /// would only lose the request.
+    pub fn could_retry_elsewhere(&self, now: Instant, server: &Incarnation) -> bool {
+        if !self.attempts.may_retry_after_current(&self.request.route) {
             return false;
         }
         let mut tried = self.attempts.servers().to_vec();
@@ -381,55 +392,56 @@
             homes: &self.request.homes,
             admission: Some(self.request.priority),
         };
-        let other = lock(&self.gateway.picker).pick(now, &wanted).is_ok();
-        other && self.gateway.has_retry(now, &self.request.service, SLOWNESS_RESERVE)
+        let has_other = lock(&self.gateway.picker).pick(now, &wanted).is_ok();
+        has_other && self.gateway.has_retry(now, &self.request.service, FAILURE_RESERVE)
     }
 
-    fn pass_whole(&mut self, conn: &mut Conn, opened: OpenResponse<'a>) -> Option<Completion> {
-        let times = (opened.sent, opened.head);
-        let OpenResponse { mut answer, picked, flight, .. } = opened;
+    /// Reads a response to its end and sends it to the caller; `None` if it failed and another attempt is allowed.
+    fn relay_buffered(&mut self, conn: &mut Conn, open: OpenResponse<'a>) -> Option<Completion> {
+        let times = (open.sent_at, open.head_at);
+        let OpenResponse { mut response, picked, in_flight, .. } = open;
         let caller =
             if self.request.route.kind == RouteKind::AtMostOnce { None } else { Some(&*conn) };
-        let body = match answer.whole(self.request.deadline, caller) {
+        let body = match response.read_body(self.request.deadline, caller) {
             Ok(body) => body,
             Err(fault) => {
-                drop(flight);
+                drop(in_flight);
                 self.note_fault(&picked, fault);
-                return self.end_unless_again(conn);
+                return self.respond_failed_unless_retry(conn);
             }
         };
-        drop(flight);
-        let whole = BufferedResponse {
-            status: answer.head.status,
-            headers: adapter::answers::passed_on(&answer.head),
+        drop(in_flight);
+        let buffered = BufferedResponse {
+            status: response.head.status,
+            headers: adapter::answers::passed_on(&response.head),
             body,
         };
-        self.keep_connection(&picked.server.id, answer);
-        if whole.status.is_server_error() {
+        self.keep_connection(&picked.server.id, response);
+        if buffered.status.is_server_error() {
             lock(&self.gateway.picker).bad(self.gateway.clock.now(), &picked.server.id);
             self.note_version(&picked, AnswerSeen::Failed);
-            self.attempts.answered_with_error(&picked.server.id);
+            self.attempts.note_server_error(&picked.server.id);
             log::info!(
                 "event=server_error request={} server={} status={}",
                 self.request.metadata.id,
                 picked.server.id,
-                whole.status.as_u16()
+                buffered.status.as_u16()
             );
-            self.last_failure = Some(whole);
-            return self.end_unless_again(conn);
+            self.last_failure = Some(buffered);
+            return self.respond_failed_unless_retry(conn);
         }
-        self.note_good(&picked, times.0, times.1);
+        self.note_success(&picked, times.0, times.1);
         let took = times.1.saturating_duration_since(times.0);
         self.note_version(&picked, AnswerSeen::Took(took));
-        Some(self.send_whole(conn, &whole, "answered"))
+        Some(self.send_buffered(conn, &buffered, "answered"))
     }
 
-    /// Notes a good answer to a request sent at `sent`, whose head came at `head` and whose end now.
-    pub fn note_good(&self, picked: &Picked, sent: Instant, head: Instant) {
+    /// Records a successful response that ends now, to a request sent at `sent_at`, whose head arrived at `head_at`.
+    pub fn note_success(&self, picked: &Picked, sent_at: Instant, head_at: Instant) {
         let now = self.gateway.clock.now();
         let times = AnswerTimes {
-            head: head.saturating_duration_since(sent),
-            rest: now.saturating_duration_since(head),
+            head: head_at.saturating_duration_since(sent_at),
+            rest: now.saturating_duration_since(head_at),
         };
         let mut picker = lock(&self.gateway.picker);
         picker.good(now, &picked.server.id);
@@ -439,66 +451,71 @@
         self.gateway.metrics.attempt(&self.request.service, None);
     }
 
-    fn end_unless_again(&mut self, conn: &mut Conn) -> Option<Completion> {
-        if self.may_try_again() { None } else { Some(self.give_up(conn)) }
+    /// Responds to a failed request; `None` if another attempt is allowed.
+    pub fn respond_failed_unless_retry(&mut self, conn: &mut Conn) -> Option<Completion> {
+        if self.may_retry() { None } else { Some(self.respond_failed(conn)) }
     }
 
-    /// Keeps the connection of an answer that was read to its end.
-    pub fn keep_connection(&self, server: &Incarnation, answer: ServerResponse) {
-        let keep_alive_for = answer.metadata.keep_alive_for;
-        let Some(conn) = answer.into_reusable() else { return };
-        let most = self.gateway.connections_of(&self.request.service);
-        self.gateway.conns.keep(server, conn, keep_alive_for, most);
+    /// Returns the connection of a response that was read to its end to the pool.
+    pub fn keep_connection(&self, server: &Incarnation, response: ServerResponse) {
+        let keep_alive_for = response.metadata.keep_alive_for;
+        let Some(conn) = response.into_reusable() else { return };
+        let max_connections = self.gateway.connections_of(&self.request.service);
+        self.gateway.conns.keep(server, conn, keep_alive_for, max_connections);
     }
 
-    /// Notes that the caller gets the first bytes of a server's answer now.
+    /// Records that the first bytes of a server's response are sent to the caller now.
     pub fn note_first_byte(&mut self) {
         let took = self.gateway.clock.now().saturating_duration_since(self.request.received_at);
         self.gateway.metrics.first_byte(&self.request.service, took);
-        if let Some(last_attempt) = &mut self.last_attempt {
-            last_attempt.first_byte_after = Some(took);
+        if let Some(attempt) = &mut self.last_attempt {
+            attempt.first_byte_after = Some(took);
         }
     }
 
-    fn send_whole(
+    fn send_buffered(
         &mut self,
         conn: &mut Conn,
-        whole: &BufferedResponse,
+        response: &BufferedResponse,
         reason: &'static str,
     ) -> Completion {
         self.note_first_byte();
-        let keep = self.keep_alive();
-        let note = AnswerNote::plain(keep);
+        let keep_alive = self.keep_alive();
+        let note = AnswerNote::plain(keep_alive);
         let head_only = self.request.method == Method::HEAD;
-        let (headers, body) = (&whole.headers, &whole.body);
-        let sent = send_whole(conn, CALLER_STALL, whole.status, headers, &note, body, head_only);
+        let BufferedResponse { status, headers, body } = response;
+        let sent = send_whole(conn, CALLER_WRITE_TIMEOUT, *status, headers, &note, body, head_only);
         Completion {
-            status: whole.status.as_u16(),
+            status: status.as_u16(),
             outcome: Outcome::Run,
-            keep: keep && sent.is_ok(),
+            keep_alive: keep_alive && sent.is_ok(),
             reason,
         }
     }
 
-    /// Gives the final answer of a request that no server answered.
-    pub fn give_up(&mut self, conn: &mut Conn) -> Completion {
+    /// Responds to a request that no server served: with the last server error, if there is one.
+    pub fn respond_failed(&mut self, conn: &mut Conn) -> Completion {
         if self.attempts.caller_left() {
             return Completion {
                 status: 0,
                 outcome: Outcome::Unknown,
-                keep: false,
+                keep_alive: false,
                 reason: "caller left",
             };
         }
-        if let Some(whole) = self.last_failure.take() {
-            return self.send_whole(conn, &whole, "server error");
+        if let Some(response) = self.last_failure.take() {
+            return self.send_buffered(conn, &response, "server error");
+        }
+        let time_left = self.request.deadline.saturating_duration_since(self.gateway.clock.now());
+        let response = self.attempts.local_response(self.refusal, time_left);
+        let head_only = self.request.method == Method::HEAD;
+        let keep_alive = response.send(conn, self.keep_alive(), head_only);
+        Completion {
+            status: response.status.as_u16(),
+            outcome: self.attempts.outcome(),
+            keep_alive,
+            reason: response.reason,
         }
-        let left = self.request.deadline.saturating_duration_since(self.gateway.clock.now());
-        let own = self.attempts.local_response(self.refused, left);
-        let keep = self.keep_alive();
-        let keep = own.send(conn, keep, self.request.method == Method::HEAD);
-        let status = own.status.as_u16();
-        Completion { status, outcome: self.attempts.outcome(), keep, reason: own.reason }
     }
 
     /// Returns whether the caller's connection may serve another request after this one.
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -1,4 +1,4 @@
-//! What one request has come to: where it is under way, what decided that, and how it ended.
+//! The state of a request in flight: its last attempt, its response in progress, and how it completed.
 
 use std::time::{Duration, Instant};
 
@@ -9,53 +9,53 @@
     utils::sync::lock,
 };
 
-/// How a request ended.
+/// How a request completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Completion {
-    /// Status that the caller got; 0 where it left before any.
+    /// Status sent to the caller; 0 if it disconnected before.
     pub status: u16,
     /// Whether the request ran.
     pub outcome: Outcome,
     /// Whether the connection may serve another request.
-    pub keep: bool,
-    /// What decided the end.
+    pub keep_alive: bool,
+    /// Why the request completed this way, for logs.
     pub reason: &'static str,
 }
 
-/// What decided where a request went, for its log line.
+/// The last attempt of a request, for its log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LastAttempt {
-    /// Last server that it was sent to.
+    /// Server that the request was sent to.
     pub server: Incarnation,
-    /// The server's place in the request's rank.
+    /// Position of the server in the request's rendezvous ranking.
     pub rank: usize,
-    /// Its load as believed, in requests.
+    /// Estimated load of the server, in requests.
     pub load: f64,
-    /// The bound that the load was held against.
+    /// Load bound that applied.
     pub bound: f64,
-    /// Times that the request may have arrived somewhere.
+    /// How often the request may have arrived at a server, over all its attempts.
     pub arrivals: u32,
-    /// Since when the server's answer has events or a part of its body.
-    pub running: Option<Instant>,
-    /// Time until the caller had the first bytes of a server's answer.
+    /// When the first event or part of the response body arrived.
+    pub running_since: Option<Instant>,
+    /// Time from the arrival of the request until the first bytes of the response were sent to the caller.
     pub first_byte_after: Option<Duration>,
 }
 
-/// An answer whose head has come from the server that was picked for it.
+/// A response whose head has arrived.
 pub struct OpenResponse<'g> {
-    /// The answer.
-    pub answer: ServerResponse,
-    /// The server.
+    /// The response.
+    pub response: ServerResponse,
+    /// The server that was picked for the request.
     pub picked: Picked,
-    /// Counts the request at the server until it ends.
-    pub flight: InFlightGuard<'g>,
+    /// Counts the request at the server.
+    pub in_flight: InFlightGuard<'g>,
     /// When the request was sent.
-    pub sent: Instant,
-    /// When the answer's head came.
-    pub head: Instant,
+    pub sent_at: Instant,
+    /// When the head of the response arrived.
+    pub head_at: Instant,
 }
 
-/// Counts a request at a server for as long as it lives.
+/// Counts a request as in flight at a server until dropped.
 pub struct InFlightGuard<'g> {
     /// The instance.
     pub gateway: &'g Gateway,
--- a/src/gateway/pick_error.rs
+++ b/src/gateway/pick_error.rs
@@ -1,16 +1,16 @@
-//! A request for which no backend server is picked: when its caller is told to come back.
+//! Refuses a request for which no backend server was picked, and computes its `Retry-After`.
 
 use std::time::{Duration, Instant};
 
 use super::{attempts::Refusal, forward::Forwarding};
 use crate::{routing::Unpicked, utils::sync::lock};
 
-/// Part of a pause by which the last of the callers that were refused during it come back later than the first: together
-/// they would fill the server at once that has just asked for it.
-const RETURN_SPREAD: f64 = 0.05;
+/// Jitter of `Retry-After`, as a fraction of the remaining backoff. Without it all callers refused during the backoff
+/// would return together and overload the server at once.
+const BACKOFF_JITTER: f64 = 0.05;
 
 impl Forwarding<'_> {
-    /// Notes why no server was picked, for the final answer.
+    /// Records why no server was picked, for the response to the caller.
     pub(super) fn note_pick_error(&mut self, now: Instant, why: Unpicked, draw: f64) {
         let request = self.request;
         let (admitted, wait) = match why {
@@ -18,15 +18,15 @@
             Unpicked::Backoff { left } => return self.note_backoff(left, draw),
             Unpicked::NoServer => return,
         };
-        // Callers heed a third of the time that they have left, at most.
-        let most = request.deadline.saturating_duration_since(now) / 3;
+        // Callers accept at most a third of their remaining time as `Retry-After`.
+        let max = request.deadline.saturating_duration_since(now) / 3;
         let target = request.route.target_latency;
-        let after = {
+        let retry_after = {
             let mut picker = lock(&self.gateway.picker);
             let overload = picker.overload(&request.service);
-            overload.refuse(now, admitted, draw, target, most)
+            overload.refuse(now, admitted, draw, target, max)
         };
-        self.refused = Some(Refusal::overload(after));
+        self.refusal = Some(Refusal::overload(retry_after));
         self.gateway.metrics.refusal(&request.service, "overload");
         log::info!(
             "event=overload request={} service={} priority={} admitted={admitted:.2} wait_ms={} \
@@ -35,20 +35,20 @@
             request.service,
             request.priority,
             wait.as_millis(),
-            after.as_millis()
+            retry_after.as_millis()
         );
     }
 
-    /// Notes that all servers want no requests until `left` is over.
+    /// Refuses a request because all servers back off; the first of them accepts requests after `left`.
     fn note_backoff(&mut self, left: Duration, draw: f64) {
-        let after = left.mul_f64(1.0 + RETURN_SPREAD * draw);
-        self.refused = Some(Refusal::backoff(after));
+        let retry_after = left.mul_f64(1.0 + BACKOFF_JITTER * draw);
+        self.refusal = Some(Refusal::backoff(retry_after));
         self.gateway.metrics.refusal(&self.request.service, "backoff");
         log::info!(
             "event=all_back_off request={} service={} retry_after_ms={}",
             self.request.metadata.id,
             self.request.service,
-            after.as_millis()
+            retry_after.as_millis()
         );
     }
 }
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -1,4 +1,5 @@
-//! Answers: what a backend server's head says, and the router's own final answers.
+//! Responses: the metadata in the head of a backend server's response, and the responses that this instance writes
+//! itself.
 
 use std::time::Duration;
 
@@ -13,54 +14,54 @@
     routing::LoadReport,
 };
 
-/// Longest wait for a caller that takes no bytes.
-pub const CALLER_STALL: Duration = Duration::from_secs(5);
+/// Maximum wait for a caller that accepts no bytes.
+pub const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a backend server's head says beside the answer itself.
+/// What the head of a backend server's response carries beside the response itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// Id of the request that is answered.
+    /// Id of the request that the response is for.
     pub request_id: Option<String>,
-    /// Whether the answer is proved to be the server's own.
-    pub signed: bool,
+    /// Whether the response has the seal that shows it to be the server's own.
+    pub sealed: bool,
     /// Whether the server has not run the request.
     pub not_run: bool,
-    /// Whether another server than the expected one answered.
+    /// Whether a server other than the expected one responded.
     pub wrong_server: bool,
     /// The server's load.
     pub load: Option<LoadReport>,
-    /// How long the server keeps the connection open.
+    /// How long the server keeps the connection open while idle.
     pub keep_alive_for: Option<Duration>,
-    /// Whether the server is leaving.
+    /// Whether the server announces that it is leaving.
     pub leaving: bool,
-    /// For how long the server, which turned the request away, wants no other one of this instance.
+    /// How long this instance must send no further request to the server, which rejected this one.
     pub backoff: Option<Duration>,
 }
 
-/// A final answer of the router's own.
+/// A response written by this instance itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// What happened and what to do, for the caller and the log.
     pub reason: &'static str,
-    /// When another try makes sense; only where nothing has run.
+    /// When to retry; only if the request has not run.
     pub retry_after: Option<Duration>,
 }
 
 impl LocalResponse {
-    /// Returns an answer without a time to come back.
+    /// Returns a response without `Retry-After`.
     pub fn new(status: StatusCode, reason: &'static str) -> LocalResponse {
         LocalResponse { status, reason, retry_after: None }
     }
 
-    /// Returns the refusal of a request that has not run and will not.
+    /// Returns the refusal of a request that has not run.
     pub fn not_run(reason: &'static str, retry_after: Duration) -> LocalResponse {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         LocalResponse { status, reason, retry_after: Some(retry_after) }
     }
 
-    /// Writes the answer; returns whether the connection may serve another request.
+    /// Sends the response; returns whether the connection may serve another request.
     pub fn send(&self, conn: &mut Conn, keep_alive: bool, head_only: bool) -> bool {
         let mut headers = HeaderMap::new();
         headers.insert("content-type", HeaderValue::from_static("text/plain"));
@@ -69,7 +70,8 @@
         }
         let note = AnswerNote::plain(keep_alive);
         let body = self.reason.as_bytes();
-        let sent = send_whole(conn, CALLER_STALL, self.status, &headers, &note, body, head_only);
+        let sent =
+            send_whole(conn, CALLER_WRITE_TIMEOUT, self.status, &headers, &note, body, head_only);
         sent.is_ok() && keep_alive
     }
 }
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend server: sent once, and every failure says what is known of it.
+//! One attempt at one backend server: the request is sent once, and each failure says whether it can have run.
 
 use std::time::Instant;
 
@@ -17,37 +17,38 @@
     },
 };
 
-/// Largest head of an answer, in bytes.
-const HEAD_MAX: usize = 64 << 10;
+/// Largest head of a response.
+const HEAD_BYTES_MAX: usize = 64 << 10;
 
-/// Largest answer that is collected before it is passed on, in bytes.
-const WHOLE_MAX: usize = 32 << 20;
+/// Largest response body that is buffered before it is sent to the caller.
+const BODY_BYTES_MAX: usize = 32 << 20;
 
-/// Answers of other requests that are passed over on one connection.
-const FOREIGN_MAX: usize = 2;
+/// Responses to other requests that are skipped on one connection.
+const FOREIGN_RESPONSES_MAX: usize = 2;
 
-/// How long the head of an answer is awaited.
+/// How long to wait for the head of a response.
 pub struct HeadWait<'a> {
-    /// When the wait is over, or is looked at anew.
-    pub until: Instant,
-    /// Says until when to wait on; `None` gives the attempt up.
-    pub longer: &'a dyn Fn() -> Option<Instant>,
-    /// Takes what the server says of itself, whatever its answer is and whichever request it is for.
-    pub heard: &'a dyn Fn(&ResponseMetadata),
+    /// When the wait ends, or `extend` is called.
+    pub deadline: Instant,
+    /// Returns the next deadline; `None` ends the attempt.
+    pub extend: &'a dyn Fn() -> Option<Instant>,
+    /// Receives the metadata of each response head, including responses to other requests.
+    pub on_metadata: &'a dyn Fn(&ResponseMetadata),
 }
 
-/// A backend server's answer whose body is still to be read.
+/// A response of a backend server whose body has not been read.
 pub struct ServerResponse {
     /// Head.
     pub head: ResponseHead,
-    /// What the head says beside the answer.
+    /// Metadata from the head.
     pub metadata: ResponseMetadata,
     conn: Conn,
     body: BodyReader,
-    request_whole: bool,
+    /// Whether the request was sent to its end before the response head arrived.
+    request_sent: bool,
 }
 
-/// Sends a request on `conn` and reads the answer's head, as long as `wait` says.
+/// Sends a request on `conn` and waits for the head of the response as `wait` says.
 ///
 /// With a `caller`, the attempt ends as soon as the caller closes its connection.
 ///
@@ -57,79 +58,79 @@
 pub fn send(
     mut conn: Conn,
     request: &Request,
-    outgoing: &AttemptHeaders<'_>,
+    headers: &AttemptHeaders<'_>,
     wait: &HeadWait<'_>,
     caller: Option<&Conn>,
 ) -> Result<ServerResponse, AttemptFault> {
-    let until = wait.until;
-    let bytes = request_bytes(request, outgoing);
-    let sent = match conn.send_until_answered(&bytes, until, caller) {
+    let deadline = wait.deadline;
+    let bytes = request_bytes(request, headers);
+    let sent = match conn.send_until_answered(&bytes, deadline, caller) {
         Ok(sent) => sent,
         Err((_, ReadFault::GivenUp)) => return Err(AttemptFault::CallerGone),
         Err((0, _)) => return Err(AttemptFault::BeforeSend),
         Err((_, ReadFault::Timeout)) => return Err(AttemptFault::HeadTimeout),
         Err(_) => return Err(AttemptFault::AfterSend),
     };
-    let request_whole = sent == bytes.len();
-    for _ in 0..=FOREIGN_MAX {
+    let request_sent = sent == bytes.len();
+    for _ in 0..=FOREIGN_RESPONSES_MAX {
         let head = read_head(&mut conn, wait, caller)?;
         let metadata = adapter::answers::decode(&head);
-        (wait.heard)(&metadata);
+        (wait.on_metadata)(&metadata);
         let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
         let mut body = BodyReader::new(framing);
-        let own = metadata.request_id.as_deref().is_none_or(|id| id == request.metadata.id);
-        if own {
-            return Ok(ServerResponse { head, metadata, conn, body, request_whole });
+        let is_own = metadata.request_id.as_deref().is_none_or(|id| id == request.metadata.id);
+        if is_own {
+            return Ok(ServerResponse { head, metadata, conn, body, request_sent });
         }
-        // A second answer to an earlier request; this request's own comes behind it.
+        // A second response to an earlier request; the response to this one follows it.
         log::warn!(
             "event=foreign_answer request={} server={}",
             request.metadata.id,
-            outgoing.server
+            headers.server
         );
-        while next_piece(&mut conn, &mut body, until, caller)?.is_some() {}
+        while next_piece(&mut conn, &mut body, deadline, caller)?.is_some() {}
     }
     Err(AttemptFault::Foreign)
 }
 
 impl ServerResponse {
-    /// Returns the next piece of the body as soon as it is there; `None` at its true end.
+    /// Returns the next piece of the body as soon as it arrives; `None` at the end that its framing announces.
     ///
     /// # Errors
     ///
-    /// The body was cut, stalled, is not framed as announced, or the caller left.
-    pub fn next(
+    /// The body was cut or stalled, its framing is invalid, or the caller disconnected.
+    pub fn next_piece(
         &mut self,
-        until: Instant,
+        deadline: Instant,
         caller: Option<&Conn>,
     ) -> Result<Option<Vec<u8>>, AttemptFault> {
-        next_piece(&mut self.conn, &mut self.body, until, caller)
+        next_piece(&mut self.conn, &mut self.body, deadline, caller)
     }
 
-    /// Reads the whole body.
+    /// Reads the body to its end.
     ///
     /// # Errors
     ///
-    /// As [`ServerAnswer::next`]; a body of over 32 MiB is `Garbage`.
-    pub fn whole(
+    /// As [`ServerResponse::next_piece`]; a body of over 32 MiB is `Garbage`.
+    pub fn read_body(
         &mut self,
-        until: Instant,
+        deadline: Instant,
         caller: Option<&Conn>,
     ) -> Result<Vec<u8>, AttemptFault> {
-        let mut whole = Vec::new();
-        while let Some(piece) = self.next(until, caller)? {
-            whole.extend_from_slice(&piece);
-            if whole.len() > WHOLE_MAX {
+        let mut body = Vec::new();
+        while let Some(piece) = self.next_piece(deadline, caller)? {
+            body.extend_from_slice(&piece);
+            if body.len() > BODY_BYTES_MAX {
                 return Err(AttemptFault::Garbage);
             }
         }
-        Ok(whole)
+        Ok(body)
     }
 
     /// Returns the connection, if it may carry another request.
     pub fn into_reusable(self) -> Option<Conn> {
-        let clean = self.body.is_done() && self.conn.buffered().is_empty();
-        (clean && self.request_whole && self.head.keep_alive()).then_some(self.conn)
+        let is_clean = self.body.is_done() && self.conn.buffered().is_empty();
+        (is_clean && self.request_sent && self.head.keep_alive()).then_some(self.conn)
     }
 }
 
@@ -138,16 +139,18 @@
     wait: &HeadWait<'_>,
     caller: Option<&Conn>,
 ) -> Result<ResponseHead, AttemptFault> {
-    let mut until = wait.until;
+    let mut deadline = wait.deadline;
     loop {
-        match ResponseHead::take_buffered(conn, HEAD_MAX) {
+        match ResponseHead::take_buffered(conn, HEAD_BYTES_MAX) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
             Err(_) => return Err(AttemptFault::Garbage),
         }
-        match conn.fill_beside(until, caller) {
+        match conn.fill_beside(deadline, caller) {
             Ok(()) => {}
-            Err(ReadFault::Timeout) => until = (wait.longer)().ok_or(AttemptFault::HeadTimeout)?,
+            Err(ReadFault::Timeout) => {
+                deadline = (wait.extend)().ok_or(AttemptFault::HeadTimeout)?
+            }
             Err(ReadFault::GivenUp) => return Err(AttemptFault::CallerGone),
             Err(_) => return Err(AttemptFault::AfterSend),
         }
@@ -157,10 +160,10 @@
 fn next_piece(
     conn: &mut Conn,
     body: &mut BodyReader,
-    until: Instant,
+    deadline: Instant,
     caller: Option<&Conn>,
 ) -> Result<Option<Vec<u8>>, AttemptFault> {
-    body.next_by(conn, |conn| conn.fill_beside(until, caller)).map_err(body_fault)
+    body.next_by(conn, |conn| conn.fill_beside(deadline, caller)).map_err(body_fault)
 }
 
 fn body_fault(fault: ReadFault) -> AttemptFault {
@@ -172,16 +175,17 @@
     }
 }
 
-fn request_bytes(request: &Request, outgoing: &AttemptHeaders<'_>) -> Vec<u8> {
-    let headers = adapter::headers::encode_request(&request.headers, outgoing);
+fn request_bytes(request: &Request, headers: &AttemptHeaders<'_>) -> Vec<u8> {
+    let headers = adapter::headers::encode_request(&request.headers, headers);
     let mut buf = Vec::with_capacity(1024 + request.body.len());
     buf.extend_from_slice(request.method.as_str().as_bytes());
     buf.push(b' ');
     buf.extend_from_slice(request.target.as_bytes());
     buf.extend_from_slice(b" HTTP/1.1\r\n");
     write_headers(&mut buf, &headers);
-    let bodiless = matches!(request.method, Method::GET | Method::HEAD) && request.body.is_empty();
-    if !bodiless {
+    let has_no_body =
+        matches!(request.method, Method::GET | Method::HEAD) && request.body.is_empty();
+    if !has_no_body {
         write_header(&mut buf, "content-length", request.body.len().to_string().as_bytes());
     }
     buf.extend_from_slice(b"\r\n");
--- a/src/gateway/stall_timer.rs
+++ b/src/gateway/stall_timer.rs
@@ -1,5 +1,4 @@
-//! A server's silence towards one request, as evidence against the server long before the request's own
-//! time is over.
+//! Counts a stalled request as evidence against its backend server, long before the request itself times out.
 
 use std::{
     cell::Cell,
@@ -9,46 +8,52 @@
 use super::Gateway;
 use crate::{routing::Incarnation, utils::sync::lock};
 
-/// How late a wait may end for its silence to count: later, this instance itself stood still or is short of
-/// processor time, and the answer may be there.
-const LATE_MAX: Duration = Duration::from_millis(100);
+/// How late the check may run for a stall to count. After a longer delay this instance itself was suspended or short of
+/// processor time, and the response may have arrived unread.
+const CHECK_DELAY_MAX: Duration = Duration::from_millis(100);
 
-/// A wait for a server's next bytes.
+/// A wait for the next bytes of a server's response.
 pub struct StallTimer<'g> {
     gateway: &'g Gateway,
     server: &'g Incarnation,
-    /// When the silence speaks against the server.
-    from: Option<Instant>,
-    looked: Cell<bool>,
+    /// When the wait becomes a stall.
+    stalls_at: Option<Instant>,
+    checked: Cell<bool>,
     counted: Cell<bool>,
 }
 
 impl<'g> StallTimer<'g> {
-    /// Returns a wait that speaks against `server` from `from` on; `None` where no wait does.
+    /// Starts a wait that counts against `server` from `stalls_at` on; with `None` it never counts.
     pub fn new(
         gateway: &'g Gateway,
         server: &'g Incarnation,
-        from: Option<Instant>,
+        stalls_at: Option<Instant>,
     ) -> StallTimer<'g> {
-        StallTimer { gateway, server, from, looked: Cell::new(false), counted: Cell::new(false) }
+        StallTimer {
+            gateway,
+            server,
+            stalls_at,
+            checked: Cell::new(false),
+            counted: Cell::new(false),
+        }
     }
 
-    /// Returns when to look next, at `end` at the latest.
-    pub fn until(&self, end: Instant) -> Instant {
-        match self.from {
-            Some(from) if !self.looked.get() => from.min(end),
+    /// Returns when to call [`StallTimer::check`] next, at most `end`.
+    pub fn next_check(&self, end: Instant) -> Instant {
+        match self.stalls_at {
+            Some(stalls_at) if !self.checked.get() => stalls_at.min(end),
             _ => end,
         }
     }
 
-    /// Counts the silence if it is time.
-    pub fn look(&self) {
+    /// Counts the stall if it is due.
+    pub fn check(&self) {
         let now = self.gateway.clock.now();
-        let Some(from) = self.from else { return };
-        if now < from || self.looked.replace(true) {
+        let Some(stalls_at) = self.stalls_at else { return };
+        if now < stalls_at || self.checked.replace(true) {
             return;
         }
-        if now.saturating_duration_since(from) > LATE_MAX {
+        if now.saturating_duration_since(stalls_at) > CHECK_DELAY_MAX {
             return;
         }
         self.counted.set(true);
@@ -57,14 +62,14 @@
         }
     }
 
-    /// Notes that bytes have come.
-    pub fn ended(&self) {
+    /// Ends the wait: bytes have arrived.
+    pub fn finish(&self) {
         if self.counted.get() {
             lock(&self.gateway.picker).spoke(self.gateway.clock.now(), self.server);
         }
     }
 
-    /// Returns whether the silence has counted against the server.
+    /// Returns whether the stall has counted against the server.
     pub fn has_counted(&self) -> bool {
         self.counted.get()
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Passes a stream of events on, event by event, and goes on at another backend server where the
-//! route allows that.
+//! Relays an event stream to the caller event by event, and resumes it at another backend server if the route allows
+//! it.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use super::{
     forward::Forwarding,
     in_flight::{Completion, OpenResponse},
-    response::CALLER_STALL,
+    response::CALLER_WRITE_TIMEOUT,
     server_call::ServerResponse,
 };
 use crate::{
@@ -21,102 +21,105 @@
     routing::{AnswerSeen, EventSplitter, RouteKind},
 };
 
-/// Times the route's longest pause after which a stream that may be resumed is taken to another
-/// server: later, its caller gives up (at eight times).
-const STALL_PAUSES: u32 = 3;
+/// Time without an event after which a resumable stream is resumed at another server, in gap targets of the route.
+/// Callers give up after eight gap targets.
+const STALL_GAP_TARGETS: u32 = 3;
 
-/// Least time before a silent stream is taken to another server.
-const STALL_MIN: Duration = Duration::from_millis(500);
+/// Minimum time without an event after which a stream is resumed at another server.
+const STALL_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
-/// Pieces after the first from which a stream's pace is known.
-const PACE_PIECES: u32 = 3;
+/// Minimum number of pieces after the first for a stream's interval between pieces to be known.
+const INTERVAL_PIECES_MIN: u32 = 3;
 
-/// How fast a server's pieces come, which, unlike the time of the first, does not hang on what the server keeps of the
-/// prompt.
-struct Pace {
-    first: Instant,
+/// Measures the mean interval between the pieces of a stream. Unlike the time of the first piece, it does not depend on
+/// how much of the prompt the server has cached.
+struct PieceInterval {
+    first_at: Instant,
     pieces: u32,
 }
 
-/// One source of events: a server's answer and how its bytes become events.
+/// A response that events are read from.
 struct Source<'g> {
-    opened: OpenResponse<'g>,
-    splits: bool,
+    open: OpenResponse<'g>,
+    /// Whether the body is split into events; otherwise each piece is relayed as it arrives.
+    is_event_stream: bool,
 }
 
-/// What a source brought.
-enum Brought {
+/// The result of reading from a source.
+enum SourceRead {
     Events(Vec<u8>),
     End,
     Fault(AttemptFault),
 }
 
-/// Passes an opened stream on; `None` where it failed before its first event and may be tried
-/// again.
-pub fn pass(
+/// Relays a stream to the caller; `None` if it failed before its first event and another attempt is allowed.
+pub fn relay(
     forwarding: &mut Forwarding<'_>,
     conn: &mut Conn,
-    opened: OpenResponse<'_>,
+    open: OpenResponse<'_>,
 ) -> Option<Completion> {
     let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event_id.clone());
-    let status = opened.answer.head.status;
-    let headers = adapter::answers::passed_on(&opened.answer.head);
-    let mut source = Source::new(opened);
+    let status = open.response.head.status;
+    let headers = adapter::answers::passed_on(&open.response.head);
+    let mut source = Source::new(open);
     let first = match next_events(forwarding, &mut source, &mut splitter, conn) {
-        Brought::Events(events) => events,
-        Brought::End => Vec::new(),
-        Brought::Fault(fault) => {
-            let picked = source.opened.picked.clone();
+        SourceRead::Events(events) => events,
+        SourceRead::End => Vec::new(),
+        SourceRead::Fault(fault) => {
+            let picked = source.open.picked.clone();
             drop(source);
             forwarding.note_fault(&picked, fault);
-            return if forwarding.may_try_again() { None } else { Some(forwarding.give_up(conn)) };
+            return forwarding.respond_failed_unless_retry(conn);
         }
     };
     let request = forwarding.request;
     forwarding.note_running();
     forwarding.note_first_byte();
-    let keep = forwarding.keep_alive() && !request.http10;
-    let note = AnswerNote::plain(keep);
+    let keep_alive = forwarding.keep_alive() && !request.http10;
+    let note = AnswerNote::plain(keep_alive);
     let framing = if request.http10 { AnswerBody::UntilClose } else { AnswerBody::Chunked };
     let code = status.as_u16();
-    let ended =
-        |keep, reason| Some(Completion { status: code, outcome: Outcome::Run, keep, reason });
-    let started = AnswerWriter::start(conn, CALLER_STALL, status, &headers, &note, framing, &first);
-    let Ok(mut writer) = started else { return ended(false, "caller left") };
-    let mut pace = Pace::new(forwarding.gateway.clock.now());
+    let completed = |keep_alive, reason| {
+        Some(Completion { status: code, outcome: Outcome::Run, keep_alive, reason })
+    };
+    let started =
+        AnswerWriter::start(conn, CALLER_WRITE_TIMEOUT, status, &headers, &note, framing, &first);
+    let Ok(mut writer) = started else { return completed(false, "caller left") };
+    let mut interval = PieceInterval::new(forwarding.gateway.clock.now());
     loop {
         match next_events(forwarding, &mut source, &mut splitter, writer.conn()) {
-            Brought::Events(events) => {
+            SourceRead::Events(events) => {
                 forwarding.note_running();
-                pace.piece();
+                interval.count_piece();
                 if writer.piece(&events).is_err() {
-                    return ended(false, "caller left");
+                    return completed(false, "caller left");
                 }
             }
-            Brought::End => {
-                let OpenResponse { picked, sent, head, .. } = &source.opened;
-                forwarding.note_good(picked, *sent, *head);
-                forwarding.note_version(picked, pace.seen(forwarding.gateway.clock.now()));
-                let OpenResponse { answer, picked, .. } = source.opened;
-                forwarding.keep_connection(&picked.server.id, answer);
+            SourceRead::End => {
+                let OpenResponse { picked, sent_at, head_at, .. } = &source.open;
+                forwarding.note_success(picked, *sent_at, *head_at);
+                let observation = interval.observation(forwarding.gateway.clock.now());
+                forwarding.note_version(picked, observation);
+                let OpenResponse { response, picked, .. } = source.open;
+                forwarding.keep_connection(&picked.server.id, response);
                 let sent = writer.end().is_ok();
-                return ended(sent && keep, "answered");
+                return completed(sent && keep_alive, "answered");
             }
-            Brought::Fault(AttemptFault::CallerGone) => return ended(false, "caller left"),
-            Brought::Fault(fault) => {
-                let picked = source.opened.picked.clone();
+            SourceRead::Fault(AttemptFault::CallerGone) => return completed(false, "caller left"),
+            SourceRead::Fault(fault) => {
+                let picked = source.open.picked.clone();
                 drop(source);
                 forwarding.note_fault(&picked, fault);
                 splitter.drop_rest();
                 match resume(forwarding, writer.conn(), &splitter) {
                     Some(next) => {
                         source = next;
-                        pace = Pace::new(forwarding.gateway.clock.now());
+                        interval = PieceInterval::new(forwarding.gateway.clock.now());
                     }
                     None => {
-                        // Nothing may follow that makes the cut answer look whole.
+                        // No further bytes are sent, so that the response does not look complete.
                         writer.cut(&[]);
-                        return ended(false, "stream broke");
+                        return completed(false, "stream broke");
                     }
                 }
             }
@@ -124,59 +127,60 @@
     }
 }
 
-/// Opens the rest of a broken stream at another server.
+/// Resumes a broken stream at another server; `None` if no server resumes it.
 fn resume<'a>(
     forwarding: &mut Forwarding<'a>,
     caller: &Conn,
     splitter: &EventSplitter,
 ) -> Option<Source<'a>> {
-    let last = splitter.last_id()?.to_owned();
-    while forwarding.may_try_again() {
-        let opened = forwarding.open(Some(caller), Some(&last))?;
-        if opened.answer.head.status.is_success() {
+    let last_event_id = splitter.last_id()?.to_owned();
+    while forwarding.may_retry() {
+        let open = forwarding.open(Some(caller), Some(&last_event_id))?;
+        if open.response.head.status.is_success() {
             log::info!(
-                "event=stream_resumed request={} server={} after_event={last}",
+                "event=stream_resumed request={} server={} after_event={last_event_id}",
                 forwarding.request.metadata.id,
-                opened.picked.server.id
+                open.picked.server.id
             );
             forwarding.gateway.metrics.resumed(&forwarding.request.service);
-            return Some(Source::new(opened));
+            return Some(Source::new(open));
         }
-        let picked = opened.picked.clone();
-        drop(opened);
+        let picked = open.picked.clone();
+        drop(open);
         forwarding.note_fault(&picked, AttemptFault::AfterSend);
     }
     None
 }
 
-impl Pace {
-    fn new(first: Instant) -> Pace {
-        Pace { first, pieces: 0 }
+impl PieceInterval {
+    fn new(first_at: Instant) -> PieceInterval {
+        PieceInterval { first_at, pieces: 0 }
     }
 
-    fn piece(&mut self) {
+    fn count_piece(&mut self) {
         self.pieces += 1;
     }
 
-    /// Returns what the pace says of the server, whose last piece came at `end`.
-    fn seen(&self, end: Instant) -> AnswerSeen {
-        if self.pieces < PACE_PIECES {
+    /// Returns the evidence on the server's version; the last piece arrived at `end`.
+    fn observation(&self, end: Instant) -> AnswerSeen {
+        if self.pieces < INTERVAL_PIECES_MIN {
             return AnswerSeen::Untimed;
         }
-        AnswerSeen::Took(end.saturating_duration_since(self.first) / self.pieces)
+        AnswerSeen::Took(end.saturating_duration_since(self.first_at) / self.pieces)
     }
 }
 
 impl<'g> Source<'g> {
-    fn new(opened: OpenResponse<'g>) -> Source<'g> {
-        let headers = &opened.answer.head.headers;
-        let kind = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-        let splits = kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
-        Source { opened, splits }
+    fn new(open: OpenResponse<'g>) -> Source<'g> {
+        let headers = &open.response.head.headers;
+        let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+        let is_event_stream =
+            content_type.is_some_and(|value| value.starts_with("text/event-stream"));
+        Source { open, is_event_stream }
     }
 
-    fn answer(&mut self) -> &mut ServerResponse {
-        &mut self.opened.answer
+    fn response(&mut self) -> &mut ServerResponse {
+        &mut self.open.response
     }
 }
 
@@ -185,40 +189,40 @@
     source: &mut Source<'_>,
     splitter: &mut EventSplitter,
     caller: &Conn,
-) -> Brought {
+) -> SourceRead {
     loop {
-        let until = stall_end(forwarding);
-        let piece = match source.answer().next(until, Some(caller)) {
+        let deadline = stall_deadline(forwarding);
+        let piece = match source.response().next_piece(deadline, Some(caller)) {
             Ok(Some(piece)) => piece,
             Ok(None) => {
                 let rest = splitter.rest();
-                return if rest.is_empty() { Brought::End } else { Brought::Events(rest) };
+                return if rest.is_empty() { SourceRead::End } else { SourceRead::Events(rest) };
             }
-            Err(AttemptFault::StalledBody) if waits_on(forwarding, source) => continue,
-            Err(fault) => return Brought::Fault(fault),
+            Err(AttemptFault::StalledBody) if keeps_waiting(forwarding, source) => continue,
+            Err(fault) => return SourceRead::Fault(fault),
         };
-        let events = if source.splits { splitter.push(&piece) } else { piece };
+        let events = if source.is_event_stream { splitter.push(&piece) } else { piece };
         if !events.is_empty() {
-            return Brought::Events(events);
+            return SourceRead::Events(events);
         }
     }
 }
 
-/// Returns whether a silent source is waited for still: there is time left, and no other server
-/// to go on at.
-fn waits_on(forwarding: &Forwarding<'_>, source: &Source<'_>) -> bool {
+/// Returns whether to keep waiting for a stalled source: the request has time left, and no other server can resume the
+/// stream.
+fn keeps_waiting(forwarding: &Forwarding<'_>, source: &Source<'_>) -> bool {
     let now = forwarding.gateway.clock.now();
-    let server = &source.opened.picked.server.id;
-    now < forwarding.request.deadline && !forwarding.could_go_elsewhere(now, server)
+    let server = &source.open.picked.server.id;
+    now < forwarding.request.deadline && !forwarding.could_retry_elsewhere(now, server)
 }
 
-/// Returns when a silent source counts as stalled.
-fn stall_end(forwarding: &Forwarding<'_>) -> Instant {
+/// Returns when a source without further bytes counts as stalled.
+fn stall_deadline(forwarding: &Forwarding<'_>) -> Instant {
     let request = forwarding.request;
     if request.route.kind != RouteKind::ResumableStream {
         return request.deadline;
     }
-    let pause = request.route.gap_target.unwrap_or(request.route.target_latency);
-    let stall = (pause * STALL_PAUSES).max(STALL_MIN);
-    request.deadline.min(forwarding.gateway.clock.now() + stall)
+    let gap = request.route.gap_target.unwrap_or(request.route.target_latency);
+    let timeout = (gap * STALL_GAP_TARGETS).max(STALL_TIMEOUT_MIN);
+    request.deadline.min(forwarding.gateway.clock.now() + timeout)
 }
