--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -1,5 +1,4 @@
-//! An instance on a platform: the way of a request, against stand-ins of the store and of listed
-//! backend servers.
+//! Requests through a gateway instance, against stand-ins for the store and for listed backend servers.
 
 use std::time::Duration;
 
@@ -17,7 +16,7 @@
 };
 
 #[test]
-fn a_request_reaches_a_server_unchanged_but_for_what_is_ours() {
+fn a_request_is_forwarded_unchanged_except_for_the_headers_that_cartvane_sets() {
     let world = start(1);
     let target = "/idem/a%20b/../c?q=1&x=%2F";
     let sent = call(target, "r1")
@@ -26,11 +25,11 @@
         .with("x-kept", "as it is")
         .with("connection", "keep-alive, x-dropped")
         .with("x-dropped", "hop by hop");
-    let answer = world.send(&sent);
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.text(), expected(target, b"some body"));
-    assert_eq!(answer.header("x-response-seal"), "s0");
-    assert_eq!(answer.header("x-request-id"), "r1");
+    let response = world.send(&sent);
+    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!(response.text(), expected(target, b"some body"));
+    assert_eq!(response.header("x-response-seal"), "s0");
+    assert_eq!(response.header("x-request-id"), "r1");
     let arrived = world.servers[0].arrivals().pop().expect("an arrival");
     let header = |name| arrived.head.header(name);
     assert_eq!(arrived.head.target, target);
@@ -47,17 +46,17 @@
 }
 
 #[test]
-fn a_stream_comes_event_by_event_with_its_head() {
+fn a_stream_is_relayed_event_by_event() {
     let world = start(1);
-    let answer = world.send(&call("/stream/x", "r1"));
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.text(), events(1));
-    assert!(answer.pieces.len() > EVENTS / 2, "{:?}", answer.pieces);
-    assert_eq!(answer.header("x-response-seal"), "s0");
+    let response = world.send(&call("/stream/x", "r1"));
+    assert_eq!((response.status, response.whole), (200, true));
+    assert_eq!(response.text(), events(1));
+    assert!(response.pieces.len() > EVENTS / 2, "{:?}", response.pieces);
+    assert_eq!(response.header("x-response-seal"), "s0");
 }
 
 #[test]
-fn what_may_not_be_served_is_refused_and_does_not_run() {
+fn invalid_and_unauthorized_requests_are_refused_and_do_not_run() {
     let world = start(1);
     let no_key = Call { headers: vec![("x-request-id".into(), "k".into())], ..call("/idem/", "k") };
     let cases: [(&str, Call, u16); 9] = [
@@ -84,19 +83,19 @@
     for ms in ["-5", "0", "NaN", "1e400"] {
         assert_eq!(world.send(&only(ms)).status, 400, "deadline {ms}");
     }
-    assert_eq!(world.servers[0].total_runs(), 1, "the first of two deadlines was a good one");
+    assert_eq!(world.servers[0].total_runs(), 1, "the first of two deadlines applies");
     let public =
         Call { headers: vec![("x-request-id".into(), "p".into())], ..call("/public/", "p") };
     assert_eq!(world.send(&public).status, 200);
 }
 
-/// Each fault of a server, met by each kind of request: the status that the caller gets, and how
-/// often the request ran.
+/// Each server fault with an idempotent request and one that may run only once: the status that the caller gets, and
+/// how often the request ran.
 #[test]
-fn faults_of_servers_are_answered_truly() {
+fn server_faults_give_the_expected_status_and_number_of_runs() {
     let world = start_sharing(3);
     let stall = Fault::StallHead(Duration::from_millis(1500));
-    // (fault of the first server met, status and runs of an idempotent request, of another)
+    // (fault of the first server, status and runs of an idempotent request, status and runs of one that runs only once)
     let table = [
         (Fault::None, (200, 1), (200, 1)),
         (Fault::RefuseNotRun, (200, 1), (200, 1)),
@@ -113,43 +112,44 @@
     ];
     for (number, (fault, idempotent, once)) in table.into_iter().enumerate() {
         for (path, (status, runs)) in [("/idem/", idempotent), ("/once/", once)] {
-            // A server whose address answered as another is forgotten until it is listed anew.
+            // A server whose address responded as another server is removed until it is listed again.
             for server in &world.servers {
                 world.store.put("servers", &server.id, &server.entry("app", "ready"));
             }
             let instance = spawn("fresh", world.store.address(), Vec::new());
             eventually("ready", || instance.gateway().is_ready());
             let id = format!("{path}{number}");
-            // Whichever server is met first has the fault, the others have none.
+            // The servers share one queue of faults: the first one to get the request has the fault, the others have
+            // none.
             world.servers[0].faults.clear();
             world.servers[0].faults.push([fault]);
-            let answer = call(path, &id).send(instance.callers());
-            let led_to = || log_lines::with(&[&format!("request={id} ")]);
-            assert_eq!(answer.status, status, "{fault:?} {path}{}", led_to());
-            assert_eq!(world.runs(&id), runs, "{fault:?} {path}{}", led_to());
+            let response = call(path, &id).send(instance.callers());
+            let log = || log_lines::with(&[&format!("request={id} ")]);
+            assert_eq!(response.status, status, "{fault:?} {path}{}", log());
+            assert_eq!(world.runs(&id), runs, "{fault:?} {path}{}", log());
             if status == 200 {
-                assert_eq!(answer.text(), expected(path, b"some body"), "{fault:?} {path}");
-                assert!(answer.whole, "{fault:?} {path}");
+                assert_eq!(response.text(), expected(path, b"some body"), "{fault:?} {path}");
+                assert!(response.whole, "{fault:?} {path}");
             }
         }
     }
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_and_is_true() {
+fn a_refusal_has_a_retry_after_and_the_request_has_not_run() {
     let world = start(2);
     world.fault(Fault::RefuseNotRun);
     for path in ["/idem/", "/once/", "/stream/"] {
-        let answer = world.send(&call(path, path));
-        assert_eq!(answer.status, 503, "{path}");
-        let after: f64 = answer.header("retry-after").parse().expect("a time");
-        assert!(after > 0.0 && after < 1.0, "{after}");
+        let response = world.send(&call(path, path));
+        assert_eq!(response.status, 503, "{path}");
+        let retry_after: f64 = response.header("retry-after").parse().expect("a time");
+        assert!(retry_after > 0.0 && retry_after < 1.0, "{retry_after}");
         assert_eq!(world.runs(path), 0);
     }
 }
 
 #[test]
-fn an_unreachable_server_is_passed_over() {
+fn an_unreachable_server_is_skipped() {
     let mut world = start(3);
     world.servers[0].stop();
     for number in 0..20 {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_goes_on_where_the_route_allows_it() {
+fn a_broken_stream_is_resumed_if_the_route_allows_it() {
     for fault in [
         Fault::BreakAfter(3),
         Fault::BreakAfter(0),
@@ -172,66 +172,66 @@
         world.servers[0].faults.clear();
         for number in 0..4 {
             let id = format!("r{number}");
-            let answer = world.send(&call("/stream-resumable/x", &id));
-            let led_to = || log_lines::with(&[&format!("request={id} ")]);
-            assert_eq!((answer.status, answer.whole), (200, true), "{fault:?}{}", led_to());
-            assert_eq!(answer.text(), events(1), "{fault:?}{}", led_to());
+            let response = world.send(&call("/stream-resumable/x", &id));
+            let log = || log_lines::with(&[&format!("request={id} ")]);
+            assert_eq!((response.status, response.whole), (200, true), "{fault:?}{}", log());
+            assert_eq!(response.text(), events(1), "{fault:?}{}", log());
         }
     }
 }
 
 #[test]
-fn a_stream_that_breaks_and_may_not_go_on_does_not_look_whole() {
+fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
     let world = start(2);
     world.fault(Fault::BreakAfter(3));
-    let answer = world.send(&call("/stream/x", "r1"));
-    assert_eq!((answer.status, answer.whole), (200, false));
-    assert!(events(1).starts_with(&answer.text()), "only whole events, in order");
+    let response = world.send(&call("/stream/x", "r1"));
+    assert_eq!((response.status, response.whole), (200, false));
+    assert!(events(1).starts_with(&response.text()), "only whole events, in order");
     assert_eq!(world.runs("r1"), 1);
     world.fault(Fault::CloseAfterRun);
-    let answer = world.send(&call("/stream/x", "r2"));
-    assert_eq!(answer.status, 502);
+    let response = world.send(&call("/stream/x", "r2"));
+    assert_eq!(response.status, 502);
     assert_eq!(world.runs("r2"), 1);
 }
 
 #[test]
-fn at_the_routes_timeout_there_is_a_final_answer() {
+fn a_request_gets_a_response_at_the_timeout_of_its_route() {
     let world = start(2);
     world.fault(Fault::StallHead(Duration::from_secs(2)));
-    let answer = world.send(&call("/short/", "r1"));
-    assert_eq!(answer.status, 504);
+    let response = world.send(&call("/short/", "r1"));
+    assert_eq!(response.status, 504);
     assert_eq!(world.runs("r1"), 1);
 }
 
-/// A slow server is not given up on where no other can take the request over.
+/// A request stays at a slow server if no other server can take it.
 #[test]
-fn a_slow_answer_is_waited_for_where_nobody_else_can_give_one() {
+fn a_slow_response_is_awaited_if_no_other_server_can_respond() {
     let world = start(1);
     world.fault(Fault::Late(Duration::from_millis(700)));
     assert_eq!(world.send(&call("/idem/", "r1")).status, 200);
     assert_eq!(world.runs("r1"), 1);
 }
 
-/// What was free elsewhere when the wait began may be taken by the time that patience is over: a request
-/// that is given up then is only lost.
+/// The retry that was available when the wait started may be taken before the wait ends. Ending the attempt then would
+/// only lose the request.
 #[test]
-fn a_slow_answer_is_waited_for_where_the_last_repeat_was_taken_meanwhile() {
+fn a_slow_response_is_awaited_if_the_last_retry_was_taken_meanwhile() {
     let world = start(2);
     world.fault(Fault::Late(Duration::from_millis(900)));
     let callers = world.instance.callers();
     let caller = std::thread::spawn(move || call("/idem/", "r1").send(callers));
-    eventually("it is under way", || world.runs("r1") == 1);
+    eventually("the request is in flight", || world.runs("r1") == 1);
     let gateway = world.instance.gateway();
     let (now, service) = (gateway.clock.now(), "app".parse().expect("a name"));
     while gateway.take_retry(now, &service, 0.0) {}
-    assert_eq!(caller.join().expect("an answer").status, 200);
+    assert_eq!(caller.join().expect("a response").status, 200);
     assert_eq!(world.runs("r1"), 1);
 }
 
-/// What waits at a server in vain speaks against it long before its own time is over, also where it may run
+/// Requests that get no response count as evidence against their server long before they time out, even if they may run
 /// only once.
 #[test]
-fn a_silent_server_is_passed_over_before_its_requests_have_failed() {
+fn an_unresponsive_server_is_skipped_before_its_requests_have_failed() {
     let world = start(2);
     for number in 0..20 {
         assert_eq!(world.send(&call("/once/", &format!("w{number}"))).status, 200);
@@ -241,25 +241,26 @@
     let waiting: Vec<_> = (0..12)
         .map(|i| std::thread::spawn(move || call("/once/", &format!("s{i}")).send(callers).status))
         .collect();
-    let silent = world.servers[0].id.parse().expect("an id");
+    let unresponsive = world.servers[0].id.parse().expect("an id");
     let gateway = world.instance.gateway();
-    eventually("it is passed over", || {
+    eventually("the server is skipped", || {
         let now = gateway.clock.now();
         let picker = gateway.picker.lock().expect("the picker");
         let servers = gateway.knowledge.with_servers(|r| {
-            r.servers().find(|server| server.id == silent).map(|server| server.tag())
+            r.servers().find(|server| server.id == unresponsive).map(|server| server.tag())
         });
         servers.is_some_and(|tag| picker.own_silent(now).contains(&tag))
     });
-    assert!(waiting.iter().any(|caller| !caller.is_finished()), "none of those has failed yet");
-    let answers: Vec<u16> =
-        waiting.into_iter().map(|caller| caller.join().expect("an answer")).collect();
-    assert!(answers.contains(&200), "the other server answers");
+    assert!(waiting.iter().any(|caller| !caller.is_finished()), "no request has failed yet");
+    let statuses: Vec<u16> =
+        waiting.into_iter().map(|caller| caller.join().expect("a response")).collect();
+    assert!(statuses.contains(&200), "the other server responds");
 }
 
-/// Whatever a request's kind, what may end with its caller does, before its first byte and after.
+/// An idempotent request ends with its caller's connection before the first byte of its response, and a stream after
+/// it.
 #[test]
-fn a_caller_that_leaves_ends_its_stream() {
+fn a_caller_that_disconnects_ends_its_request() {
     let world = start(1);
     for fault in
         [Fault::StallHead(Duration::from_secs(3)), Fault::SilentAfter(2, Duration::from_secs(3))]
@@ -274,43 +275,43 @@
             let picker = world.instance.gateway().picker.lock().expect("the picker");
             picker.in_flight().map(|(_, own)| own).sum::<u32>()
         };
-        eventually("it is under way", || in_flight() == 1);
+        eventually("the request is in flight", || in_flight() == 1);
         conn.cut();
-        eventually("it has ended", || in_flight() == 0);
+        eventually("the request has ended", || in_flight() == 0);
     }
 }
 
-/// A request that may run once is carried through when its caller only closes its sending side.
+/// A request that may run only once is finished if its caller closes only the sending side.
 #[test]
-fn a_caller_that_half_closes_still_gets_its_answer() {
+fn a_caller_that_half_closes_still_gets_its_response() {
     use std::io::{Read, Write};
     let world = start(1);
     world.fault(Fault::Late(Duration::from_millis(200)));
     let mut stream = std::net::TcpStream::connect(world.instance.callers()).expect("connected");
     stream.write_all(&call("/once/", "r1").bytes()).expect("sent");
     stream.shutdown(std::net::Shutdown::Write).expect("half closed");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_order() {
+fn pipelined_requests_get_their_responses_in_order() {
     use std::io::{Read, Write};
     let world = start(1);
     let mut stream = std::net::TcpStream::connect(world.instance.callers()).expect("connected");
     let last = call("/once/", "r3").with("connection", "close").bytes();
     let all = [call("/once/", "r1").bytes(), call("/idem/", "r2").bytes(), last].concat();
     stream.write_all(&all).expect("sent");
-    let mut answers = String::new();
-    stream.read_to_string(&mut answers).expect("answers");
+    let mut responses = String::new();
+    stream.read_to_string(&mut responses).expect("responses");
     let ids: Vec<&str> =
-        answers.lines().filter_map(|line| line.strip_prefix("x-request-id: ")).collect();
+        responses.lines().filter_map(|line| line.strip_prefix("x-request-id: ")).collect();
     assert_eq!(ids, ["r1", "r2", "r3"]);
 }
 
 #[test]
-fn metrics_tell_of_requests_and_of_what_is_believed() {
+fn metrics_cover_requests_and_the_cluster_state() {
     let world = start(1);
     (0..3).for_each(|i| assert_eq!(world.send(&call("/idem/", &format!("r{i}"))).status, 200));
     let get = Call { method: "GET".into(), ..call("/metrics", "m") };
@@ -321,29 +322,29 @@
         "cartvane_store_calls_total{kind=\"rows\",result=\"done\"}",
         "cartvane_retry_budget_spent{service=\"app\"} 0",
     ] {
-        assert!(text.contains(name), "{name} is not in {text}");
+        assert!(text.contains(name), "{name} is missing in {text}");
     }
 }
 
 #[test]
-fn kept_connections_serve_request_after_request() {
+fn kept_connections_serve_several_requests() {
     let world = start(1);
     let mut conn =
         Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
             .expect("a connection");
     for number in 0..10 {
         let target = if number % 2 == 0 { "/once/" } else { "/stream/" };
-        let answer = call(target, &format!("r{number}")).send_on(&mut conn);
-        assert_eq!((answer.status, answer.whole), (200, true), "{number}");
+        let response = call(target, &format!("r{number}")).send_on(&mut conn);
+        assert_eq!((response.status, response.whole), (200, true), "{number}");
     }
 }
 
 #[test]
-fn a_drain_finishes_what_is_under_way_and_refuses_what_cannot_finish() {
+fn a_drain_finishes_requests_in_flight_and_closes_idle_connections() {
     let mut world = start(1);
     world.fault(Fault::Late(Duration::from_millis(600)));
     let callers = world.instance.callers();
-    let under_way = std::thread::spawn(move || call("/once/", "r1").send(callers));
+    let in_flight = std::thread::spawn(move || call("/once/", "r1").send(callers));
     std::thread::sleep(Duration::from_millis(200));
     let idle = Conn::connect(callers, Duration::from_secs(1), &Clock::system()).expect("a conn");
     let instance = world.instance;
@@ -352,26 +353,26 @@
     std::thread::sleep(Duration::from_millis(100));
     let ready = Call { method: "GET".into(), ..call("/v1/ready", "x") }.send(readiness);
     assert_eq!(ready.status, 503);
-    let answer = call("/idem/", "r2").send(callers);
-    assert_eq!((answer.status, answer.header("connection")), (200, "close"));
-    assert_eq!(under_way.join().expect("an answer").status, 200);
+    let response = call("/idem/", "r2").send(callers);
+    assert_eq!((response.status, response.header("connection")), (200, "close"));
+    assert_eq!(in_flight.join().expect("a response").status, 200);
     let (clean, instance) = draining.join().expect("a drain");
     assert!(clean);
     assert_ne!(idle.state(), cartvane::link::http1::conn::ConnState::Open);
     world.instance = instance;
 }
 
-// Many streams that break off at the same time, whose next runs break off too: as many go on as the budget of all
-// allows, none runs more often than its route allows, and those beyond end as what they are.
+// Many streams break at the same time, and break again after each resumption. The retry budget must bound how many are
+// resumed, no request may run more often than its route allows, and every stream must end as incomplete.
 #[test]
-fn streams_that_break_off_together_go_on_within_the_budget() {
+fn streams_that_break_together_are_resumed_within_the_retry_budget() {
     const STREAMS: usize = 40;
     const SLACK: usize = 10;
     let world = start(3);
     let mut tight = settings("tight", world.store.address(), Vec::new());
     tight.bounds.retries.slack = SLACK as f64;
     let instance = GatewayHandle::spawn(tight, &Clock::system()).expect("an instance");
-    eventually("it is ready", || instance.gateway().is_ready());
+    eventually("the instance is ready", || instance.gateway().is_ready());
     world.fault(Fault::BreakAfter(2));
     let callers = instance.callers();
     let streams: Vec<_> = (0..STREAMS)
@@ -380,9 +381,9 @@
         })
         .collect();
     for (number, stream) in streams.into_iter().enumerate() {
-        let answer = stream.join().expect("an answer");
-        assert_eq!((answer.status, answer.whole), (200, false), "stream {number}");
-        assert!(events(1).starts_with(&answer.text()), "only whole events, each once, in order");
+        let response = stream.join().expect("a response");
+        assert_eq!((response.status, response.whole), (200, false), "stream {number}");
+        assert!(events(1).starts_with(&response.text()), "only whole events, each once, in order");
         assert!((1..=3).contains(&world.runs(&format!("r{number}"))), "stream {number}");
     }
     let runs: u32 = world.servers.iter().map(|server| server.total_runs()).sum();
--- a/tests/suite/idle_callers.rs
+++ b/tests/suite/idle_callers.rs
@@ -1,4 +1,4 @@
-//! Many connections that are open and silent, at one instance.
+//! Many idle connections of callers at one instance.
 
 use std::{io::Write as _, net::SocketAddr, time::Duration};
 
@@ -11,14 +11,15 @@
     support::eventually,
 };
 
-/// Threads of an instance at rest: the main one, a listener each for callers, instances, readiness and metrics,
-/// one for all idle connections, and one each for intent, servers, exchange, instances' table and log; one more
-/// may just be answering.
-const THREADS_AT_REST: usize = 12;
+/// Threads of an idle instance: the main one, a listener each for callers, instances, readiness and metrics, one that
+/// polls all idle connections, and one each for intent, servers, exchange, instance table and log. One more may be
+/// serving a request.
+const IDLE_THREADS: usize = 12;
 
-const IDLE: usize = 300;
+const IDLE_CONNS: usize = 300;
 
-const SLOW: usize = 40;
+/// Connections whose callers have sent a part of a request.
+const SLOW_CONNS: usize = 40;
 
 fn threads(process: &Process) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.child.id()));
@@ -31,15 +32,15 @@
     Conn::connect(to, Duration::from_secs(2), &Clock::system()).expect("a connection")
 }
 
-fn ask(id: &str) -> Call {
+fn request(id: &str) -> Call {
     Call::post("/once/", KEY, "body").with("x-request-id", id).with("x-deadline-ms", 4000)
 }
 
-// Each connection had a thread, also for the seconds in which nothing was asked on it: 45 threads an instance and
-// 11,300 on one machine with 295 instances in calm, 13,600 in trouble. At five times the callers the machine had no
-// room for more, and instances ended where a thread could not be made.
+// With a thread per connection, also while it was idle, each instance had 45 threads: 11,300 on one machine with 295
+// instances without faults, and 13,600 with faults. With five times the callers the machine ran out of threads, and
+// instances exited when a thread could not be created.
 #[test]
-fn idle_connections_hold_no_thread_and_are_served_when_they_ask() {
+fn idle_connections_hold_no_thread_and_their_next_request_is_served() {
     let store = StoreStandIn::spawn().expect("a store");
     let server = Listed::spawn("s0").expect("a server");
     store.put("servers", "s0", &server.entry("app", "ready"));
@@ -54,14 +55,14 @@
         line[name].as_str().and_then(|a| a.parse().ok()).expect("an address")
     };
     let callers = address(&started, "callers");
-    eventually("it is served", || ask("first").send(callers).status == 200);
-    let mut idle: Vec<Conn> = (0..IDLE).map(|_| connect(callers)).collect();
+    eventually("a request is served", || request("first").send(callers).status == 200);
+    let mut idle: Vec<Conn> = (0..IDLE_CONNS).map(|_| connect(callers)).collect();
     for (number, conn) in idle.iter_mut().enumerate().step_by(2) {
-        assert_eq!(ask(&format!("a{number}")).send_on(conn).status, 200);
+        assert_eq!(request(&format!("a{number}")).send_on(conn).status, 200);
     }
-    eventually("idle connections hold no thread", || threads(&process) <= THREADS_AT_REST);
-    // Callers that are slow to send their request hold one each, and keep nobody else waiting.
-    let slow: Vec<_> = (0..SLOW)
+    eventually("idle connections hold no thread", || threads(&process) <= IDLE_THREADS);
+    // Callers that send their request slowly hold one thread each and do not delay other callers.
+    let slow: Vec<_> = (0..SLOW_CONNS)
         .map(|_| {
             let conn = connect(callers);
             conn.handle().expect("a handle").write_all(b"POST /once/").expect("some bytes");
@@ -69,12 +70,12 @@
         })
         .collect();
     for (number, conn) in idle.iter_mut().enumerate() {
-        assert_eq!(ask(&format!("b{number}")).send_on(conn).status, 200);
+        assert_eq!(request(&format!("b{number}")).send_on(conn).status, 200);
     }
     drop(slow);
-    eventually("none is held afterwards", || threads(&process) <= THREADS_AT_REST);
+    eventually("closed connections hold no thread", || threads(&process) <= IDLE_THREADS);
     drop(idle);
-    assert_eq!(ask("last").send(callers).status, 200);
+    assert_eq!(request("last").send(callers).status, 200);
     assert_eq!(json!(server.runs("b0")), json!(1));
     std::fs::remove_file(path).expect("the file is removed");
 }
--- a/tests/suite/silent_links.rs
+++ b/tests/suite/silent_links.rs
@@ -1,4 +1,4 @@
-//! Open connections that go silent for good, without an end, while new ones work.
+//! Open connections that stop delivering bytes without being closed, while new connections work.
 
 use std::time::{Duration, Instant};
 
@@ -18,14 +18,14 @@
     world::{call, intent, route, settings},
 };
 
-/// Longest time in which a new configuration is in force: a call of the store that is under way may be silent for 0.9 s,
-/// and the next one brings it.
-const IN_FORCE_BY: Duration = Duration::from_secs(4);
+/// Maximum time until a new configuration is active: a store call in flight may stall for 0.9 s, and the next one
+/// returns the configuration.
+const ACTIVE_WITHIN: Duration = Duration::from_secs(4);
 
-// Connections to the store went silent for good: a call that waits for changes cannot tell that from a store with
-// nothing to say. The instance finds it by the time that it gives the call, and reads on a new connection.
+// Connections to the store stop delivering bytes. A call that waits for changes cannot distinguish that from a store
+// without changes, so the instance must time the call out and read on a new connection.
 #[test]
-fn a_configuration_comes_though_the_connections_to_the_store_are_silent() {
+fn a_configuration_arrives_although_the_connections_to_the_store_have_stalled() {
     let store = StoreStandIn::spawn().expect("a store");
     let link = MutableLink::spawn(store.address()).expect("a link");
     let server = Listed::spawn("s0").expect("a server");
@@ -41,35 +41,35 @@
     let mut newer = intent(6);
     newer["routes"].as_array_mut().expect("routes").push(route("added", "idempotent", "app"));
     store.put("op", "config", &newer);
-    let began = Instant::now();
+    let started = Instant::now();
     eventually("the new route is served", || send("/added/", "b") == 200);
-    assert!(began.elapsed() < IN_FORCE_BY, "{:?}", began.elapsed());
+    assert!(started.elapsed() < ACTIVE_WITHIN, "{:?}", started.elapsed());
     assert!(link.accepted() > before);
 }
 
-/// A message between instances, with its reply.
+/// An empty message between instances, also used as its reply.
 #[derive(Serialize, Deserialize)]
-struct Nothing {}
+struct Empty {}
 
-// Connections between instances went silent for good: an exchange on one of them is given up after the time that it
-// has, and made again on a new connection at once, instead of the other instance being taken for lost.
+// Connections between instances stop delivering bytes. An exchange on one of them must time out and be repeated at once
+// on a new connection; otherwise the other instance would be taken for lost.
 #[test]
-fn an_exchange_is_made_though_the_kept_connection_is_silent() {
+fn an_exchange_succeeds_although_the_kept_connection_has_stalled() {
     let store = StoreStandIn::spawn().expect("a store");
     store.put("op", "config", &intent(5));
     let settings = settings("one", store.address(), Vec::new());
     let instance = GatewayHandle::spawn(settings, &Clock::system()).expect("an instance");
     let link = MutableLink::spawn(instance.peers()).expect("a link");
-    let time = Duration::from_millis(300);
-    let links = PeerLinks::new(Clock::system(), None, time, Traffic::new(|_, _, _| {}));
-    // Whatever the other one says to a path that it does not know, it has been reached.
+    let timeout = Duration::from_millis(300);
+    let links = PeerLinks::new(Clock::system(), None, timeout, Traffic::new(|_, _, _| {}));
+    // The path is unknown, so a 404 shows that the other instance was reached.
     let reached = || {
-        let reply = links.call::<Nothing>(Purpose::Loads, link.address(), "/unknown", &Nothing {});
+        let reply = links.call::<Empty>(Purpose::Loads, link.address(), "/unknown", &Empty {});
         reply.err().is_some_and(|fault| fault.to_string().contains("404"))
     };
     assert!(reached() && reached());
     let before = link.accepted();
     link.mute();
-    assert!(reached(), "on a new connection");
+    assert!(reached(), "the exchange is repeated on a new connection");
     assert_eq!(link.accepted(), before + 1);
 }
