--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -124,8 +124,8 @@
             }
             Err(refusal) => {
                 refusal.send(conn, false, false);
-                let status = refusal.status.as_u16();
-                log::info!("event=refused status={status} reason={:?}", refusal.reason);
+                let (status, reason) = (refusal.status.as_u16(), refusal.reason);
+                log::info!("event=refused status={} reason={:?}", status, reason);
                 let completion = Some(refused_completion(&refusal, false));
                 (ServedRequest { completion, service: String::new() }, Disposition::LingeringClose)
             }
--- a/src/gateway/pick_error.rs
+++ b/src/gateway/pick_error.rs
@@ -11,9 +11,9 @@
 
 impl Forwarding<'_> {
     /// Records why no server was picked, for the response to the caller.
-    pub(super) fn note_pick_error(&mut self, now: Instant, why: Unpicked, draw: f64) {
+    pub(super) fn note_pick_error(&mut self, now: Instant, error: Unpicked, draw: f64) {
         let request = self.request;
-        let (admitted, wait) = match why {
+        let (admitted, wait) = match error {
             Unpicked::Overload { admitted, wait } => (admitted, wait),
             Unpicked::Backoff { left } => return self.note_backoff(left, draw),
             Unpicked::NoServer => return,
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -21,11 +21,11 @@
     routing::{AnswerSeen, EventSplitter, RouteKind},
 };
 
-/// Time without an event after which a resumable stream is resumed at another server, in gap targets of the route.
-/// Callers give up after eight gap targets.
+/// Time without a byte after which a resumable stream is resumed at another server, in gap targets of the route. Callers
+/// give up after eight gap targets.
 const STALL_GAP_TARGETS: u32 = 3;
 
-/// Minimum time without an event after which a stream is resumed at another server.
+/// Minimum time without a byte after which a stream is resumed at another server.
 const STALL_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 /// Minimum number of pieces after the first for a stream's interval between pieces to be known.
