--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -101,7 +101,7 @@
             Err(fault) => {
                 log::info!("event=permit_unanswered peer={} reason={fault:?}", granter.node);
                 let now = self.clock.now();
-                lock(&self.cold_permits.granters).note_silent(now, &granter.node);
+                lock(&self.cold_permits.granters).note_unresponsive(now, &granter.node);
                 Permit::Unanswered
             }
         }
@@ -110,7 +110,7 @@
     fn granter(&self, server: Tag) -> Option<InstanceInfo> {
         let candidates = lock(&self.peers.candidates);
         let granters = lock(&self.cold_permits.granters);
-        granters.of(self.clock.now(), server, &candidates).cloned()
+        granters.granter_of(self.clock.now(), server, &candidates).cloned()
     }
 
     /// Grants a permit unless the rate limit of the cold server is exhausted.
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -275,7 +275,7 @@
     request: Request,
     now: Instant,
 ) -> Result<Request, LocalResponse> {
-    let Some((digest, held_for)) = gateway.suspicion.held(now, &request) else {
+    let Some((digest, held_for)) = gateway.crash_suspects.held(now, &request) else {
         return Ok(request);
     };
     gateway.metrics.refusal(&request.service, "ends_servers");
@@ -366,7 +366,7 @@
     Ok(Request {
         service: service.clone(),
         team: team.map(|team| team.name.clone()),
-        homes: team.map_or_else(|| route.homes.clone(), |team| route.homes.and(&team.homes)),
+        homes: team.map_or_else(|| route.homes.clone(), |team| route.homes.intersect(&team.homes)),
         priority: if priority == u8::MAX { PRIORITY_DEFAULT } else { priority },
         route: route.clone(),
         method: head.method,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -21,7 +21,7 @@
         answer::{AnswerNote, send_whole},
         http1::Conn,
     },
-    routing::{AnswerSeen, AnswerTimes, Incarnation, Picked, RouteKind, Wanted},
+    routing::{Incarnation, PickRequest, Picked, ResponseObservation, ResponseTimes, RouteKind},
     utils::sync::lock,
 };
 
@@ -115,7 +115,7 @@
                 self.attempts.note_deadline_passed();
                 return None;
             }
-            let wanted = Wanted {
+            let pick_request = PickRequest {
                 service: &self.request.service,
                 affinity: self.request.affinity(),
                 spread: self.request.spread(),
@@ -124,10 +124,10 @@
                 homes: &self.request.homes,
                 admission: (!self.attempts.may_have_run()).then_some(self.request.priority),
             };
-            let (picked, in_flight) = match self.gateway.pick(now, &wanted) {
+            let (picked, in_flight) = match self.gateway.pick(now, &pick_request) {
                 Ok(picked) => picked,
                 Err(error) => {
-                    self.note_pick_error(now, error, wanted.draw());
+                    self.note_pick_error(now, error, pick_request.draw());
                     return None;
                 }
             };
@@ -152,10 +152,10 @@
         let server = &picked.server.id;
         let mut picker = lock(&self.gateway.picker);
         match fault {
-            AttemptFault::Connect => picker.unreachable(now, server),
+            AttemptFault::Connect => picker.note_unreachable(now, server),
             AttemptFault::CallerGone | AttemptFault::Withheld | AttemptFault::BeforeSend => {}
             // A refusal counts too: each further request to the server would spend a retry.
-            _ => picker.bad(now, server),
+            _ => picker.note_failure(now, server),
         }
         drop(picker);
         self.note_version_fault(picked, fault);
@@ -189,23 +189,23 @@
         let now = self.gateway.clock.now();
         let waited = self.sent_at.map(|at| now.saturating_duration_since(at));
         let observation = match (fault, waited) {
-            (AttemptFault::Garbage, _) => AnswerSeen::Failed,
-            (AttemptFault::HeadTimeout, Some(waited)) => AnswerSeen::Took(waited),
+            (AttemptFault::Garbage, _) => ResponseObservation::Failed,
+            (AttemptFault::HeadTimeout, Some(waited)) => ResponseObservation::Took(waited),
             _ => return,
         };
         self.note_version(picked, observation);
     }
 
     /// Records a response as evidence on the server's software version.
-    pub fn note_version(&self, picked: &Picked, observation: AnswerSeen) {
-        self.gateway.rollouts.note_answer(&self.request.route.name, &picked.server, observation);
+    pub fn note_version(&self, picked: &Picked, observation: ResponseObservation) {
+        self.gateway.rollouts.note_response(&self.request.route.name, &picked.server, observation);
     }
 
     /// Records that the connection ended while the server may have been running the request, which may have crashed it.
     fn note_connection_lost(&mut self, picked: &Picked) {
-        let suspicion = &self.gateway.suspicion;
-        suspicion.note_lost(self.gateway, self.request, picked, self.has_survived());
-        if suspicion.ends_here(self.request) {
+        let crash_suspects = &self.gateway.crash_suspects;
+        crash_suspects.note_disconnect(self.gateway, self.request, picked, self.has_survived());
+        if crash_suspects.forbids_retry(self.request) {
             self.attempts.hold();
         }
     }
@@ -295,7 +295,8 @@
         // its outcome unknown.
         let watched_caller =
             if request.route.kind == RouteKind::AtMostOnce { None } else { caller };
-        let stall_after = lock(&gateway.picker).overload(&request.service).silence(picked.wait);
+        let stall_after =
+            lock(&gateway.picker).admission(&request.service).stall_timeout(picked.wait);
         let stall = StallTimer::new(gateway, &server.id, stall_after.map(|time| now + time));
         let deadline = self.head_deadline(now, &server.id);
         let extend = || {
@@ -383,7 +384,7 @@
         }
         let mut tried = self.attempts.servers().to_vec();
         tried.push(server.clone());
-        let wanted = Wanted {
+        let pick_request = PickRequest {
             service: &self.request.service,
             affinity: None,
             spread: self.request.spread(),
@@ -392,7 +393,7 @@
             homes: &self.request.homes,
             admission: Some(self.request.priority),
         };
-        let has_other = lock(&self.gateway.picker).pick(now, &wanted).is_ok();
+        let has_other = lock(&self.gateway.picker).pick(now, &pick_request).is_ok();
         has_other && self.gateway.has_retry(now, &self.request.service, FAILURE_RESERVE)
     }
 
@@ -418,8 +419,8 @@
         };
         self.keep_connection(&picked.server.id, response);
         if buffered.status.is_server_error() {
-            lock(&self.gateway.picker).bad(self.gateway.clock.now(), &picked.server.id);
-            self.note_version(&picked, AnswerSeen::Failed);
+            lock(&self.gateway.picker).note_failure(self.gateway.clock.now(), &picked.server.id);
+            self.note_version(&picked, ResponseObservation::Failed);
             self.attempts.note_server_error(&picked.server.id);
             log::info!(
                 "event=server_error request={} server={} status={}",
@@ -432,22 +433,22 @@
         }
         self.note_success(&picked, times.0, times.1);
         let took = times.1.saturating_duration_since(times.0);
-        self.note_version(&picked, AnswerSeen::Took(took));
+        self.note_version(&picked, ResponseObservation::Took(took));
         Some(self.send_buffered(conn, &buffered, "answered"))
     }
 
     /// Records a successful response that ends now, to a request sent at `sent_at`, whose head arrived at `head_at`.
     pub fn note_success(&self, picked: &Picked, sent_at: Instant, head_at: Instant) {
         let now = self.gateway.clock.now();
-        let times = AnswerTimes {
+        let times = ResponseTimes {
             head: head_at.saturating_duration_since(sent_at),
-            rest: now.saturating_duration_since(head_at),
+            body: now.saturating_duration_since(head_at),
         };
         let mut picker = lock(&self.gateway.picker);
-        picker.good(now, &picked.server.id);
-        picker.overload(&self.request.service).note_answer(times, !picked.wait.is_zero());
+        picker.note_success(now, &picked.server.id);
+        picker.admission(&self.request.service).note_response(times, !picked.wait.is_zero());
         drop(picker);
-        self.gateway.suspicion.note_answered(now, self.request);
+        self.gateway.crash_suspects.note_success(now, self.request);
         self.gateway.metrics.attempt(&self.request.service, None);
     }
 
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -8,13 +8,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::suspicion::SuspicionReport;
+use super::crash_suspects::CrashSuspectsReport;
 use crate::{
     names::Tag,
     routing::{
-        BudgetSum, Count, InstanceInfo, InstanceNews, ListNews, ListVersion, PackedChange,
-        RolloutReport, RunId, ServiceLoad, Spending, StoreEra, StoreVersion, ToldOrders,
-        ToldRollout, ToldVerdict,
+        BudgetSum, InFlightCount, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
+        PackedChange, RetrySpending, RolloutReport, RolloutUpdate, RunId, ServerListUpdate,
+        ServiceLoad, StoreEra, StoreVersion, VerdictUpdate,
     },
 };
 
@@ -35,19 +35,19 @@
     /// Who tells.
     pub from: InstanceInfo,
     /// Its requests in flight, by server.
-    pub counts: Vec<Count>,
+    pub counts: Vec<InFlightCount>,
     /// Servers that it finds silent, or that want no requests of it.
     pub silent: Vec<Tag>,
     /// The run of its process.
     pub run: RunId,
     /// Repeats that it has spent.
-    pub spending: Vec<Spending>,
+    pub spending: Vec<RetrySpending>,
     /// What it has seen of roll-outs.
     pub rollouts: Vec<RolloutReport>,
     /// How far roll-outs have come, as it knows it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// What it had at servers that ended, and what it knows of requests that end them.
-    pub suspicion: SuspicionReport,
+    pub crash_suspects: CrashSuspectsReport,
     /// Version of the intent that it has in force.
     pub version: u64,
     /// Whether it wants a newer intent however large.
@@ -74,7 +74,7 @@
     /// Whether servers have ended lately.
     pub servers_end: bool,
     /// Requests that are held back or watched.
-    pub verdicts: Vec<ToldVerdict>,
+    pub verdicts: Vec<VerdictUpdate>,
     /// Version of the intent that the other has in force.
     pub version: u64,
     /// What has changed in the operator's intent, if that is small or wanted.
@@ -82,17 +82,17 @@
     /// When the other's version was known to be the newest.
     pub confirmed: Option<ConfirmedAgo>,
     /// Operators' orders, as the other knows them.
-    pub orders: ToldOrders,
+    pub orders: OrdersSnapshot,
     /// How far roll-outs have come, as the other knows it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// What is new in the list of servers.
-    pub list: ListNews,
+    pub list: ServerListUpdate,
     /// Milliseconds since the list was current.
     pub list_age_ms: Option<u64>,
     /// Era of the store that the list is from.
     pub list_era: StoreEra,
     /// What is new in the list of instances, if the asker knows another one.
-    pub instances: Option<InstanceNews>,
+    pub instances: Option<InstanceListUpdate>,
 }
 
 /// That a version of the intent was the newest in the store.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -20,7 +20,7 @@
     cold_permits::{PERMIT_PATH, PERMIT_TIMEOUT, PermitReply, PermitRequest},
     intent_reader,
     messages::{Asks, ConfirmedAgo, News, Report},
-    rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
+    rollout_table::{ROLLOUT_PATH, RolloutTableReply, RolloutTableRequest},
     roster_reader,
     settings::GatewaySettings,
     spread::{OFFER_PATH, Offer, OfferReply},
@@ -32,9 +32,9 @@
         traffic::{Purpose, Traffic},
     },
     routing::{
-        Aggregate, Candidates, Confirmed, Count, Crowded, FleetBudget, FleetPosition, Helper,
-        InstanceInfo, Judgement, ListNews, ListVersion, RosterRole, RunId, ServiceLoad, StartWatch,
-        StoreEra, WatchRole, helper,
+        Aggregate, Candidates, Confirmation, Crowded, FallbackReader, FleetBudget, FleetPosition,
+        InFlightCount, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
+        ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
     utils::{recent::Recent, sync::lock},
 };
@@ -86,11 +86,11 @@
     joined: AtomicBool,
     started: Instant,
     /// Whether this instance waits for others as it starts.
-    pub(super) start: StartWatch,
+    pub(super) start: StartupWait,
     pub(super) sums: Recent<Sums>,
     last_round: Mutex<Option<Instant>>,
     /// The one that reads for this one while the store turns it away.
-    helper: Mutex<Helper>,
+    fallback_reader: Mutex<FallbackReader>,
 }
 
 impl Peers {
@@ -114,10 +114,10 @@
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartWatch::new(clock.now(), is_asked, fastrand::f64()),
+            start: StartupWait::new(clock.now(), is_asked, fastrand::f64()),
             sums: Recent::new(SUMS_AGE),
             last_round: Mutex::default(),
-            helper: Mutex::default(),
+            fallback_reader: Mutex::default(),
         }
     }
 
@@ -139,7 +139,7 @@
     /// Returns whether this instance reads the store at a pace: it has nobody to turn to, or others
     /// turn to it.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.knows_others(now) && lock(&self.candidates).first(now).is_none();
+        let alone = self.knows_others(now) && lock(&self.candidates).aggregator(now).is_none();
         alone || self.is_read_from(now)
     }
 
@@ -163,7 +163,7 @@
     /// Returns whether others have turned to this instance lately.
     pub(super) fn is_read_from(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
-        let heard = lock(&self.aggregate).last_heard(&own);
+        let heard = lock(&self.aggregate).last_report(&own);
         heard.is_some_and(|at| now.saturating_duration_since(at) < READS_FOR_OTHERS)
     }
 
@@ -192,19 +192,27 @@
     }
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
-    pub fn ask_helper_for_rollouts(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
-        for _ in 0..helper::ASKED {
-            let helper = lock(&self.helper).pick(now, &lock(&self.candidates))?;
-            match self.links.call(Purpose::Config, helper.address, ROLLOUT_PATH, ask) {
-                Ok(TableReply::Failed(reason)) => {
-                    log::info!("event=no_help peer={} reason={reason:?}", helper.node);
+    pub fn ask_helper_for_rollouts(
+        &self,
+        now: Instant,
+        ask: &RolloutTableRequest,
+    ) -> Option<RolloutTableReply> {
+        for _ in 0..fallback_reader::ATTEMPTS_MAX {
+            let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
+            match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, ask) {
+                Ok(RolloutTableReply::Failed(reason)) => {
+                    log::info!("event=no_help peer={} reason={reason:?}", fallback_reader.node);
                 }
                 Ok(reply) => return Some(reply),
                 Err(fault) => {
-                    log::info!("event=no_help peer={} reason={:?}", helper.node, fault.to_string());
+                    log::info!(
+                        "event=no_help peer={} reason={:?}",
+                        fallback_reader.node,
+                        fault.to_string()
+                    );
                 }
             }
-            lock(&self.helper).failed();
+            lock(&self.fallback_reader).failed();
         }
         None
     }
@@ -263,23 +271,23 @@
     let peers = &gateway.peers;
     for _ in 0..2 {
         let now = gateway.clock.now();
-        let first = lock(&peers.candidates).first(now).cloned();
+        let first = lock(&peers.candidates).aggregator(now).cloned();
         let Some(first) = first else {
             let sums = sums(gateway, now);
             take_loads(gateway, now, &sums.loads, None);
-            lock(&gateway.picker).told_silent(now, &sums.silent);
+            lock(&gateway.picker).note_reported_unresponsive(now, &sums.silent);
             gateway.set_budget_sums(now, sums.budgets.clone());
             judge_own(gateway, now);
             return;
         };
         match ask(gateway, first.address, Asks::InTurn) {
             Ok(()) => {
-                lock(&peers.candidates).note_heard(&first.node);
+                lock(&peers.candidates).note_responsive(&first.node);
                 return;
             }
             Err(fault) => {
                 log::info!("event=peer_silent peer={} reason={fault:?}", first.node);
-                lock(&peers.candidates).note_silent(gateway.clock.now(), &first.node);
+                lock(&peers.candidates).note_unresponsive(gateway.clock.now(), &first.node);
             }
         }
     }
@@ -287,16 +295,16 @@
 
 /// Takes this instance's own word on servers that ended, as the one to which all turn.
 fn judge_own(gateway: &Gateway, now: Instant) {
-    let suspicion = &gateway.suspicion;
+    let crash_suspects = &gateway.crash_suspects;
     if !gateway.settings.first_start && gateway.peers.knows_others(now) {
-        suspicion.want_table();
+        crash_suspects.request_table_read();
     }
-    let report = suspicion.report(now);
-    suspicion.take_report(now, &report);
-    suspicion.note_told(gateway.peers.run, &report);
-    suspicion.watch(now, &suspicion.watched(now));
-    if suspicion.is_alert(now) {
-        suspicion.alert(now);
+    let report = crash_suspects.report(now);
+    crash_suspects.apply_report(now, &report);
+    crash_suspects.mark_reported(gateway.peers.run, &report);
+    crash_suspects.watch(now, &crash_suspects.watched(now));
+    if crash_suspects.is_alert(now) {
+        crash_suspects.alert(now);
     }
 }
 
@@ -323,12 +331,12 @@
 /// Has another instance read the store, for those that turn to this one.
 fn ask_helper(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
-    for _ in 0..helper::ASKED {
-        let helper = lock(&peers.helper).pick(now, &lock(&peers.candidates));
-        let Some(helper) = helper else { return };
-        let Err(fault) = ask(gateway, helper.address, Asks::ToRead) else { return };
-        log::info!("event=no_help peer={} reason={fault:?}", helper.node);
-        lock(&peers.helper).failed();
+    for _ in 0..fallback_reader::ATTEMPTS_MAX {
+        let fallback_reader = lock(&peers.fallback_reader).pick(now, &lock(&peers.candidates));
+        let Some(fallback_reader) = fallback_reader else { return };
+        let Err(fault) = ask(gateway, fallback_reader.address, Asks::ToRead) else { return };
+        log::info!("event=no_help peer={} reason={fault:?}", fallback_reader.node);
+        lock(&peers.fallback_reader).failed();
     }
 }
 
@@ -354,20 +362,21 @@
     };
     let (counts, silent) = {
         let picker = lock(&gateway.picker);
-        (picker.own_counts(), picker.own_silent(asked))
+        (picker.own_counts(), picker.own_unresponsive(asked))
     };
     // Others than the one that all turn to know only a part.
     let in_turn = asks == Asks::InTurn;
-    let suspicion = if in_turn { gateway.suspicion.report(asked) } else { Default::default() };
+    let crash_suspects =
+        if in_turn { gateway.crash_suspects.report(asked) } else { Default::default() };
     let report = Report {
         from,
         counts: counts.clone(),
         silent,
         run: peers.run,
-        suspicion,
+        crash_suspects,
         spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
         rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
-        rollout_states: gateway.rollouts.told(asked),
+        rollout_states: gateway.rollouts.updates(asked),
         version,
         // An instance that starts takes what it can get, and so does one that asks.
         wants_intent: !in_turn || version == 0,
@@ -382,15 +391,15 @@
     let told = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
         news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
-    gateway.suspicion.take_verdicts(told, &lasting, "peer");
+    gateway.crash_suspects.apply_verdicts(told, &lasting, "peer");
     if in_turn {
-        gateway.suspicion.note_told(news.run, &report.suspicion);
-        gateway.suspicion.watch(told, &watched);
+        gateway.crash_suspects.mark_reported(news.run, &report.crash_suspects);
+        gateway.crash_suspects.watch(told, &watched);
         if news.servers_end {
-            gateway.suspicion.alert(told);
+            gateway.crash_suspects.alert(told);
         }
         take_loads(gateway, told, &news.loads, Some(counts));
-        lock(&gateway.picker).told_silent(told, &news.silent);
+        lock(&gateway.picker).note_reported_unresponsive(told, &news.silent);
         gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
     }
     take(gateway, news, list, asked);
@@ -399,7 +408,12 @@
 
 /// Takes what all instances have in flight; `told` is what this one had told of its own, where that is
 /// not what it has now.
-fn take_loads(gateway: &Gateway, now: Instant, loads: &[ServiceLoad], told: Option<Vec<Count>>) {
+fn take_loads(
+    gateway: &Gateway,
+    now: Instant,
+    loads: &[ServiceLoad],
+    told: Option<Vec<InFlightCount>>,
+) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
         let own = told.unwrap_or_else(|| picker.own_counts());
@@ -414,12 +428,12 @@
 fn take_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    news: ListNews,
+    news: ServerListUpdate,
     as_of: Instant,
     era: StoreEra,
 ) {
     let knowledge = &gateway.knowledge;
-    let is_same = matches!(news, ListNews::Same);
+    let is_same = matches!(news, ServerListUpdate::Same);
     if is_same && knowledge.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
@@ -431,20 +445,20 @@
 fn take(gateway: &Gateway, news: News, list: Option<ListVersion>, asked: Instant) {
     // Before an intent or a list by which the instance may become ready.
     gateway.take_orders(news.orders, "peer");
-    gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &news.rollout_states, "peer");
     intent_reader::take_changes(gateway, &news.changes);
     let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.knowledge.confirm(news.version, Confirmed { at, store });
+        gateway.knowledge.confirm(news.version, Confirmation { at, store });
     }
     gateway.knowledge.told_of(gateway.clock.now(), news.version);
     if let Some(as_of) = news.list_age_ms.and_then(then) {
         take_list(gateway, list, news.list, as_of, news.list_era);
     }
     if let Some(instances) = news.instances {
-        lock(&gateway.peers.candidates).take(instances);
+        lock(&gateway.peers.candidates).apply_update(instances);
         gateway.instances_changed();
     }
 }
--- a/src/gateway/pick_error.rs
+++ b/src/gateway/pick_error.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::{attempts::Refusal, forward::Forwarding};
-use crate::{routing::Unpicked, utils::sync::lock};
+use crate::{routing::PickError, utils::sync::lock};
 
 /// Jitter of `Retry-After`, as a fraction of the remaining backoff. Without it all callers refused during the backoff
 /// would return together and overload the server at once.
@@ -11,20 +11,20 @@
 
 impl Forwarding<'_> {
     /// Records why no server was picked, for the response to the caller.
-    pub(super) fn note_pick_error(&mut self, now: Instant, error: Unpicked, draw: f64) {
+    pub(super) fn note_pick_error(&mut self, now: Instant, error: PickError, draw: f64) {
         let request = self.request;
         let (admitted, wait) = match error {
-            Unpicked::Overload { admitted, wait } => (admitted, wait),
-            Unpicked::Backoff { left } => return self.note_backoff(left, draw),
-            Unpicked::NoServer => return,
+            PickError::Overload { admitted, wait } => (admitted, wait),
+            PickError::Backoff { left } => return self.note_backoff(left, draw),
+            PickError::NoServer => return,
         };
         // Callers accept at most a third of their remaining time as `Retry-After`.
         let max = request.deadline.saturating_duration_since(now) / 3;
         let target = request.route.target_latency;
         let retry_after = {
             let mut picker = lock(&self.gateway.picker);
-            let overload = picker.overload(&request.service);
-            overload.refuse(now, admitted, draw, target, max)
+            let admission = picker.admission(&request.service);
+            admission.note_refusal(now, admitted, draw, target, max)
         };
         self.refusal = Some(Refusal::overload(retry_after));
         self.gateway.metrics.refusal(&request.service, "overload");
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -14,7 +14,7 @@
     adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
     routing::{
         BackendServer, RosterRole, RosterStep, RosterWatch, StoreEra, roster::RosterChange,
-        start::QUESTION_PAUSE,
+        startup::STARTUP_POLL_INTERVAL,
     },
     utils::sync::lock,
 };
@@ -29,7 +29,7 @@
     loop {
         let now = gateway.clock.now();
         if start::waits(gateway, now) {
-            gateway.reader_wanted.wait(QUESTION_PAUSE);
+            gateway.reader_wanted.wait(STARTUP_POLL_INTERVAL);
             continue;
         }
         let role = gateway.peers.roster_role(now);
@@ -37,20 +37,20 @@
         let as_of = gateway.knowledge.with_servers(|roster| roster.as_of());
         match watch.next(now, &role, as_of) {
             RosterStep::Wait(time) => gateway.reader_wanted.wait(time),
-            RosterStep::Ask => {
+            RosterStep::AskPeers => {
                 peers::catch_up(gateway);
-                watch.asked(gateway.clock.now());
+                watch.peers_asked(gateway.clock.now());
             }
             RosterStep::Read => match read_as(gateway, &role) {
                 Ok(()) => {
-                    watch.read(now);
+                    watch.store_read(now);
                     if std::mem::take(&mut lost) {
                         log::warn!("event=store_back");
                     }
                 }
                 Err(fault) => {
                     lost = true;
-                    watch.failed(gateway.clock.now());
+                    watch.store_failed(gateway.clock.now());
                     gateway.store_failed("servers", &fault);
                 }
             },
@@ -93,11 +93,11 @@
     let skipped: Vec<SkippedEntry> = list.skipped().cloned().collect();
     let (servers, era) = (list.servers(), list.version.era);
     drop(kept);
-    if gateway.knowledge.with_servers(|roster| roster.lacks_version_of(&servers)) {
+    if gateway.knowledge.with_servers(|roster| roster.is_missing_version_of(&servers)) {
         look_for_orders(gateway);
     }
     lock(&gateway.skipped_log).tell(&skipped);
-    gateway.knowledge.overwritten(skipped.iter().map(|entry| entry.key.as_str()));
+    gateway.knowledge.mark_overwritten(skipped.iter().map(|entry| entry.key.as_str()));
     take(gateway, servers, as_of, era, "store");
     if let Some(list) = lock(&gateway.list_read).as_mut() {
         list.set_told(gateway.knowledge.list_version());
@@ -158,7 +158,7 @@
         ("server_added", &change.added),
         ("server_leaving", &change.leaving),
         ("server_changed", &change.changed),
-        ("server_gone", &change.gone),
+        ("server_gone", &change.removed),
         ("server_cold", &change.cold),
     ] {
         if ids.len() > LOGGED_EACH {
--- a/src/gateway/spread.rs
+++ b/src/gateway/spread.rs
@@ -9,7 +9,7 @@
 
 use super::{Gateway, intent_reader};
 use crate::{
-    routing::{PackedChange, ToldOrders, spread},
+    routing::{OrdersSnapshot, PackedChange, fanout},
     utils::sync::lock,
 };
 
@@ -34,7 +34,7 @@
     /// Version that the other is to have.
     pub version: u64,
     /// Operators' orders: they are few, and told beside every version.
-    pub orders: ToldOrders,
+    pub orders: OrdersSnapshot,
     /// Changes that lead to it, where they are small or asked for.
     pub changes: Vec<Arc<PackedChange>>,
     /// To whom else it is to be handed.
@@ -55,7 +55,7 @@
     if number >= DEPUTIES && !gateway.peers.is_reader(now) {
         return;
     }
-    let parts = spread::first_parts(lock(&gateway.peers.candidates).heard(now));
+    let parts = fanout::split_by_zone(lock(&gateway.peers.candidates).responsive(now));
     hand_on(gateway, parts);
 }
 
@@ -66,7 +66,7 @@
     let version = gateway.knowledge.version();
     gateway.knowledge.told_of(gateway.clock.now(), offer.version);
     if version >= offer.version {
-        hand_on(gateway, spread::parts(offer.pass_on));
+        hand_on(gateway, fanout::split_evenly(offer.pass_on));
     }
     OfferReply { version }
 }
--- a/src/gateway/stall_timer.rs
+++ b/src/gateway/stall_timer.rs
@@ -57,7 +57,7 @@
             return;
         }
         self.counted.set(true);
-        if lock(&self.gateway.picker).silent(now, self.server) {
+        if lock(&self.gateway.picker).note_stall(now, self.server) {
             log::info!("event=server_silent server={}", self.server);
         }
     }
@@ -65,7 +65,7 @@
     /// Ends the wait: bytes have arrived.
     pub fn finish(&self) {
         if self.counted.get() {
-            lock(&self.gateway.picker).spoke(self.gateway.clock.now(), self.server);
+            lock(&self.gateway.picker).clear_stall(self.gateway.clock.now(), self.server);
         }
     }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -18,7 +18,7 @@
         answer::{AnswerBody, AnswerNote, AnswerWriter},
         http1::Conn,
     },
-    routing::{AnswerSeen, EventSplitter, RouteKind},
+    routing::{EventSplitter, ResponseObservation, RouteKind},
 };
 
 /// Time without a byte after which a resumable stream is resumed at another server, in gap targets of the route. Callers
@@ -110,7 +110,7 @@
                 let picked = source.open.picked.clone();
                 drop(source);
                 forwarding.note_fault(&picked, fault);
-                splitter.drop_rest();
+                splitter.discard_partial();
                 match resume(forwarding, writer.conn(), &splitter) {
                     Some(next) => {
                         source = next;
@@ -162,11 +162,11 @@
     }
 
     /// Returns the evidence on the server's version; the last piece arrived at `end`.
-    fn observation(&self, end: Instant) -> AnswerSeen {
+    fn observation(&self, end: Instant) -> ResponseObservation {
         if self.pieces < INTERVAL_PIECES_MIN {
-            return AnswerSeen::Untimed;
+            return ResponseObservation::Untimed;
         }
-        AnswerSeen::Took(end.saturating_duration_since(self.first_at) / self.pieces)
+        ResponseObservation::Took(end.saturating_duration_since(self.first_at) / self.pieces)
     }
 }
 
@@ -195,7 +195,7 @@
         let piece = match source.response().next_piece(deadline, Some(caller)) {
             Ok(Some(piece)) => piece,
             Ok(None) => {
-                let rest = splitter.rest();
+                let rest = splitter.take_remainder();
                 return if rest.is_empty() { SourceRead::End } else { SourceRead::Events(rest) };
             }
             Err(AttemptFault::StalledBody) if keeps_waiting(forwarding, source) => continue,
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -12,7 +12,7 @@
 use crate::{
     names::ServiceName,
     routing::{
-        BackendServer, Picked, Wanted,
+        BackendServer, PickRequest, Picked,
         load::{LoadBounds, aim},
     },
     zone::rendezvous,
@@ -43,14 +43,14 @@
         &self,
         now: Instant,
         key: u64,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         pool: &[&Tracked],
         usual: f64,
     ) -> Option<Picked> {
         let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, usual)).collect();
         let bound = self.bounds(self.mean_load(now, wanted.service, &loads)).spill;
         let rank = if self.has_few(wanted.service) {
-            rendezvous::ranked(key, pool.iter().map(|t| (t.server.place(), 1.0)))
+            rendezvous::ranked(key, pool.iter().map(|t| (t.server.stable_tag(), 1.0)))
         } else {
             // They come in their rank.
             (0..pool.len()).collect()
@@ -61,7 +61,7 @@
         let aim = aim(bound).max(scarce_aim);
         let home_crowded = is_scarce || rank.first().is_some_and(|&i| pool[i].load.is_crowded(now));
         let room = |&i: &usize| {
-            let (load, turn) = (&pool[i].load, self.turn(pool[i].server.place()));
+            let (load, turn) = (&pool[i].load, self.turn(pool[i].server.stable_tag()));
             let crowded = home_crowded || load.is_crowded(now);
             let allotted =
                 if crowded { load.allotted(now, aim, self.position, turn) } else { None };
@@ -70,11 +70,11 @@
         let rooms: Vec<f64> = rank.iter().map(room).collect();
         let waits: Vec<Duration> =
             rank.iter().map(|&i| self.wait(now, pool[i], loads[i])).collect();
-        let overload = self.overload.get(wanted.service);
-        let admissible = overload.map_or(Duration::ZERO, |o| o.admissible_wait(now));
+        let admission = self.admission.get(wanted.service);
+        let admissible = admission.map_or(Duration::ZERO, |o| o.admissible_wait(now));
         let ranked = || rank.iter().enumerate();
         let filled =
-            overload.is_some_and(|o| o.is_filled(now, self.places_of(now, wanted.service)));
+            admission.is_some_and(|o| o.is_filled(now, self.places_of(now, wanted.service)));
         let free = |&(at, &i): &(usize, &usize)| {
             let own_place = !filled || self.has_own_place(now, pool[i]);
             rooms[at] > 0.0 && waits[at].is_zero() && own_place && !is_full(now, pool[i])
@@ -121,7 +121,7 @@
         &self,
         now: Instant,
         key: u64,
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         picked: &BackendServer,
     ) -> Option<Arc<BackendServer>> {
         // A server at which this request has failed may be gone, and would be waited for; one that wants no requests is
@@ -140,7 +140,7 @@
         if !self.has_few(&picked.service) {
             return possible.next().map(|t| Arc::clone(&t.server));
         }
-        let score = |t: &Tracked| rendezvous::score(key, t.server.place(), 1.0);
+        let score = |t: &Tracked| rendezvous::score(key, t.server.stable_tag(), 1.0);
         let best = possible.max_by(|a, b| score(a).total_cmp(&score(b)));
         best.map(|t| Arc::clone(&t.server))
     }
--- a/tests/suite/blame.rs
+++ b/tests/suite/crash_suspects.rs
@@ -3,43 +3,48 @@
 use std::time::{Duration, Instant};
 
 use cartvane::routing::{
-    Answered, Collector, HeldRow, Incarnation, Judgement, RequestDigest, RequestLook, RunId,
-    ServerEnds, StoreEra, Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
-    blame::verdicts::HELD_FOR,
+    CrashAttribution, CrashReport, HeldRow, HeldTablePlan, HeldTableSync, Incarnation, Judgement,
+    RecentSuccesses, RequestDigest, RequestFingerprint, RunId, ServerCrashes, StoreEra, Suspect,
+    VerdictUpdate, Verdicts, crash_suspects::verdicts::HOLD_DURATION,
 };
 
 fn server(name: &str) -> Incarnation {
     name.parse().expect("an id")
 }
 
-fn look(request: u64) -> RequestLook {
-    RequestLook(request as u32)
+fn fingerprint(request: u64) -> RequestFingerprint {
+    RequestFingerprint(request as u32)
 }
 
-fn suspect(request: u64, ran_on: bool) -> Suspect {
-    Suspect { look: look(request), digest: RequestDigest(request), ran_on }
+fn suspect(request: u64, long_running: bool) -> Suspect {
+    Suspect { fingerprint: fingerprint(request), digest: RequestDigest(request), long_running }
 }
 
-fn end(name: &str, under: impl IntoIterator<Item = Suspect>) -> ToldEnd {
-    ToldEnd {
+fn end(name: &str, in_flight: impl IntoIterator<Item = Suspect>) -> CrashReport {
+    CrashReport {
         server: server(name).tag(),
         service: "app".parse().expect("a name"),
         age_ms: 0,
-        under: under.into_iter().collect(),
+        in_flight: in_flight.into_iter().collect(),
     }
 }
 
-fn verdict(request: u64, judgement: Judgement, age: Duration) -> ToldVerdict {
+fn verdict(request: u64, judgement: Judgement, age: Duration) -> VerdictUpdate {
     let age_ms = age.as_millis() as u64;
-    ToldVerdict { digest: RequestDigest(request), look: look(request), judgement, age_ms }
+    VerdictUpdate {
+        digest: RequestDigest(request),
+        fingerprint: fingerprint(request),
+        judgement,
+        age_ms,
+    }
 }
 
 fn holds(verdicts: &Verdicts, now: Instant, request: u64) -> bool {
-    verdicts.held(now, look(request), || RequestDigest(request)).is_some()
+    verdicts.held(now, fingerprint(request), || RequestDigest(request)).is_some()
 }
 
 /// Tells of the end of a server and returns which requests are found.
-fn found(collector: &mut Collector, now: Instant, told: &ToldEnd) -> Vec<u64> {
+fn found(collector: &mut CrashAttribution, now: Instant, told: &CrashReport) -> Vec<u64> {
     let findings = collector.take(now, std::slice::from_ref(told));
     findings.iter().map(|finding| finding.digest.0).collect()
 }
@@ -66,12 +71,13 @@
         ),
     ];
     for (what, servers, wanted) in cases {
-        let mut collector = Collector::default();
+        let mut collector = CrashAttribution::default();
         let mut last = Vec::new();
-        for (number, (begun, ran_on)) in servers.into_iter().enumerate() {
+        for (number, (begun, long_running)) in servers.into_iter().enumerate() {
             let begun = begun.into_iter().map(|request| suspect(request, false));
-            let ran_on = ran_on.into_iter().map(|request| suspect(request, true));
-            last = found(&mut collector, now, &end(&format!("s{number}"), begun.chain(ran_on)));
+            let long_running = long_running.into_iter().map(|request| suspect(request, true));
+            last =
+                found(&mut collector, now, &end(&format!("s{number}"), begun.chain(long_running)));
         }
         assert_eq!(last, wanted, "{what}");
     }
@@ -81,11 +87,11 @@
 #[test]
 fn a_request_that_was_at_few_of_the_ended_servers_is_not_found() {
     let now = Instant::now();
-    let mut collector = Collector::default();
+    let mut collector = CrashAttribution::default();
     for number in 0..20 {
-        let under = if number % 8 == 0 { vec![suspect(1, false)] } else { Vec::new() };
+        let in_flight = if number % 8 == 0 { vec![suspect(1, false)] } else { Vec::new() };
         assert_eq!(
-            found(&mut collector, now, &end(&format!("s{number}"), under)),
+            found(&mut collector, now, &end(&format!("s{number}"), in_flight)),
             Vec::<u64>::new()
         );
     }
@@ -96,7 +102,7 @@
 #[test]
 fn a_flood_of_suspects_is_bounded_and_hides_nobody() {
     let now = Instant::now();
-    let mut collector = Collector::default();
+    let mut collector = CrashAttribution::default();
     for name in ["a", "b"] {
         found(&mut collector, now, &end(name, [suspect(1, false)]));
     }
@@ -108,15 +114,15 @@
 #[test]
 fn an_answer_clears_a_request_for_all() {
     let now = Instant::now();
-    let mut collector = Collector::default();
+    let mut collector = CrashAttribution::default();
     for name in ["a", "b"] {
         found(&mut collector, now, &end(name, [suspect(1, false)]));
     }
     let mut verdicts = Verdicts::default();
     let later = now + Duration::from_secs(1);
     verdicts.watch(now, &collector.watched(later));
-    assert_eq!(verdicts.answered(now, look(2), || RequestDigest(2)), None);
-    assert_eq!(verdicts.answered(now, look(1), || RequestDigest(1)), Some(RequestDigest(1)));
+    assert_eq!(verdicts.answered(now, fingerprint(2), || RequestDigest(2)), None);
+    assert_eq!(verdicts.answered(now, fingerprint(1), || RequestDigest(1)), Some(RequestDigest(1)));
     collector.clear(now, RequestDigest(1));
     assert_eq!(found(&mut collector, now, &end("c", [suspect(1, false)])), Vec::<u64>::new());
     assert!(collector.watched(later).is_empty());
@@ -129,23 +135,23 @@
     assert!(verdicts.is_idle());
     let minute = Duration::from_secs(60);
     verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
-    verdicts.take(now, &[verdict(2, Judgement::Held, HELD_FOR)]);
+    verdicts.take(now, &[verdict(2, Judgement::Held, HOLD_DURATION)]);
     assert!(holds(&verdicts, now, 1) && !holds(&verdicts, now, 2));
-    assert!(holds(&verdicts, now + HELD_FOR - minute * 2, 1));
-    assert!(!holds(&verdicts, now + HELD_FOR, 1));
-    assert_eq!(verdicts.told(now)[0].age_ms, 60_000);
-    assert!(verdicts.told(now + HELD_FOR).is_empty() && verdicts.is_idle());
+    assert!(holds(&verdicts, now + HOLD_DURATION - minute * 2, 1));
+    assert!(!holds(&verdicts, now + HOLD_DURATION, 1));
+    assert_eq!(verdicts.updates(now)[0].age_ms, 60_000);
+    assert!(verdicts.updates(now + HOLD_DURATION).is_empty() && verdicts.is_idle());
     verdicts.take(now, &[verdict(1, Judgement::Held, minute)]);
     verdicts.clear(now, RequestDigest(1));
     assert!(verdicts.take(now, &[verdict(1, Judgement::Held, minute)]).is_empty());
     assert!(!holds(&verdicts, now, 1));
     // What ends servers though it was cleared is held back again.
     let later = now + minute * 2;
-    verdicts.told(later);
+    verdicts.updates(later);
     verdicts.take(later, &[verdict(1, Judgement::Held, Duration::ZERO)]);
     assert!(holds(&verdicts, later, 1));
     verdicts.take(now, &(0..1000).map(|n| verdict(n, Judgement::Held, minute)).collect::<Vec<_>>());
-    assert!(verdicts.told(now).len() <= 128);
+    assert!(verdicts.updates(now).len() <= 128);
 }
 
 // The instance that collected the reports was killed: what it had been told of ends was lost with it, and the request
@@ -153,18 +159,18 @@
 #[test]
 fn an_instance_that_has_just_begun_to_collect_is_told_all_again() {
     let now = Instant::now();
-    let mut ends = ServerEnds::default();
+    let mut ends = ServerCrashes::default();
     let service = "app".parse().expect("a name");
     ends.note(now, &server("a"), &service, suspect(1, false));
-    let news = ends.untold(now);
+    let news = ends.unreported(now);
     assert_eq!(news.len(), 1);
-    ends.note_told(RunId(1), &news);
-    assert!(ends.untold(now).is_empty());
+    ends.mark_reported(RunId(1), &news);
+    assert!(ends.unreported(now).is_empty());
     ends.note(now, &server("b"), &service, suspect(1, false));
-    let news = ends.untold(now);
+    let news = ends.unreported(now);
     assert_eq!(news.len(), 1);
-    ends.note_told(RunId(2), &news);
-    let again = ends.untold(now + Duration::from_secs(3));
+    ends.mark_reported(RunId(2), &news);
+    let again = ends.unreported(now + Duration::from_secs(3));
     assert_eq!(again.iter().map(|told| told.server).collect::<Vec<_>>(), [server("a").tag()]);
     assert_eq!(again[0].age_ms, 3000);
 }
@@ -172,57 +178,57 @@
 #[test]
 fn bodies_are_read_only_of_repeats_and_while_servers_end() {
     let now = Instant::now();
-    let mut answered = Answered::default();
+    let mut answered = RecentSuccesses::default();
     let mut read = 0;
-    let mut note = |answered: &mut Answered, at: Instant, request: u64| {
-        answered.note(at, look(request), || {
+    let mut note = |answered: &mut RecentSuccesses, at: Instant, request: u64| {
+        answered.note(at, fingerprint(request), || {
             read += 1;
             RequestDigest(request)
         });
         read
     };
     assert_eq!(note(&mut answered, now, 1), 0);
-    assert!(!answered.has(now, look(1), RequestDigest(1)));
+    assert!(!answered.has(now, fingerprint(1), RequestDigest(1)));
     assert_eq!(note(&mut answered, now, 1), 1);
     assert_eq!(note(&mut answered, now, 1), 1, "once a second");
-    assert!(answered.has(now, look(1), RequestDigest(1)));
+    assert!(answered.has(now, fingerprint(1), RequestDigest(1)));
     answered.alert(now);
     assert_eq!(note(&mut answered, now, 2), 2);
-    assert!(answered.has(now, look(2), RequestDigest(2)));
+    assert!(answered.has(now, fingerprint(2), RequestDigest(2)));
     let later = now + Duration::from_secs(150);
-    assert!(!answered.has(later, look(1), RequestDigest(1)));
+    assert!(!answered.has(later, fingerprint(1), RequestDigest(1)));
     assert_eq!(note(&mut answered, later, 3), 2);
 }
 
 #[test]
 fn the_table_and_the_verdicts_are_brought_in_line() {
     let now = Instant::now();
-    let whole = HELD_FOR.as_millis() as u64;
+    let whole = HOLD_DURATION.as_millis() as u64;
     let held = |request: u64| verdict(request, Judgement::Held, Duration::ZERO);
     let row = |request: u64, until_ms: u64| HeldRow {
         digest: RequestDigest(request),
-        look: look(request),
+        fingerprint: fingerprint(request),
         until_ms,
     };
-    let mut watch = TableWatch::new(false);
+    let mut watch = HeldTableSync::new(false);
     assert!(!watch.is_idle(&[]), "it has not been read");
     let rows = [row(1, 1000 + whole / 2), row(2, 999)];
     let plan = watch.plan(1000, &rows, &[held(3)]);
-    assert_eq!(plan.learnt, [verdict(1, Judgement::Held, HELD_FOR / 2)]);
+    assert_eq!(plan.adopted, [verdict(1, Judgement::Held, HOLD_DURATION / 2)]);
     assert_eq!(plan.remove, [RequestDigest(2)]);
     assert_eq!(plan.write, [row(3, 1000 + whole)]);
-    watch.carried_out(&rows, &plan);
+    watch.mark_applied(&rows, &plan);
     let rows = [row(1, 1000 + whole / 2)];
     let cleared = verdict(1, Judgement::Cleared, Duration::ZERO);
     let plan = watch.plan(2000, &rows, &[cleared, held(3)]);
     assert_eq!((plan.remove, plan.lifted), (vec![RequestDigest(1)], vec![RequestDigest(3)]));
     // The store came back from a copy of before: what is missing was lost with it, and nobody has lifted anything.
-    watch.carried_out(&rows, &TablePlan::default());
+    watch.mark_applied(&rows, &HeldTablePlan::default());
     watch.note_era(StoreEra(1));
     let plan = watch.plan(1500, &[], &[held(1), held(3)]);
     assert!(plan.lifted.is_empty());
     assert_eq!(plan.write, [row(1, 1500 + whole), row(3, 1500 + whole)]);
     let mut verdicts = Verdicts::default();
     verdicts.take(now, &[held(3)]);
-    assert!(watch.is_read() && !watch.is_idle(&verdicts.told(now)));
+    assert!(watch.is_read() && !watch.is_idle(&verdicts.updates(now)));
 }
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -249,7 +249,7 @@
         let servers = gateway.knowledge.with_servers(|r| {
             r.servers().find(|server| server.id == unresponsive).map(|server| server.tag())
         });
-        servers.is_some_and(|tag| picker.own_silent(now).contains(&tag))
+        servers.is_some_and(|tag| picker.own_unresponsive(now).contains(&tag))
     });
     assert!(waiting.iter().any(|caller| !caller.is_finished()), "no request has failed yet");
     let statuses: Vec<u16> =
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use cartvane::routing::{Aggregate, BackendServer, Incarnation, Picker, ServiceLoad, Wanted};
+use cartvane::routing::{Aggregate, BackendServer, Incarnation, PickRequest, Picker, ServiceLoad};
 
 use crate::routing::{picker, server};
 
@@ -19,13 +19,13 @@
     tried: &[Incarnation],
 ) -> Option<Incarnation> {
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity,
         spread: 5,
         tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     picker.pick(now, &wanted).ok().map(|picked| picked.server.id.clone())
 }
@@ -41,7 +41,7 @@
         if id != home && !spilled.contains(&id) {
             spilled.push(id.clone());
         }
-        picker.begin(now, &id);
+        picker.start_request(now, &id);
     }
     let loads: Vec<u32> = picker.in_flight().map(|(_, own)| own).collect();
     let mean = 6.0;
@@ -59,11 +59,11 @@
     let mut picker = picker(&servers);
     let (one, two) = (servers[1].id.clone(), servers[2].id.clone());
     assert_eq!(pick(&picker, now, None, std::slice::from_ref(&one)), Some(two.clone()));
-    picker.unreachable(now, &two);
+    picker.note_unreachable(now, &two);
     for key in 0..20 {
         assert_eq!(pick(&picker, now, Some(key), &[]), Some(one.clone()));
     }
-    picker.unreachable(now, &one);
+    picker.note_unreachable(now, &one);
     assert!(pick(&picker, now, Some(1), &[]).is_some(), "the last servers are tried all the same");
     assert_eq!(pick(&picker, now, None, &[one, two]), None);
 }
@@ -75,15 +75,15 @@
     let mut picker = picker(&servers);
     let bad = servers[0].id.clone();
     for server in &servers {
-        (0..6).for_each(|_| picker.good(now, &server.id));
+        (0..6).for_each(|_| picker.note_success(now, &server.id));
     }
-    (0..6).for_each(|_| picker.bad(now, &bad));
+    (0..6).for_each(|_| picker.note_failure(now, &bad));
     assert!((0..50).all(|key| pick(&picker, now, Some(key), &[]) != Some(bad.clone())));
     let later = now + SECOND * 10;
     assert!((0..50).any(|key| pick(&picker, later, Some(key), &[]) == Some(bad.clone())));
     // Where all fail alike, none is worse than the others.
     for server in &servers {
-        (0..20).for_each(|_| picker.bad(later, &server.id));
+        (0..20).for_each(|_| picker.note_failure(later, &server.id));
     }
     assert!((0..50).any(|key| pick(&picker, later, Some(key), &[]) == Some(bad.clone())));
 }
@@ -97,7 +97,7 @@
     let mut picker = picker(&servers);
     let first = pick(&picker, now, None, &[]).expect("a server");
     assert_eq!(first, servers[0].id);
-    picker.begin(now, &first);
+    picker.start_request(now, &first);
     let second = pick(&picker, now, None, &[]).expect("a server");
     assert_ne!(second, first);
 }
@@ -121,13 +121,13 @@
     let mut servers = fleet(6);
     let service = "llm".parse().expect("a name");
     let pick = |picker: &Picker, tried: &[Incarnation]| {
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &service,
             affinity: Some(42),
             spread: 5,
             tried,
             admission: None,
-            ..Wanted::of(&service)
+            ..PickRequest::new(&service)
         };
         let picked = picker.pick(now, &wanted).expect("a server");
         (picked.server.id.clone(), picked.holder.expect("a holder").id.clone())
@@ -141,7 +141,7 @@
     assert_eq!(third, second);
     assert_ne!(holder, home, "the request has failed there");
     let mut unreached = picker(&servers);
-    unreached.unreachable(now, &second);
+    unreached.note_unreachable(now, &second);
     assert_eq!(pick(&unreached, &[]).0, home);
     assert_ne!(pick(&unreached, &[]).1, second);
 }
@@ -152,27 +152,27 @@
     let servers = fleet(3);
     let tag = |i: usize| servers[i].tag();
     let mut aggregate = Aggregate::default();
-    aggregate.take(now, "a".parse().expect("a name"), vec![(tag(0), 4), (tag(1), 1)]);
-    aggregate.take(now + SECOND * 2, "b".parse().expect("a name"), vec![(tag(0), 2)]);
+    aggregate.record_counts(now, "a".parse().expect("a name"), vec![(tag(0), 4), (tag(1), 1)]);
+    aggregate.record_counts(now + SECOND * 2, "b".parse().expect("a name"), vec![(tag(0), 2)]);
     let total = |at: Instant| aggregate.summary(at, servers.iter()).remove(0);
     let both = total(now + SECOND * 2);
-    assert!(both.whole);
+    assert!(both.is_complete);
     assert_eq!(both.counts, [(tag(0), 6), (tag(1), 1), (tag(2), 0)]);
     assert_eq!(total(now + SECOND * 4).counts[0], (tag(0), 2));
     // What this instance told itself is not counted twice.
     let mut picker = picker(&servers);
-    (0..4).for_each(|_| picker.begin(now, &servers[0].id));
+    (0..4).for_each(|_| picker.start_request(now, &servers[0].id));
     let own = picker.own_counts();
     picker.set_fleet_loads(now, &[both], &own);
     let service = "llm".parse().expect("a name");
     let tried = [servers[1].id.clone(), servers[2].id.clone()];
-    let wanted = Wanted {
+    let wanted = PickRequest {
         service: &service,
         affinity: None,
         spread: 5,
         tried: &tried,
         admission: None,
-        ..Wanted::of(&service)
+        ..PickRequest::new(&service)
     };
     let picked = picker.pick(now, &wanted).expect("a server");
     assert!((picked.load - 6.0).abs() < 0.01, "{picked:?}");
@@ -184,9 +184,9 @@
     let servers = fleet(500);
     let counts = servers.iter().enumerate().map(|(i, s)| (s.tag(), if i == 7 { 20 } else { 2 }));
     let mut aggregate = Aggregate::default();
-    aggregate.take(now, "a".parse().expect("a name"), counts.collect());
+    aggregate.record_counts(now, "a".parse().expect("a name"), counts.collect());
     let load = aggregate.summary(now, servers.iter()).remove(0);
-    assert!(!load.whole);
+    assert!(!load.is_complete);
     assert_eq!(load.counts, [(servers[7].tag(), 20)]);
     let mut picker = picker(&servers);
     picker.set_fleet_loads(now, &[load], &[]);
@@ -205,7 +205,7 @@
         service: "llm".parse().expect("a name"),
         mean: load as f32 / 4.0,
         counts: vec![(servers[0].tag(), load)],
-        whole: true,
+        is_complete: true,
     };
     let mut told = |at: Duration, load| {
         let crowded = picker.set_fleet_loads(now + at, &[loads(load)], &[]);
@@ -228,15 +228,15 @@
     let used = |picker: &Picker, at| {
         (0..60).any(|key| pick(picker, at, Some(key), &[]) == Some(silent.clone()))
     };
-    assert!(!picker.silent(now, &silent), "one may be a long prompt");
+    assert!(!picker.note_stall(now, &silent), "one may be a long prompt");
     assert!(used(&picker, now));
-    assert!(picker.silent(now, &silent));
+    assert!(picker.note_stall(now, &silent));
     assert!(!used(&picker, now));
     let later = now + SECOND;
     assert!(used(&picker, later));
-    picker.begin(later, &silent);
+    picker.start_request(later, &silent);
     assert!(!used(&picker, later), "one request at a time tries it");
-    picker.good(later, &silent);
+    picker.note_success(later, &silent);
     assert!(used(&picker, later));
 }
 
@@ -247,8 +247,8 @@
     let mut picker = picker(&servers);
     let slow = servers[0].id.clone();
     for _ in 0..10 {
-        picker.silent(now, &slow);
-        picker.spoke(now, &slow);
+        picker.note_stall(now, &slow);
+        picker.clear_stall(now, &slow);
     }
     assert!((0..60).any(|key| pick(&picker, now, Some(key), &[]) == Some(slow.clone())));
 }
@@ -259,14 +259,14 @@
     let servers = fleet(4);
     let (silent, heard) = (&servers[0], &servers[1]);
     let mut picker = picker(&servers);
-    picker.good(now, &heard.id);
-    picker.told_silent(now, &[silent.tag(), heard.tag()]);
+    picker.note_success(now, &heard.id);
+    picker.note_reported_unresponsive(now, &[silent.tag(), heard.tag()]);
     let used = |picker: &Picker, at, server: &BackendServer| {
         (0..60).any(|key| pick(picker, at, Some(key), &[]) == Some(server.id.clone()))
     };
     assert!(!used(&picker, now, silent));
     assert!(used(&picker, now, heard));
-    assert!(picker.own_silent(now).is_empty(), "only what it found itself is told on");
+    assert!(picker.own_unresponsive(now).is_empty(), "only what it found itself is told on");
     assert!(used(&picker, now + SECOND, silent));
 }
 
@@ -276,11 +276,11 @@
     let servers = fleet(4);
     let mut picker = picker(&servers);
     for server in &servers[..2] {
-        picker.unreachable(now, &server.id);
+        picker.note_unreachable(now, &server.id);
     }
-    assert_eq!(picker.own_silent(now), [servers[0].tag(), servers[1].tag()]);
-    picker.unreachable(now, &servers[2].id);
-    assert!(picker.own_silent(now).is_empty(), "rather this instance is cut off");
+    assert_eq!(picker.own_unresponsive(now), [servers[0].tag(), servers[1].tag()]);
+    picker.note_unreachable(now, &servers[2].id);
+    assert!(picker.own_unresponsive(now).is_empty(), "rather this instance is cut off");
 }
 
 /// Where a whole service is slow, the few servers that are left would get all requests.
@@ -290,10 +290,10 @@
     let servers = fleet(5);
     let mut picker = picker(&servers);
     for server in &servers {
-        (0..3).for_each(|_| _ = picker.silent(now, &server.id));
+        (0..3).for_each(|_| _ = picker.note_stall(now, &server.id));
     }
     let tags: Vec<_> = servers.iter().map(BackendServer::tag).collect();
-    picker.told_silent(now, &tags);
+    picker.note_reported_unresponsive(now, &tags);
     let used: std::collections::HashSet<_> =
         (0..200).filter_map(|key| pick(&picker, now, Some(key), &[])).collect();
     assert_eq!(used.len(), 3);
@@ -304,8 +304,8 @@
     let now = Instant::now();
     let servers = fleet(400);
     let mut picker = picker(&servers);
-    servers[..150].iter().for_each(|server| picker.unreachable(now, &server.id));
-    assert_eq!(picker.own_silent(now).len(), 64);
+    servers[..150].iter().for_each(|server| picker.note_unreachable(now, &server.id));
+    assert_eq!(picker.own_unresponsive(now).len(), 64);
 }
 
 #[test]
@@ -319,8 +319,8 @@
     };
     let mut aggregate = Aggregate::default();
     let mut tell = |at: Instant, node: &str, silent: &[usize]| {
-        aggregate.take_silent(at, node.parse().expect("a name"), tags(silent));
-        aggregate.silent()
+        aggregate.record_unresponsive(at, node.parse().expect("a name"), tags(silent));
+        aggregate.unresponsive()
     };
     assert_eq!(tell(now, "a", &[0, 1]), tags(&[0, 1]), "there is no other");
     assert!(tell(now, "b", &[]).is_empty());
@@ -344,10 +344,10 @@
     picker.set_evacuated([zone(3)].into());
     let left: Vec<&BackendServer> = servers.iter().filter(|s| s.zone != zone(3)).collect();
     for server in &left {
-        (0..8).for_each(|_| picker.begin(now, &server.id));
+        (0..8).for_each(|_| picker.start_request(now, &server.id));
     }
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted { affinity: Some(42), ..Wanted::of(&service) };
+    let wanted = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
     let picked = picker.pick(now, &wanted).expect("a server");
     let mean = (left.len() * 8) as f64 / servers.len() as f64;
     assert!(picked.bound <= 2.0 * mean + 3.0, "{} where the mean is {mean}", picked.bound);
--- a/tests/suite/rollouts_drawn.rs
+++ b/tests/suite/rollouts_random.rs
@@ -12,15 +12,16 @@
 use cartvane::{
     names::{NodeName, ServiceName, SoftwareVersion, Tag},
     routing::{
-        AnswerSeen, Course, FailureDomains, Judge, RolloutEvidence, RolloutOrder, RolloutState,
-        RolloutStates, RolloutTerms, RunId, Stage, Tally, ToldRollout,
+        ExposureLimit, FailureDomains, ResponseObservation, RolloutEvidence, RolloutOrder,
+        RolloutProgress, RolloutState, RolloutStates, RolloutUpdate, RunId, Stage, StagePolicy,
+        VersionEvaluation,
     },
 };
 use fastrand::Rng;
 use indexmap::IndexMap;
 
 /// What operators allow: a part of all requests, and some beyond.
-const TERMS: RolloutTerms = RolloutTerms { share: 0.1, slack: 50.0 };
+const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit { share: 0.1, slack: 50.0 };
 
 /// Time after its 50th bad answer in which a bad version may get requests: half of what operators allow.
 const ROLLED_BACK_IN: Duration = Duration::from_millis(2500);
@@ -28,7 +29,7 @@
 /// Bad answers from which that time counts.
 const BAD_MIN: usize = 50;
 
-const LASTS: Duration = Duration::from_secs(12);
+const TIME_LIMIT: Duration = Duration::from_secs(12);
 
 /// Time that trouble of the whole fleet lasts.
 const SUDDEN_LASTS: Duration = Duration::from_millis(2500);
@@ -109,7 +110,7 @@
 
 /// What collects reports, judges and decides.
 struct Decider {
-    judge: Judge,
+    judge: VersionEvaluation,
     states: RolloutStates,
     term: u64,
     stage: Stage,
@@ -145,7 +146,7 @@
         let to = orders.values().next().expect("an order").to.clone();
         let mut states = RolloutStates::default();
         states.set_orders(orders);
-        let mut judge = Judge::new(to);
+        let mut judge = VersionEvaluation::new(to);
         let server = |number: usize| (Tag(number as u32), Tag((number % ZONES) as u32));
         judge.set_domains(FailureDomains::new((0..SERVERS).map(server)));
         Decider { judge, states, term, stage, stage_since: now }
@@ -163,7 +164,7 @@
         let mut rng = Rng::with_seed(seed);
         let service: ServiceName = "llm".parse().expect("a name");
         let to: SoftwareVersion = "v2".parse().expect("a version");
-        let order = RolloutOrder { to: to.clone(), lasts: LASTS };
+        let order = RolloutOrder { to: to.clone(), time_limit: TIME_LIMIT };
         let orders: IndexMap<ServiceName, RolloutOrder> = [(service.clone(), order.clone())].into();
         let instances = (0..case.instances).map(|number| {
             let mut states = RolloutStates::default();
@@ -198,7 +199,7 @@
 
     fn run(mut self) -> Came {
         let mut now = self.began;
-        let end = self.began + LASTS + Duration::from_secs(3);
+        let end = self.began + TIME_LIMIT + Duration::from_secs(3);
         while now < end {
             now += TICK;
             self.trouble_collector(now);
@@ -238,7 +239,7 @@
             && now >= *until
         {
             // It wakes and says what it believed, to some that ask it first.
-            let told = former.states.told(now);
+            let told = former.states.updates(now);
             for instance in self.instances.iter_mut().step_by(3) {
                 for told in &told {
                     instance.states.take(now, told);
@@ -252,28 +253,28 @@
         let number = self.rng.usize(..self.instances.len());
         let route = self.rng.usize(..ROUTES);
         let instance = &mut self.instances[number];
-        let lane = instance.states.lanes().pop().expect("a lane");
-        let share = if lane.bars(Some(&self.to)) { 0.0 } else { lane.share(now) };
+        let split = instance.states.version_splits().pop().expect("a lane");
+        let share = if split.bars(Some(&self.to)) { 0.0 } else { split.share(now) };
         let is_new = self.rng.f64() < share;
-        let server = self.rng.usize(..SERVERS.min(lane.servers.max(1)));
+        let server = self.rng.usize(..SERVERS.min(split.servers.max(1)));
         let seen =
             answer(&mut self.rng, &self.case, now - self.began, is_new.then_some(server), route);
         let version: SoftwareVersion =
             if is_new { self.to.clone() } else { "v1".parse().expect("a version") };
         instance.evidence.note_sent(Some(&version));
-        instance.evidence.note_answer(
+        instance.evidence.note_response(
             Tag(1 + route as u32),
             Tag(server as u32),
             Some(&version),
             seen.0,
         );
-        if now - self.began <= LASTS {
+        if now - self.began <= TIME_LIMIT {
             self.came.sent += 1;
         }
         if !is_new {
             return;
         }
-        if now - self.began <= LASTS {
+        if now - self.began <= TIME_LIMIT {
             self.came.exposed += 1;
         }
         if self.case.badness != Badness::None {
@@ -289,17 +290,17 @@
     fn decide(&mut self, now: Instant) {
         let decider = &mut self.decider;
         let exchange = period(self.instances.len());
-        let course = Course { order: &self.order, terms: TERMS, exchange };
+        let course = StagePolicy { order: &self.order, exposure_limit: EXPOSURE_LIMIT, exchange };
         let (sent, sent_new) = decider.judge.sent();
-        let tally = Tally {
+        let progress = RolloutProgress {
             elapsed: now - self.began,
             in_stage: now.saturating_duration_since(decider.stage_since),
             sent,
             sent_new,
             answered_new: decider.judge.answered_new(),
             under_way_old: decider.judge.under_way_old(now),
-            doubt: decider.judge.doubt(),
-            doubt_in_all: decider.judge.doubt_in_all(),
+            regression_score: decider.judge.regression_score(),
+            total_regression_score: decider.judge.total_regression_score(),
             is_bad: decider.judge.is_bad(),
             servers_new: SERVERS,
             servers_old: SERVERS,
@@ -307,13 +308,13 @@
         let known = decider.states.of(&self.service, &self.to).map(|state| state.stage);
         let next = match known.filter(|stage| stage.is_final()) {
             Some(stage) => stage,
-            None => course.stage(decider.stage, &tally),
+            None => course.stage(decider.stage, &progress),
         };
         if next != decider.stage {
             (decider.stage, decider.stage_since) = (next, now);
         }
         self.recorded = self.recorded.max(next);
-        let share = course.share(next, &tally);
+        let share = course.share(next, &progress);
         let state = RolloutState {
             service: self.service.clone(),
             to: self.to.clone(),
@@ -321,11 +322,11 @@
             term: decider.term,
             step: u32::try_from((now - self.began).as_millis()).expect("a short day"),
             share,
-            servers: course.servers(share, &tally),
+            servers: course.servers(share, &progress),
             barred: Vec::new(),
             is_written: false,
         };
-        decider.states.take(now, &ToldRollout { state, age_ms: 0 });
+        decider.states.take(now, &RolloutUpdate { state, age_ms: 0 });
     }
 
     fn exchange(&mut self, now: Instant) {
@@ -333,11 +334,11 @@
         for instance in self.instances.iter_mut().filter(|instance| instance.reports_at <= now) {
             instance.reports_at = now + period.mul_f64(0.9 + 0.2 * self.rng.f64());
             let report = instance.evidence.report(&self.service, 0);
-            for told in instance.states.told(now) {
+            for told in instance.states.updates(now) {
                 self.decider.states.take(now, &told);
             }
             self.decider.judge.take(now, &instance.node, RunId(1), report);
-            for told in self.decider.states.told(now) {
+            for told in self.decider.states.updates(now) {
                 instance.states.take(now, &told);
             }
         }
@@ -351,7 +352,7 @@
     elapsed: Duration,
     new: Option<usize>,
     route: usize,
-) -> (AnswerSeen, bool) {
+) -> (ResponseObservation, bool) {
     // Routes differ in time and in how often they fail whatever the version.
     let usual = Duration::from_millis(20 + 15 * route as u64);
     let fails = if route == 0 { 0.14 } else { 0.004 };
@@ -388,7 +389,7 @@
         Trouble::AllFailSuddenly(from) if is_now(from) => failed |= rng.f64() < 0.6,
         _ => {}
     }
-    (if failed { AnswerSeen::Failed } else { AnswerSeen::Took(took) }, is_bad)
+    (if failed { ResponseObservation::Failed } else { ResponseObservation::Took(took) }, is_bad)
 }
 
 /// Threads that play cases: few, as other tests of the suite run beside them and have promises in time to check.
@@ -507,8 +508,10 @@
         };
         (seed, case)
     });
-    let over =
-        |came: &Came| came.exposed as f64 >= (TERMS.share * came.sent as f64 + TERMS.slack) / 2.0;
+    let over = |came: &Came| {
+        came.exposed as f64
+            >= (EXPOSURE_LIMIT.share * came.sent as f64 + EXPOSURE_LIMIT.slack) / 2.0
+    };
     let played = play(cases.collect());
     let over: Vec<_> = played.iter().filter(|(.., came)| over(came)).collect();
     assert!(over.is_empty(), "{} of 200: {over:?}", over.len());
@@ -547,7 +550,7 @@
         }
     }
     for (seed, case, came) in play(cases) {
-        let allowed = (TERMS.share * came.sent as f64 + TERMS.slack) / 2.0;
+        let allowed = (EXPOSURE_LIMIT.share * came.sent as f64 + EXPOSURE_LIMIT.slack) / 2.0;
         assert!((came.exposed as f64) < allowed, "{seed} {case:?} {came:?} allowed {allowed}");
         assert_eq!(came.late, 0, "{seed} {case:?} {came:?}");
         assert_eq!(came.stage, Some(Stage::RolledBack), "{seed} {case:?} {came:?}");
