--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -27,7 +27,7 @@
 pub struct LastAttempt {
     /// Server that the request was sent to.
     pub server: Incarnation,
-    /// Position of the server in the request's rendezvous ranking.
+    /// Position of the server in the rendezvous order of the request.
     pub rank: usize,
     /// Estimated load of the server, in requests.
     pub load: f64,
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -50,8 +50,8 @@
     pub priority: u8,
     /// Id of the last stream event that the caller received.
     pub last_event_id: Option<&'a str>,
-    /// Server from which the cache of the shared prompt is fetched, if the server that runs the request does not have
-    /// it.
+    /// Server from which the KV cache of the shared prompt is fetched, if the server that runs the request does not
+    /// have it.
     pub prompt_holder: Option<SocketAddr>,
 }
 
