--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -119,15 +119,21 @@
         match read_body(gateway, conn, &head, received_at, body_bytes, &mut usage) {
             Ok(body) => {
                 let served = respond(gateway, conn, head, body, intent.as_deref(), received_at);
-                let keep_alive = served.completion.is_some_and(|completion| completion.keep_alive);
-                (served, Disposition::of(keep_alive))
+                let disposition = Disposition::of(served.completion.is_some_and(|c| c.keep_alive));
+                (served, disposition)
             }
             Err(refusal) => {
                 refusal.send(conn, false, false);
-                let (status, reason) = (refusal.status.as_u16(), refusal.reason);
-                log::info!("event=refused status={} reason={:?}", status, reason);
-                let completion = Some(refused_completion(&refusal, false));
-                (ServedRequest { completion, service: String::new() }, Disposition::LingeringClose)
+                log::info!(
+                    "event=refused status={} reason={:?}",
+                    refusal.status.as_u16(),
+                    refusal.reason
+                );
+                let served = ServedRequest {
+                    completion: Some(refused_completion(&refusal, false)),
+                    service: String::new(),
+                };
+                (served, Disposition::LingeringClose)
             }
         };
     let took = gateway.clock.now().saturating_duration_since(received_at);
@@ -262,8 +268,10 @@
                 gateway.knowledge.version(),
                 gateway.knowledge.intent_age(received_at).map_or(-1, |age| age.as_millis() as i64)
             );
-            let completion = Some(refused_completion(&refusal, keep_alive));
-            ServedRequest { completion, service: String::new() }
+            ServedRequest {
+                completion: Some(refused_completion(&refusal, keep_alive)),
+                service: String::new(),
+            }
         }
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -453,7 +453,7 @@
     }
 
     /// Responds to a failed request; `None` if another attempt is allowed.
-    pub fn respond_failed_unless_retry(&mut self, conn: &mut Conn) -> Option<Completion> {
+    fn respond_failed_unless_retry(&mut self, conn: &mut Conn) -> Option<Completion> {
         if self.may_retry() { None } else { Some(self.respond_failed(conn)) }
     }
 
@@ -484,10 +484,18 @@
         let keep_alive = self.keep_alive();
         let note = AnswerNote::plain(keep_alive);
         let head_only = self.request.method == Method::HEAD;
-        let BufferedResponse { status, headers, body } = response;
-        let sent = send_whole(conn, CALLER_WRITE_TIMEOUT, *status, headers, &note, body, head_only);
+        let (headers, body) = (&response.headers, &response.body);
+        let sent = send_whole(
+            conn,
+            CALLER_WRITE_TIMEOUT,
+            response.status,
+            headers,
+            &note,
+            body,
+            head_only,
+        );
         Completion {
-            status: status.as_u16(),
+            status: response.status.as_u16(),
             outcome: Outcome::Run,
             keep_alive: keep_alive && sent.is_ok(),
             reason,
@@ -509,14 +517,10 @@
         }
         let time_left = self.request.deadline.saturating_duration_since(self.gateway.clock.now());
         let response = self.attempts.local_response(self.refusal, time_left);
-        let head_only = self.request.method == Method::HEAD;
-        let keep_alive = response.send(conn, self.keep_alive(), head_only);
-        Completion {
-            status: response.status.as_u16(),
-            outcome: self.attempts.outcome(),
-            keep_alive,
-            reason: response.reason,
-        }
+        let keep_alive = self.keep_alive();
+        let keep_alive = response.send(conn, keep_alive, self.request.method == Method::HEAD);
+        let status = response.status.as_u16();
+        Completion { status, outcome: self.attempts.outcome(), keep_alive, reason: response.reason }
     }
 
     /// Returns whether the caller's connection may serve another request after this one.
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -58,12 +58,12 @@
 pub fn send(
     mut conn: Conn,
     request: &Request,
-    headers: &AttemptHeaders<'_>,
+    attempt_headers: &AttemptHeaders<'_>,
     wait: &HeadWait<'_>,
     caller: Option<&Conn>,
 ) -> Result<ServerResponse, AttemptFault> {
     let deadline = wait.deadline;
-    let bytes = request_bytes(request, headers);
+    let bytes = request_bytes(request, attempt_headers);
     let sent = match conn.send_until_answered(&bytes, deadline, caller) {
         Ok(sent) => sent,
         Err((_, ReadFault::GivenUp)) => return Err(AttemptFault::CallerGone),
@@ -86,7 +86,7 @@
         log::warn!(
             "event=foreign_answer request={} server={}",
             request.metadata.id,
-            headers.server
+            attempt_headers.server
         );
         while next_piece(&mut conn, &mut body, deadline, caller)?.is_some() {}
     }
@@ -175,8 +175,8 @@
     }
 }
 
-fn request_bytes(request: &Request, headers: &AttemptHeaders<'_>) -> Vec<u8> {
-    let headers = adapter::headers::encode_request(&request.headers, headers);
+fn request_bytes(request: &Request, attempt_headers: &AttemptHeaders<'_>) -> Vec<u8> {
+    let headers = adapter::headers::encode_request(&request.headers, attempt_headers);
     let mut buf = Vec::with_capacity(1024 + request.body.len());
     buf.extend_from_slice(request.method.as_str().as_bytes());
     buf.push(b' ');
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -69,7 +69,11 @@
             let picked = source.open.picked.clone();
             drop(source);
             forwarding.note_fault(&picked, fault);
-            return forwarding.respond_failed_unless_retry(conn);
+            return if forwarding.may_retry() {
+                None
+            } else {
+                Some(forwarding.respond_failed(conn))
+            };
         }
     };
     let request = forwarding.request;
@@ -98,8 +102,8 @@
             SourceRead::End => {
                 let OpenResponse { picked, sent_at, head_at, .. } = &source.open;
                 forwarding.note_success(picked, *sent_at, *head_at);
-                let observation = interval.observation(forwarding.gateway.clock.now());
-                forwarding.note_version(picked, observation);
+                forwarding
+                    .note_version(picked, interval.observation(forwarding.gateway.clock.now()));
                 let OpenResponse { response, picked, .. } = source.open;
                 forwarding.keep_connection(&picked.server.id, response);
                 let sent = writer.end().is_ok();
