--- a/src/gateway/cold_permits.rs
+++ b/src/gateway/cold_permits.rs
@@ -84,12 +84,12 @@
 
     /// Returns the limit for cold servers of a service, if its servers have one.
     pub(super) fn cold_terms(&self, service: &ServiceName) -> Option<ColdTerms> {
-        self.knowledge.intent()?.services.get(service)?.cold
+        self.cluster_state.intent()?.services.get(service)?.cold
     }
 
     fn request_permit(&self, request: &PermitRequest) -> Permit {
         let now = self.clock.now();
-        if !self.peers.knows_others(now) {
+        if !self.peers.has_joined(now) {
             return Permit::NoPeersKnown;
         }
         let Some(granter) = self.granter(request.server) else { return Permit::Unanswered };
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -71,7 +71,7 @@
 /// Serves the requests of a connection until it closes or the next request does not follow at once.
 pub fn serve(gateway: &Gateway, mut conn: Conn) -> Served {
     // After a start, the intent and the server list arrive within some hundredths of a second.
-    gateway.knowledge.wait_complete(STARTUP_WAIT_MAX);
+    gateway.cluster_state.wait_complete(STARTUP_WAIT_MAX);
     loop {
         conn.give_back_buffer();
         match conn.first_byte(gateway.clock.now() + NEXT_REQUEST_WAIT) {
@@ -92,12 +92,12 @@
 
 /// Returns when a caller's connection that has been idle since `since` is closed.
 pub fn idle_deadline(gateway: &Gateway, since: Instant) -> Instant {
-    let timeout = gateway.knowledge.idle_time();
+    let timeout = gateway.cluster_state.idle_time();
     since + if timeout.is_zero() { IDLE_TIMEOUT_DEFAULT } else { timeout }
 }
 
 fn serve_one(gateway: &Gateway, conn: &mut Conn) -> Disposition {
-    let intent = gateway.knowledge.intent();
+    let intent = gateway.cluster_state.intent();
     let limits = intent.as_ref().map(|intent| &intent.limits);
     let head_bytes = limits.map_or(HEAD_BYTES_DEFAULT, |limits| limits.head_bytes);
     let head_timeout = limits.map_or(HEAD_TIMEOUT_DEFAULT, |limits| limits.head_time);
@@ -208,7 +208,7 @@
         let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", super::response::CALLER_WRITE_TIMEOUT);
     }
     let mut reader = BodyReader::new(framing);
-    let timeout = gateway.knowledge.idle_time().max(IDLE_TIMEOUT_DEFAULT);
+    let timeout = gateway.cluster_state.idle_time().max(IDLE_TIMEOUT_DEFAULT);
     let mut body = Vec::new();
     loop {
         let piece = match reader.next_by(conn, |conn| conn.fill_beside(received_at + timeout, None))
@@ -265,8 +265,11 @@
                  version_age_ms={}",
                 refusal.status.as_u16(),
                 refusal.reason,
-                gateway.knowledge.version(),
-                gateway.knowledge.intent_age(received_at).map_or(-1, |age| age.as_millis() as i64)
+                gateway.cluster_state.version(),
+                gateway
+                    .cluster_state
+                    .intent_age(received_at)
+                    .map_or(-1, |age| age.as_millis() as i64)
             );
             ServedRequest {
                 completion: Some(refused_completion(&refusal, keep_alive)),
@@ -326,8 +329,8 @@
         now.saturating_duration_since(request.received_at).as_millis(),
         request.route.target_latency.as_millis(),
         request.version,
-        millis(gateway.knowledge.intent_age(now)),
-        millis(gateway.knowledge.servers_age(now)),
+        millis(gateway.cluster_state.intent_age(now)),
+        millis(gateway.cluster_state.servers_age(now)),
     );
 }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -340,7 +340,7 @@
                 server.id,
                 server.address
             );
-            self.gateway.forget_server(&server.id);
+            self.gateway.remove_server(&server.id);
         }
         if response.metadata.not_run {
             return Err(AttemptFault::Refused);
@@ -461,7 +461,7 @@
     pub fn keep_connection(&self, server: &Incarnation, response: ServerResponse) {
         let keep_alive_for = response.metadata.keep_alive_for;
         let Some(conn) = response.into_reusable() else { return };
-        let max_connections = self.gateway.connections_of(&self.request.service);
+        let max_connections = self.gateway.max_connections(&self.request.service);
         self.gateway.conns.keep(server, conn, keep_alive_for, max_connections);
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,11 +1,11 @@
-//! A running instance on a platform that lists backend servers and keeps the operator's intent.
+//! An instance on a platform whose store has the list of backend servers and the operator's intent.
 //!
-//! `connection` reads a caller's request, `forward` finds it a backend server and answers it,
-//! `stream` passes events on; `intent_reader`, `roster_reader` and `peers` keep `knowledge` fresh;
-//! `instance_table` tells instances of each other.
+//! `connection` reads requests of callers, `forward` sends them to a backend server and writes the response, and
+//! `stream` forwards events. `intent_reader`, `roster_reader` and `peers` keep `cluster_state` up to date. By
+//! `instance_table`, instances discover each other.
 
-pub mod answering;
 pub mod attempts;
+pub mod cluster_state;
 pub mod cold_permits;
 pub mod connection;
 pub mod crash_suspects;
@@ -16,12 +16,12 @@
 pub mod in_flight;
 pub mod instance_table;
 pub mod intent_reader;
-pub mod knowledge;
-pub mod list_read;
+pub mod intent_relay;
 mod listeners;
 pub mod log_sink;
 pub mod messages;
 pub mod notices;
+pub mod peer_server;
 pub mod peers;
 pub mod pick_error;
 pub mod request;
@@ -32,9 +32,9 @@
 pub mod roster_reader;
 pub mod server_call;
 pub mod server_conns;
+pub mod server_list_cache;
 pub mod settings;
 pub mod skipped_log;
-pub mod spread;
 pub mod stall_timer;
 pub mod start;
 pub mod stream;
@@ -51,9 +51,9 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cold_permits::ColdPermits, crash_suspects::CrashSuspects, drain::Drain,
-    in_flight::InFlightGuard, knowledge::Knowledge, list_read::ListRead, peers::Peers,
-    request::Request, rollouts::Rollouts, server_conns::ServerConns, settings::GatewaySettings,
+    cluster_state::ClusterState, cold_permits::ColdPermits, crash_suspects::CrashSuspects,
+    drain::Drain, in_flight::InFlightGuard, peers::Peers, request::Request, rollouts::Rollouts,
+    server_conns::ServerConns, server_list_cache::ServerListCache, settings::GatewaySettings,
     skipped_log::SkippedLog,
 };
 use crate::{
@@ -68,10 +68,10 @@
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
 
-/// Connections to a server of a service that no intent describes.
-const CONNECTIONS_UNKNOWN: u32 = 16;
+/// Maximum number of connections to a server whose service is not in the intent.
+const DEFAULT_MAX_CONNECTIONS: u32 = 16;
 
-/// What the parts of an instance share.
+/// The state that the threads of an instance share.
 pub struct Gateway {
     /// Settings, as they were at the start.
     pub settings: GatewaySettings,
@@ -81,82 +81,82 @@
     pub metrics: Metrics,
     /// The platform's store.
     pub store: Store,
-    /// What is believed of intent and servers.
-    pub knowledge: Knowledge,
+    /// Newest intent, orders and servers received.
+    pub cluster_state: ClusterState,
     /// Loads and health of servers.
     pub picker: Mutex<Picker>,
-    /// Kept connections to servers.
+    /// Pooled connections to servers.
     pub conns: ServerConns,
     /// Other instances.
     pub peers: Peers,
-    /// Requests that end servers.
+    /// Requests that crash servers.
     pub crash_suspects: CrashSuspects,
     /// Roll-outs of versions.
     pub rollouts: Rollouts,
-    /// Requests to cold servers.
+    /// Permits for requests to cold servers.
     cold_permits: ColdPermits,
-    /// State of leaving.
+    /// Drain before the process stops.
     pub drain: Drain,
-    /// Is set when others begin to turn to this instance, which then reads the store for them.
-    pub reader_wanted: Signal,
+    /// Set when this instance becomes the aggregator, which reads the store for the others.
+    pub store_read_requested: Signal,
     /// Requests in flight and bytes of their bodies.
     pub usage: Usage,
-    /// When this process started, if the instance may have run before.
+    /// Start of this process, unless all instances start for the first time.
     restarted: Option<Instant>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
     store_share: Arc<Mutex<StoreShare>>,
     store_lost: Mutex<bool>,
     skipped_log: Mutex<SkippedLog>,
-    list_read: Mutex<Option<ListRead>>,
+    server_list_cache: Mutex<Option<ServerListCache>>,
 }
 
 impl Gateway {
-    /// Returns an instance that has not begun to run.
+    /// Creates the state of an instance that is not running yet.
     ///
     /// # Errors
     ///
-    /// The metrics or a pipe cannot be made.
+    /// The metrics or a pipe cannot be created.
     pub fn open(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<Gateway> {
         let metrics = Metrics::new()?;
-        let share = StoreShare::new(settings.source.rates, clock.now());
+        let share = StoreShare::new(settings.store.rates, clock.now());
         let store_share = Arc::new(Mutex::new(share));
         Ok(Gateway {
             clock: clock.clone(),
             metrics: metrics.clone(),
             store: open_store(&settings, clock, metrics.clone(), &store_share),
             store_share,
-            knowledge: Knowledge::new(settings.bounds.intent_in_force),
+            cluster_state: ClusterState::new(settings.bounds.intent_apply_time),
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
             crash_suspects: CrashSuspects::default(),
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
-            drain: Drain::open().context("cannot make a pipe")?,
-            reader_wanted: Signal::default(),
+            drain: Drain::open().context("cannot create a pipe")?,
+            store_read_requested: Signal::default(),
             usage: Usage::default(),
             restarted: (!settings.first_start).then(|| clock.now()),
             budgets: Mutex::default(),
             store_lost: Mutex::default(),
             skipped_log: Mutex::default(),
-            list_read: Mutex::default(),
+            server_list_cache: Mutex::default(),
             settings,
         })
     }
 
-    /// Returns how many instances share the fleet's bounds.
+    /// Returns the number of instances among which limits of the whole fleet are divided.
     pub fn instances(&self) -> usize {
         self.peers.instances().max(self.settings.seeds.len())
     }
 
-    /// Divides what all instances share by their number, after other instances became known.
+    /// Divides the limits of the whole fleet anew, after the list of instances has changed.
     pub fn instances_changed(&self) {
         self.conns.set_instances(self.instances());
         lock(&self.picker).set_position(self.peers.position());
         lock(&self.store_share).set_instances(self.instances());
     }
 
-    /// Notes a caller's request, for the retry budget and for what is learnt of its service.
+    /// Counts a request of a caller for the retry budget and for the load statistics of its service.
     pub fn note_request(&self, now: Instant, request: &Request) {
         let service = &request.service;
         let terms = &self.settings.bounds.retries;
@@ -167,12 +167,12 @@
         lock(&self.picker).note_request(now, service, request.priority, target);
     }
 
-    /// Picks a server and counts the request there at once, so that requests that come together see
-    /// each other.
+    /// Picks a server and counts the request there under the same lock, so that concurrent requests take each other
+    /// into account.
     ///
     /// # Errors
     ///
-    /// No server of the service may be used, or all have too long a queue.
+    /// No server of the service is available, or all their queues are too long.
     pub fn pick(
         &self,
         now: Instant,
@@ -185,7 +185,7 @@
         Ok((picked, InFlightGuard { gateway: self, server }))
     }
 
-    /// Returns whether the budget of `service` has a repeat.
+    /// Returns whether the budget of `service` has a retry left beyond `reserve`.
     pub fn has_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
@@ -193,14 +193,14 @@
         self.budget_of(&mut budgets, service).allows(now, terms, instances, reserve)
     }
 
-    /// Returns what this instance has spent at each service, for the sums over all.
+    /// Returns the retries that this instance has spent at each service, for the sums over all instances.
     pub fn spending(&self, now: Instant) -> Vec<RetrySpending> {
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
         budgets.iter_mut().map(|(service, budget)| budget.spending(now, terms, service)).collect()
     }
 
-    /// Takes what all instances have spent.
+    /// Sets the retries that all instances have spent.
     pub fn set_budget_sums(&self, now: Instant, sums: Vec<BudgetSum>) {
         let mut budgets = lock(&self.budgets);
         for sum in sums {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Takes one repeat from the budget of `service`.
+    /// Takes one retry from the budget of `service`, if it has one left beyond `reserve`; returns whether it had.
     pub fn take_retry(&self, now: Instant, service: &ServiceName, reserve: f64) -> bool {
         let instances = self.instances();
         let mut budgets = lock(&self.budgets);
@@ -225,36 +225,36 @@
         budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(self.restarted))
     }
 
-    /// Returns how many connections a server of `service` takes from all instances.
-    pub fn connections_of(&self, service: &ServiceName) -> u32 {
-        let intent = self.knowledge.intent();
+    /// Returns the maximum number of connections that a server of `service` accepts from all instances together.
+    pub fn max_connections(&self, service: &ServiceName) -> u32 {
+        let intent = self.cluster_state.intent();
         let spec = intent.as_ref().and_then(|intent| intent.services.get(service));
-        spec.map_or(CONNECTIONS_UNKNOWN, |spec| spec.max_connections)
+        spec.map_or(DEFAULT_MAX_CONNECTIONS, |spec| spec.max_connections)
     }
 
-    /// Takes over a changed list of servers.
+    /// Updates the picker and the connection pool after the list of servers has changed.
     pub fn servers_changed(&self) {
-        let known: HashSet<Incarnation> = self.knowledge.with_servers(|roster| {
+        let listed: HashSet<Incarnation> = self.cluster_state.with_servers(|roster| {
             let mut picker = lock(&self.picker);
             picker.set_servers(self.clock.now(), roster.servers());
             picker.set_cold(roster.cold());
             roster.servers().map(|server| server.id.clone()).collect()
         });
-        self.conns.retain(|server| known.contains(server));
+        self.conns.retain(|server| listed.contains(server));
     }
 
-    /// Takes what was read or told of operators' orders.
-    pub fn take_orders(&self, told: OrdersSnapshot, source: &str) {
-        if self.knowledge.offer_orders(self.clock.now(), told) && self.refresh_orders() {
+    /// Applies a snapshot of operators' orders that was read or received.
+    pub fn accept_orders(&self, snapshot: OrdersSnapshot, source: &str) {
+        if self.cluster_state.offer_orders(self.clock.now(), snapshot) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
     }
 
-    /// Has nothing new sent to the zones that are to be empty by now, and some to those that are taken back, and takes up
-    /// roll-outs; returns whether anything has changed.
+    /// Applies the orders that are active now: evacuated zones receive no new requests, zones that are no longer
+    /// evacuated do, and roll-outs start or stop. Returns whether anything has changed.
     pub fn refresh_orders(&self) -> bool {
         let now = self.clock.now();
-        let (zones, former, rollouts_changed) = self.knowledge.apply_orders(now, |orders| {
+        let (zones, former, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
             let former = lock(&self.picker).set_evacuated(orders.zones.clone());
             (orders.zones, former, self.rollouts.set_orders(self, &orders.rollouts))
         });
@@ -265,24 +265,24 @@
             log::warn!("event=zone_taken_back zone={zone}");
             let lasts =
                 |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
-            self.knowledge.assume_cold(now, zone, lasts);
+            self.cluster_state.assume_cold(now, zone, lasts);
             self.servers_changed();
         }
         zones != former || rollouts_changed
     }
 
-    /// Forgets a server whose address answered as another one.
-    pub fn forget_server(&self, id: &Incarnation) {
-        self.knowledge.forget_server(id);
+    /// Removes a server whose address now belongs to another one.
+    pub fn remove_server(&self, id: &Incarnation) {
+        self.cluster_state.remove_server(id);
         self.servers_changed();
     }
 
-    /// Notes that the store answered.
-    pub fn store_answered(&self) {
+    /// Notes that the store replied.
+    pub fn store_responded(&self) {
         *lock(&self.store_lost) = false;
     }
 
-    /// Notes a failed call; the first of a series is logged.
+    /// Notes a failed call to the store. Only the first of consecutive failures is logged.
     pub fn store_failed(&self, what: &str, fault: &StoreFault) {
         let mut lost = lock(&self.store_lost);
         if !*lost {
@@ -291,21 +291,21 @@
         }
     }
 
-    /// Returns whether the intent in force is recent enough to deny a request by it.
+    /// Returns whether the active intent was confirmed recently enough to deny a request because of it.
     pub fn intent_is_fresh(&self, now: Instant) -> bool {
-        let bound = self.settings.bounds.intent_in_force.max(self.settings.roster_period() * 2);
-        let is_young = self.knowledge.intent_age(now).is_some_and(|age| age <= bound);
-        is_young && self.knowledge.with_watch(|watch| watch.is_settled(now))
+        let bound = self.settings.bounds.intent_apply_time.max(self.settings.roster_period() * 2);
+        let is_recent = self.cluster_state.intent_age(now).is_some_and(|age| age <= bound);
+        is_recent && self.cluster_state.with_watch(|watch| watch.is_settled(now))
     }
 
-    /// Brings the metrics that are looked up, not counted, up to date.
-    fn show_gauges(&self) {
+    /// Updates the metrics that are gauges.
+    fn update_gauges(&self) {
         let now = self.clock.now();
-        self.metrics.revision(self.knowledge.version());
-        self.metrics.revision_newest(self.knowledge.with_watch(|watch| watch.newest()));
+        self.metrics.revision(self.cluster_state.version());
+        self.metrics.revision_newest(self.cluster_state.with_watch(|watch| watch.newest()));
         for (subject, age) in [
-            ("intent", self.knowledge.intent_age(now)),
-            ("servers", self.knowledge.servers_age(now)),
+            ("intent", self.cluster_state.intent_age(now)),
+            ("servers", self.cluster_state.servers_age(now)),
         ] {
             if let Some(age) = age {
                 self.metrics.knowledge_age(subject, age);
@@ -318,29 +318,30 @@
         for (server, count) in lock(&self.picker).in_flight() {
             self.metrics.in_flight_at(server, count);
         }
-        let confirmed = self.knowledge.with_watch(|watch| watch.confirmed());
+        let confirmed = self.cluster_state.with_watch(|watch| watch.confirmed());
         self.metrics.store_era(confirmed.map_or(0, |confirmed| confirmed.store.era.0));
-        self.metrics.evacuated_zones(self.knowledge.evacuated(now).len());
+        self.metrics.evacuated_zones(self.cluster_state.evacuated_zones(now).len());
         for (service, share) in lock(&self.picker).new_version_shares(now) {
             self.metrics.rollout_share(&service, share);
         }
         self.metrics.cold_servers(lock(&self.picker).cold_count(now));
         self.metrics.held_requests(self.crash_suspects.held_count());
-        self.metrics.log_lines_left_out(log_sink::take_left_out());
+        self.metrics.log_lines_left_out(log_sink::take_dropped());
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether the platform should send callers to this instance.
     pub fn is_ready(&self) -> bool {
-        let served = self.knowledge.with_servers(|roster| roster.servers().next().is_some());
-        let knows = served && self.knowledge.intent().is_some();
-        knows && !self.drain.is_draining() && !self.is_out_of_date(self.clock.now())
+        let has_servers =
+            self.cluster_state.with_servers(|roster| roster.servers().next().is_some());
+        let is_complete = has_servers && self.cluster_state.intent().is_some();
+        is_complete && !self.drain.is_draining() && !self.is_out_of_date(self.clock.now())
     }
 
-    /// Returns whether a newer intent has been known to exist for longer than changes may take: new callers
-    /// are better off with another instance.
+    /// Returns whether the active intent has been outdated for longer than a change may take to apply. New callers
+    /// should then use another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let behind = self.knowledge.with_watch(|watch| watch.outdated_for(now));
-        behind.is_some_and(|behind| behind > self.settings.bounds.intent_in_force)
+        let outdated = self.cluster_state.with_watch(|watch| watch.outdated_for(now));
+        outdated.is_some_and(|time| time > self.settings.bounds.intent_apply_time)
     }
 }
 
@@ -350,20 +351,20 @@
     picker
 }
 
-/// Opens the store; calls beyond this instance's share wait for their turn.
+/// Opens the store. Calls beyond this instance's share of the store's rate wait.
 fn open_store(
     settings: &GatewaySettings,
     clock: &Clock,
     metrics: Metrics,
     share: &Arc<Mutex<StoreShare>>,
 ) -> Store {
-    let (paced, share) = (clock.clone(), Arc::clone(share));
-    let pace = move |kind: CallKind| loop {
-        let turn = lock(&share).take(paced.now(), kind);
-        match turn {
+    let (limit_clock, share) = (clock.clone(), Arc::clone(share));
+    let limit = move |kind: CallKind| loop {
+        let admitted = lock(&share).take(limit_clock.now(), kind);
+        match admitted {
             Ok(()) => return,
             Err(wait) => thread::sleep(wait),
         }
     };
-    Store::new(settings.source.address, clock.clone(), metrics, pace)
+    Store::new(settings.store.address, clock.clone(), metrics, limit)
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,8 +1,8 @@
-//! The exchange between instances: each tells one of them what it has in flight, and is told what
-//! the others have and what is new in the store.
+//! The periodic exchange between instances: each reports its requests in flight to one of them, the aggregator, which
+//! replies with the sums over all instances and the updates read from the store.
 //!
-//! The one that is told (see `routing::candidates`) reads the store for the others. Every reply
-//! carries ages, and an instance whose knowledge grows too old reads the store itself.
+//! The aggregator (see `routing::candidates`) reads the store for all instances. Every reply carries the ages of its
+//! values, and an instance whose state gets too old reads the store itself.
 
 use std::{
     net::SocketAddr,
@@ -16,14 +16,14 @@
 
 use super::{
     Gateway,
-    answering::{SUMS_AGE, Sums, sums},
     cold_permits::{PERMIT_PATH, PERMIT_TIMEOUT, PermitReply, PermitRequest},
     intent_reader,
-    messages::{Asks, ConfirmedAgo, News, Report},
+    intent_relay::{OFFER_PATH, Offer, OfferReply},
+    messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
+    peer_server::{FleetSums, SUMS_MAX_AGE, fleet_sums},
     rollout_table::{ROLLOUT_PATH, RolloutTableReply, RolloutTableRequest},
     roster_reader,
     settings::GatewaySettings,
-    spread::{OFFER_PATH, Offer, OfferReply},
 };
 use crate::{
     clock::Clock,
@@ -42,59 +42,60 @@
 /// Path of the exchange.
 pub(super) const EXCHANGE_PATH: &str = "/exchange";
 
-/// Longest pause in an exchange with another instance: many round trips, and less than the news may age.
-pub(super) const EXCHANGE_TIME: Duration = Duration::from_millis(300);
+/// Timeout of a call to another instance while no byte arrives: many round trips, and less than the age that updates
+/// may reach.
+pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Least pause between two exchanges: several within the time that a stream takes.
-const PERIOD_MIN: Duration = Duration::from_millis(250);
+/// Minimum time between two exchanges. Several exchanges take place within the duration of a stream.
+const EXCHANGE_PERIOD_MIN: Duration = Duration::from_millis(250);
 
-/// Time that the instance asked has for each exchange: four hundred a second, a few hundredths of a
-/// processor.
+/// Time between two exchanges at the aggregator: it serves 400 a second, which takes a few hundredths of a processor
+/// core.
 const PERIOD_PER_INSTANCE: Duration = Duration::from_micros(2500);
 
-/// Longest pause between two exchanges: with it and the pause between two reads of the servers'
-/// list, news are younger than the age at which an instance reads for itself.
-const PERIOD_MAX: Duration = Duration::from_millis(900);
+/// Maximum time between two exchanges. Together with the time between two reads of the list of servers it is less than
+/// the age at which an instance reads the store itself.
+const EXCHANGE_PERIOD_MAX: Duration = Duration::from_millis(900);
 
-/// Instances asked when the store cannot be read.
-const ASKED: usize = 2;
+/// Instances queried in one round, when the store cannot be read.
+const PEERS_PER_ROUND: usize = 2;
 
-/// Least pause between two rounds of questions.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+/// Minimum time between two rounds of queries.
+const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(300);
 
-/// Time after its start from which an instance that knows no other counts as alone, whether it could learn of
-/// others or not: what it read at its start is still young then.
-const JOIN_MAX: Duration = Duration::from_millis(1500);
+/// Time after the start at which an instance without known peers counts as the only one, even if it could not read the
+/// table of instances. The state that it read at its start is still recent then.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long an instance that others turn to goes on to read the store for them.
-const READS_FOR_OTHERS: Duration = Duration::from_millis(3000);
+/// Time after the last report from another instance during which an instance still acts as the aggregator.
+const AGGREGATOR_TTL: Duration = Duration::from_millis(3000);
 
-/// Other instances, and what they tell.
+/// Connections to the other instances, and what they have reported.
 pub struct Peers {
     pub(super) traffic: Traffic,
     links: PeerLinks,
-    /// Connections on which nothing waits for an exchange.
+    /// Separate connections, so that permits do not wait for exchanges.
     permit_links: PeerLinks,
-    /// Instances known, in the order in which all turn to them.
+    /// Known instances, in the order in which they become the aggregator.
     pub(super) candidates: Mutex<Candidates>,
-    /// Requests in flight, as the instances told them to this one.
+    /// Requests in flight, as the instances reported them to this one.
     pub(super) aggregate: Mutex<Aggregate>,
-    /// Repeats spent, as the instances told them to this one.
+    /// Retries spent, as the instances reported them to this one.
     pub(super) budget: Mutex<FleetBudget>,
     pub(super) run: RunId,
-    /// Whether the other instances are known.
+    /// Whether the other instances have been discovered.
     joined: AtomicBool,
     started: Instant,
-    /// Whether this instance waits for others as it starts.
+    /// How long this instance waits for seeds at its start.
     pub(super) start: StartupWait,
-    pub(super) sums: Recent<Sums>,
+    pub(super) fleet_sums: Recent<FleetSums>,
     last_round: Mutex<Option<Instant>>,
-    /// The one that reads for this one while the store turns it away.
+    /// Chooses an instance that reads the store while it rejects this one.
     fallback_reader: Mutex<FallbackReader>,
 }
 
 impl Peers {
-    /// Returns the peers of an instance that knows none yet.
+    /// Creates the state of an instance that knows no other one yet.
     pub fn new(settings: &GatewaySettings, clock: &Clock, traffic: &Traffic) -> Peers {
         let own = InstanceInfo {
             node: settings.node.clone(),
@@ -103,76 +104,75 @@
             cores: settings.cores,
         };
         let run = RunId(fastrand::u64(..));
-        let is_asked = settings.seeds.is_empty() || settings.seeds.contains(&own.address);
+        let is_seed = settings.seeds.is_empty() || settings.seeds.contains(&own.address);
         Peers {
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
             permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIMEOUT, traffic.clone()),
-            links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIME, traffic.clone()),
+            links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
             started: clock.now(),
-            start: StartupWait::new(clock.now(), is_asked, fastrand::f64()),
-            sums: Recent::new(SUMS_AGE),
+            start: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
+            fleet_sums: Recent::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
             fallback_reader: Mutex::default(),
         }
     }
 
-    /// Sets the address at which this instance listens for others.
+    /// Sets the address that this instance advertises to the others.
     pub fn advertise(&self, address: SocketAddr) {
         lock(&self.candidates).set_own_address(address);
     }
 
-    /// Returns how many instances are known, this one included.
+    /// Returns the number of known instances, including this one.
     pub fn instances(&self) -> usize {
         lock(&self.candidates).all().len()
     }
 
-    /// Returns which of all known instances this one is.
+    /// Returns the position of this instance among all known ones.
     pub fn position(&self) -> FleetPosition {
         lock(&self.candidates).position()
     }
 
-    /// Returns whether this instance reads the store at a pace: it has nobody to turn to, or others
-    /// turn to it.
+    /// Returns whether this instance reads the store periodically: it is the aggregator, or no other instance responds.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.knows_others(now) && lock(&self.candidates).aggregator(now).is_none();
-        alone || self.is_read_from(now)
+        let alone = self.has_joined(now) && lock(&self.candidates).aggregator(now).is_none();
+        alone || self.is_aggregator(now)
     }
 
-    /// Returns whether the settings name this instance among `seeds`.
+    /// Returns whether this instance is one of `seeds`.
     pub fn is_seed(&self, seeds: &[SocketAddr]) -> bool {
         seeds.contains(&lock(&self.candidates).own().address)
     }
 
-    /// Notes that the other instances are known, as far as there are any.
+    /// Notes that the other instances, if any, have been discovered.
     pub fn note_joined(&self) {
         self.joined.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether an instance that knows nobody has nobody to rely on: one that has just started has not
-    /// learnt of the others yet.
-    pub(super) fn knows_others(&self, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(self.started) >= JOIN_MAX;
+    /// Returns whether the list of instances counts as complete: they have been discovered, or the time for that is
+    /// over. Before, an instance that knows no other one may not be the only one.
+    pub(super) fn has_joined(&self, now: Instant) -> bool {
+        let waited = now.saturating_duration_since(self.started) >= JOIN_TIMEOUT;
         waited || self.joined.load(Ordering::Relaxed)
     }
 
-    /// Returns whether others have turned to this instance lately.
-    pub(super) fn is_read_from(&self, now: Instant) -> bool {
+    /// Returns whether other instances have reported to this one within [`AGGREGATOR_TTL`].
+    pub(super) fn is_aggregator(&self, now: Instant) -> bool {
         let own = lock(&self.candidates).own().node.clone();
-        let heard = lock(&self.aggregate).last_report(&own);
-        heard.is_some_and(|at| now.saturating_duration_since(at) < READS_FOR_OTHERS)
+        let last = lock(&self.aggregate).last_report(&own);
+        last.is_some_and(|at| now.saturating_duration_since(at) < AGGREGATOR_TTL)
     }
 
-    /// Returns what this instance is to the others in the watch over the list of servers.
+    /// Returns the role of this instance in reading the list of servers.
     pub fn roster_role(&self, now: Instant) -> RosterRole {
         RosterRole { reader: self.is_reader(now), position: self.position() }
     }
 
-    /// Returns what this instance is to the others in the watch over the intent.
+    /// Returns the role of this instance in reading the intent.
     pub fn watch_role(&self, now: Instant) -> WatchRole {
         WatchRole {
             reader: self.is_reader(now),
@@ -185,21 +185,21 @@
     ///
     /// # Errors
     ///
-    /// Why it did not answer, for logs.
+    /// The reason why it did not reply, for logs.
     pub fn offer(&self, to: SocketAddr, offer: &Offer) -> Result<OfferReply, String> {
         let reply = self.links.call(Purpose::Config, to, OFFER_PATH, offer);
         reply.map_err(|fault| fault.to_string())
     }
 
-    /// Has another instance do something in the store's table of roll-outs; `None` where none could.
-    pub fn ask_helper_for_rollouts(
+    /// Has another instance access the store's table of roll-outs; `None` if none could.
+    pub fn forward_rollout_request(
         &self,
         now: Instant,
-        ask: &RolloutTableRequest,
+        request: &RolloutTableRequest,
     ) -> Option<RolloutTableReply> {
         for _ in 0..fallback_reader::ATTEMPTS_MAX {
             let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
-            match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, ask) {
+            match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, request) {
                 Ok(RolloutTableReply::Failed(reason)) => {
                     log::info!("event=no_help peer={} reason={reason:?}", fallback_reader.node);
                 }
@@ -217,17 +217,17 @@
         None
     }
 
-    /// Asks another instance for a permit.
+    /// Requests a permit from another instance.
     ///
     /// # Errors
     ///
-    /// Why it did not answer, for logs.
+    /// The reason why it did not reply, for logs.
     pub fn request_permit(
         &self,
         of: SocketAddr,
-        ask: &PermitRequest,
+        request: &PermitRequest,
     ) -> Result<PermitReply, String> {
-        let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, ask);
+        let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, request);
         reply.map_err(|fault| fault.to_string())
     }
 
@@ -236,14 +236,16 @@
         lock(&self.candidates).own().node == instance.node
     }
 
-    /// Returns the pause between two exchanges.
+    /// Returns the time between two exchanges, which grows with the number of instances.
     pub(super) fn period(&self) -> Duration {
         let instances = u32::try_from(self.instances()).unwrap_or(u32::MAX);
-        PERIOD_PER_INSTANCE.saturating_mul(instances).clamp(PERIOD_MIN, PERIOD_MAX)
+        PERIOD_PER_INSTANCE
+            .saturating_mul(instances)
+            .clamp(EXCHANGE_PERIOD_MIN, EXCHANGE_PERIOD_MAX)
     }
 
-    /// Returns up to `count` other addresses, drawn anew each time.
-    fn draw(&self, seeds: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
+    /// Returns the addresses of up to `count` other instances, chosen at random.
+    fn random_peers(&self, seeds: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
         let candidates = lock(&self.candidates);
         let own = candidates.own().address;
         let known = candidates.all().iter().map(|i| i.address);
@@ -257,7 +259,7 @@
     }
 }
 
-/// Exchanges news until the process ends.
+/// Makes an exchange in each period, until the process ends.
 pub fn run(gateway: &Arc<Gateway>) {
     loop {
         exchange(gateway);
@@ -266,37 +268,38 @@
     }
 }
 
-/// Tells the first instance that answers, and takes what it tells.
+/// Reports to the aggregator and applies its reply. If it does not respond, the next candidate is tried, once. The
+/// aggregator itself applies its own sums.
 fn exchange(gateway: &Gateway) {
     let peers = &gateway.peers;
     for _ in 0..2 {
         let now = gateway.clock.now();
-        let first = lock(&peers.candidates).aggregator(now).cloned();
-        let Some(first) = first else {
-            let sums = sums(gateway, now);
-            take_loads(gateway, now, &sums.loads, None);
-            lock(&gateway.picker).note_reported_unresponsive(now, &sums.silent);
+        let aggregator = lock(&peers.candidates).aggregator(now).cloned();
+        let Some(aggregator) = aggregator else {
+            let sums = fleet_sums(gateway, now);
+            apply_loads(gateway, now, &sums.loads, None);
+            lock(&gateway.picker).note_reported_unresponsive(now, &sums.unresponsive);
             gateway.set_budget_sums(now, sums.budgets.clone());
-            judge_own(gateway, now);
+            take_own_crash_report(gateway, now);
             return;
         };
-        match ask(gateway, first.address, Asks::InTurn) {
+        match exchange_with(gateway, aggregator.address, ExchangePurpose::Aggregate) {
             Ok(()) => {
-                lock(&peers.candidates).note_responsive(&first.node);
+                lock(&peers.candidates).note_responsive(&aggregator.node);
                 return;
             }
             Err(fault) => {
-                log::info!("event=peer_silent peer={} reason={fault:?}", first.node);
-                lock(&peers.candidates).note_unresponsive(gateway.clock.now(), &first.node);
+                log::info!("event=peer_silent peer={} reason={fault:?}", aggregator.node);
+                lock(&peers.candidates).note_unresponsive(gateway.clock.now(), &aggregator.node);
             }
         }
     }
 }
 
-/// Takes this instance's own word on servers that ended, as the one to which all turn.
-fn judge_own(gateway: &Gateway, now: Instant) {
+/// Applies the aggregator's own report on servers that crashed.
+fn take_own_crash_report(gateway: &Gateway, now: Instant) {
     let crash_suspects = &gateway.crash_suspects;
-    if !gateway.settings.first_start && gateway.peers.knows_others(now) {
+    if !gateway.settings.first_start && gateway.peers.has_joined(now) {
         crash_suspects.request_table_read();
     }
     let report = crash_suspects.report(now);
@@ -308,115 +311,126 @@
     }
 }
 
-/// Learns from other instances what the store does not tell.
+/// Fetches from other instances what could not be read from the store. Calls within 300 ms of the last round do
+/// nothing.
 pub fn catch_up(gateway: &Gateway) {
     let now = gateway.clock.now();
     {
         let mut last = lock(&gateway.peers.last_round);
-        if last.is_some_and(|at| now.saturating_duration_since(at) < ROUND_PAUSE) {
+        if last.is_some_and(|at| now.saturating_duration_since(at) < ROUND_INTERVAL_MIN) {
             return;
         }
         *last = Some(now);
     }
-    if gateway.peers.is_read_from(now) {
-        return ask_helper(gateway, now);
+    if gateway.peers.is_aggregator(now) {
+        return request_store_read(gateway, now);
     }
-    for address in gateway.peers.draw(&gateway.settings.seeds, ASKED) {
-        if let Err(fault) = ask(gateway, address, Asks::Once) {
+    for address in gateway.peers.random_peers(&gateway.settings.seeds, PEERS_PER_ROUND) {
+        if let Err(fault) = exchange_with(gateway, address, ExchangePurpose::Query) {
             log::info!("event=peer_silent peer={address} reason={fault:?}");
         }
     }
 }
 
-/// Has another instance read the store, for those that turn to this one.
-fn ask_helper(gateway: &Gateway, now: Instant) {
+/// Has another instance read the store for the aggregator, which the store rejects.
+fn request_store_read(gateway: &Gateway, now: Instant) {
     let peers = &gateway.peers;
     for _ in 0..fallback_reader::ATTEMPTS_MAX {
         let fallback_reader = lock(&peers.fallback_reader).pick(now, &lock(&peers.candidates));
         let Some(fallback_reader) = fallback_reader else { return };
-        let Err(fault) = ask(gateway, fallback_reader.address, Asks::ToRead) else { return };
+        let Err(fault) =
+            exchange_with(gateway, fallback_reader.address, ExchangePurpose::ReadStore)
+        else {
+            return;
+        };
         log::info!("event=no_help peer={} reason={fault:?}", fallback_reader.node);
         lock(&peers.fallback_reader).failed();
     }
 }
 
-/// Asks the instances that the settings name, one after the other, for all, until what one tells is enough; returns
-/// whether it is. One that has just started itself answers, and tells of nobody and nothing.
-pub fn ask_seed(gateway: &Gateway, is_enough: impl Fn() -> bool) -> bool {
+/// Queries the seeds one after the other, in random order, until `is_enough` holds; returns whether it does. A seed
+/// that has just started itself replies with an empty state.
+pub fn query_seeds(gateway: &Gateway, is_enough: impl Fn() -> bool) -> bool {
     let mut seeds = gateway.settings.seeds.clone();
     if gateway.peers.is_seed(&seeds) {
         return false;
     }
     fastrand::shuffle(&mut seeds);
-    seeds.into_iter().any(|seed| ask(gateway, seed, Asks::Once).is_ok() && is_enough())
+    seeds
+        .into_iter()
+        .any(|seed| exchange_with(gateway, seed, ExchangePurpose::Query).is_ok() && is_enough())
 }
 
-/// Makes one exchange.
-fn ask(gateway: &Gateway, address: SocketAddr, asks: Asks) -> Result<(), String> {
+/// Sends a report to another instance and applies its reply.
+fn exchange_with(
+    gateway: &Gateway,
+    address: SocketAddr,
+    purpose: ExchangePurpose,
+) -> Result<(), String> {
     let peers = &gateway.peers;
-    let asked = gateway.clock.now();
-    let (list, version) = (gateway.knowledge.list_version(), gateway.knowledge.version());
+    let sent_at = gateway.clock.now();
+    let (list, version) = (gateway.cluster_state.list_version(), gateway.cluster_state.version());
     let (from, instances) = {
         let candidates = lock(&peers.candidates);
         (candidates.own().clone(), candidates.version())
     };
-    let (counts, silent) = {
+    let (counts, unresponsive) = {
         let picker = lock(&gateway.picker);
-        (picker.own_counts(), picker.own_unresponsive(asked))
+        (picker.own_counts(), picker.own_unresponsive(sent_at))
     };
-    // Others than the one that all turn to know only a part.
-    let in_turn = asks == Asks::InTurn;
+    // Only the aggregator receives the reports of all instances; the sums of another one would be incomplete.
+    let to_aggregator = purpose == ExchangePurpose::Aggregate;
     let crash_suspects =
-        if in_turn { gateway.crash_suspects.report(asked) } else { Default::default() };
-    let report = Report {
+        if to_aggregator { gateway.crash_suspects.report(sent_at) } else { Default::default() };
+    let report = ExchangeReport {
         from,
         counts: counts.clone(),
-        silent,
+        unresponsive,
         run: peers.run,
         crash_suspects,
-        spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
-        rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
-        rollout_states: gateway.rollouts.updates(asked),
-        version,
-        // An instance that starts takes what it can get, and so does one that asks.
-        wants_intent: !in_turn || version == 0,
-        asks,
-        list,
-        instances,
+        spending: if to_aggregator { gateway.spending(sent_at) } else { Vec::new() },
+        rollouts: if to_aggregator { gateway.rollouts.reports(gateway) } else { Vec::new() },
+        rollout_states: gateway.rollouts.updates(sent_at),
+        intent_version: version,
+        // An instance that starts, or that could not read the store, accepts changes of any size.
+        wants_intent: !to_aggregator || version == 0,
+        purpose,
+        list_version: list,
+        instances_hash: instances,
     };
-    let mut news: News = peers
+    let mut reply: ExchangeReply = peers
         .links
         .call(Purpose::Loads, address, EXCHANGE_PATH, &report)
         .map_err(|e| e.to_string())?;
-    let told = gateway.clock.now();
+    let received_at = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
-        news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
-    gateway.crash_suspects.apply_verdicts(told, &lasting, "peer");
-    if in_turn {
-        gateway.crash_suspects.mark_reported(news.run, &report.crash_suspects);
-        gateway.crash_suspects.watch(told, &watched);
-        if news.servers_end {
-            gateway.crash_suspects.alert(told);
+        reply.verdicts.iter().partition(|verdict| verdict.judgement == Judgement::Watched);
+    gateway.crash_suspects.apply_verdicts(received_at, &lasting, "peer");
+    if to_aggregator {
+        gateway.crash_suspects.mark_reported(reply.run, &report.crash_suspects);
+        gateway.crash_suspects.watch(received_at, &watched);
+        if reply.crash_alert {
+            gateway.crash_suspects.alert(received_at);
         }
-        take_loads(gateway, told, &news.loads, Some(counts));
-        lock(&gateway.picker).note_reported_unresponsive(told, &news.silent);
-        gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
+        apply_loads(gateway, received_at, &reply.loads, Some(counts));
+        lock(&gateway.picker).note_reported_unresponsive(received_at, &reply.unresponsive);
+        gateway.set_budget_sums(received_at, std::mem::take(&mut reply.budgets));
     }
-    take(gateway, news, list, asked);
+    apply_reply(gateway, reply, list, sent_at);
     Ok(())
 }
 
-/// Takes what all instances have in flight; `told` is what this one had told of its own, where that is
-/// not what it has now.
-fn take_loads(
+/// Applies the loads over all instances. `reported` are the counts of this instance that they contain, if those differ
+/// from the current ones.
+fn apply_loads(
     gateway: &Gateway,
     now: Instant,
     loads: &[ServiceLoad],
-    told: Option<Vec<InFlightCount>>,
+    reported: Option<Vec<InFlightCount>>,
 ) {
     let crowded = {
         let mut picker = lock(&gateway.picker);
-        let own = told.unwrap_or_else(|| picker.own_counts());
+        let own = reported.unwrap_or_else(|| picker.own_counts());
         picker.set_fleet_loads(now, loads, &own)
     };
     for Crowded { server, load, limit } in crowded {
@@ -424,40 +438,45 @@
     }
 }
 
-/// Takes what is new in the list that was of `version`, and current at `as_of`.
-fn take_list(
+/// Applies an update of the list of servers that starts from `version` and was current at `as_of`.
+fn apply_list(
     gateway: &Gateway,
     version: Option<ListVersion>,
-    news: ServerListUpdate,
+    update: ServerListUpdate,
     as_of: Instant,
     era: StoreEra,
 ) {
-    let knowledge = &gateway.knowledge;
-    let is_same = matches!(news, ServerListUpdate::Same);
-    if is_same && knowledge.confirm_list(gateway.clock.now(), version, as_of, era) {
+    let cluster_state = &gateway.cluster_state;
+    let is_same = matches!(update, ServerListUpdate::Same);
+    if is_same && cluster_state.confirm_list(gateway.clock.now(), version, as_of, era) {
         return;
     }
-    if let Some(servers) = knowledge.apply_list_news(version, news) {
-        roster_reader::take(gateway, servers, as_of, era, "peer");
+    if let Some(servers) = cluster_state.apply_list_update(version, update) {
+        roster_reader::apply_list(gateway, servers, as_of, era, "peer");
     }
 }
 
-fn take(gateway: &Gateway, news: News, list: Option<ListVersion>, asked: Instant) {
-    // Before an intent or a list by which the instance may become ready.
-    gateway.take_orders(news.orders, "peer");
-    gateway.rollouts.apply_updates(gateway, &news.rollout_states, "peer");
-    intent_reader::take_changes(gateway, &news.changes);
-    let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
-    if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
+fn apply_reply(
+    gateway: &Gateway,
+    reply: ExchangeReply,
+    list: Option<ListVersion>,
+    sent_at: Instant,
+) {
+    // Orders come first: the intent or the list may make this instance ready.
+    gateway.accept_orders(reply.orders, "peer");
+    gateway.rollouts.apply_updates(gateway, &reply.rollout_states, "peer");
+    intent_reader::apply_changes(gateway, &reply.changes);
+    let then = |age_ms: u64| sent_at.checked_sub(Duration::from_millis(age_ms));
+    if let Some(ConfirmedAgo { age_ms, store }) = reply.confirmed
         && let Some(at) = then(age_ms)
     {
-        gateway.knowledge.confirm(news.version, Confirmation { at, store });
+        gateway.cluster_state.confirm(reply.intent_version, Confirmation { at, store });
     }
-    gateway.knowledge.told_of(gateway.clock.now(), news.version);
-    if let Some(as_of) = news.list_age_ms.and_then(then) {
-        take_list(gateway, list, news.list, as_of, news.list_era);
+    gateway.cluster_state.note_version(gateway.clock.now(), reply.intent_version);
+    if let Some(as_of) = reply.list_age_ms.and_then(then) {
+        apply_list(gateway, list, reply.list, as_of, reply.list_era);
     }
-    if let Some(instances) = news.instances {
+    if let Some(instances) = reply.instances {
         lock(&gateway.peers.candidates).apply_update(instances);
         gateway.instances_changed();
     }
--- a/tests/suite/bodies.rs
+++ b/tests/suite/bodies.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     support::eventually,
-    world::{KEY, call, intent, settings, spawn, start},
+    testbed::{KEY, call, intent, settings, spawn, start},
 };
 
 /// A body larger than any socket buffer, so that the caller is still sending it when it is refused.
@@ -25,9 +25,9 @@
 
 #[test]
 fn a_caller_whose_body_is_too_large_receives_the_refusal() {
-    let world = start(1);
+    let testbed = start(1);
     for chunked in [false, true] {
-        let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+        let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
         let framing = if chunked { "transfer-encoding: chunked" } else { "content-length: 200000" };
         let head = format!(
             "POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-request-id: r\r\n\
@@ -40,14 +40,14 @@
         stream.read_to_string(&mut response).expect("the response is not lost");
         assert!(response.starts_with("HTTP/1.1 413"), "chunked {chunked}: {response:?}");
     }
-    assert_eq!(world.servers[0].total_runs(), 0);
+    assert_eq!(testbed.servers[0].total_runs(), 0);
 }
 
 /// The rest of the body arrives only after the refusal was sent, as from a caller behind a slow link.
 #[test]
 fn a_caller_that_keeps_sending_after_its_refusal_receives_it() {
-    let world = start(1);
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     let head = format!(
         "POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-request-id: r\r\n\
          authorization: Bearer {KEY}\r\ncontent-length: 200000\r\n\r\n"
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_chunked_body_arrives_as_it_was_sent() {
-    let world = start(1);
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     let request = format!(
         "POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-request-id: r1\r\nconnection: close\r\n\
          authorization: Bearer {KEY}\r\ntransfer-encoding: chunked\r\n\r\n\
@@ -78,7 +78,7 @@
     let mut response = String::new();
     stream.read_to_string(&mut response).expect("a response");
     assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
-    let arrived = world.servers[0].arrivals().pop().expect("an arrival");
+    let arrived = testbed.servers[0].arrivals().pop().expect("an arrival");
     assert_eq!(arrived.body, b"first second");
     assert_eq!(arrived.head.header("transfer-encoding"), None);
     assert_eq!(arrived.head.header("content-length"), Some("12"));
@@ -86,15 +86,15 @@
 
 #[test]
 fn a_missing_head_and_an_idle_connection_time_out_by_the_operators_limits() {
-    let world = start(1);
+    let testbed = start(1);
     let mut shorter = intent(9);
     shorter["limits"]["header_timeout_ms"] = 200.into();
     shorter["limits"]["idle_timeout_ms"] = 300.into();
-    world.store.put("op", "config", &shorter);
+    testbed.store.put("op", "config", &shorter);
     // A new instance, as lowering the limits does not cut off callers that rely on the longer ones.
-    let instance = spawn("two", world.store.address(), Vec::new());
+    let instance = spawn("two", testbed.store.address(), Vec::new());
     eventually("ready", || {
-        instance.gateway().is_ready() && instance.gateway().knowledge.version() == 9
+        instance.gateway().is_ready() && instance.gateway().cluster_state.version() == 9
     });
     let mut slow = TcpStream::connect(instance.callers()).expect("connected");
     slow.write_all(b"POST /idem/ HTTP/1.1\r\nhost: ").expect("sent");
@@ -110,23 +110,23 @@
 /// connection is about to close must stay unread.
 #[test]
 fn a_request_sent_while_the_connection_closes_is_not_read() {
-    let world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(300)));
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(300)));
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     stream.write_all(&call("/once/", "r1").with("connection", "close").bytes()).expect("sent");
-    eventually("the first request is in flight", || world.runs("r1") == 1);
+    eventually("the first request is in flight", || testbed.runs("r1") == 1);
     stream.write_all(&call("/once/", "r2").bytes()).expect("sent");
     let mut response = Vec::new();
     let end = stream.read_to_end(&mut response).expect_err("unread bytes reset the connection");
     assert_eq!(end.kind(), std::io::ErrorKind::ConnectionReset);
     assert!(response.starts_with(b"HTTP/1.1 200"));
-    assert_eq!(world.runs("r2"), 0);
+    assert_eq!(testbed.runs("r2"), 0);
 }
 
 #[test]
 fn an_endless_head_is_refused_and_the_caller_receives_the_refusal() {
-    let world = start(1);
-    let mut stream = TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = TcpStream::connect(testbed.instance.callers()).expect("connected");
     let head = format!("POST /idem/ HTTP/1.1\r\nhost: cartvane\r\nx-long: {}", "x".repeat(1 << 20));
     stream.write_all(head.as_bytes()).expect("sent");
     let mut response = String::new();
@@ -136,13 +136,13 @@
 
 #[test]
 fn buffered_bodies_share_a_limit_and_release_their_bytes() {
-    let world = start(1);
+    let testbed = start(1);
     let mut larger = intent(9);
     larger["limits"]["max_body_bytes"] = 1_000_000.into();
-    world.store.put("op", "config", &larger);
+    testbed.store.put("op", "config", &larger);
     let settings = GatewaySettings {
         body_bytes: 100_000,
-        ..settings("small", world.store.address(), Vec::new())
+        ..settings("small", testbed.store.address(), Vec::new())
     };
     let instance = GatewayHandle::spawn(settings, &Clock::system()).expect("an instance");
     eventually("ready", || instance.gateway().is_ready());
@@ -152,7 +152,7 @@
     let refused = send("r1", 150_000);
     assert_eq!(refused.status, 503);
     assert!(!refused.header("retry-after").is_empty());
-    assert_eq!(world.runs("r1"), 0);
+    assert_eq!(testbed.runs("r1"), 0);
     // A caller may receive its response shortly before the bytes of its body are released.
     let idle = || instance.gateway().usage.requests() == 0;
     for number in 0..5 {
@@ -213,22 +213,24 @@
 #[test]
 fn a_response_sent_before_the_whole_body_is_relayed_and_its_connection_is_not_reused() {
     for status in [200, 413] {
-        let world = start(1);
+        let testbed = start(1);
         let mut larger = intent(9);
         larger["limits"]["max_body_bytes"] = (2 * LARGE).into();
-        world.store.put("op", "config", &larger);
+        testbed.store.put("op", "config", &larger);
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        world.store.remove("servers", &world.servers[0].id);
-        let mut entry = world.servers[0].entry("app", "ready");
+        testbed.store.remove("servers", &testbed.servers[0].id);
+        let mut entry = testbed.servers[0].entry("app", "ready");
         entry["address"] = address.to_string().into();
-        world.store.put("servers", "early", &entry);
+        testbed.store.put("servers", "early", &entry);
         let is_current = || {
-            let gateway = world.instance.gateway();
+            let gateway = testbed.instance.gateway();
             let listed = |id: &str| {
-                gateway.knowledge.with_servers(|r| r.servers().any(|s| s.id.server.as_str() == id))
+                gateway
+                    .cluster_state
+                    .with_servers(|r| r.servers().any(|s| s.id.server.as_str() == id))
             };
-            gateway.knowledge.version() == 9 && listed("early") && !listed("s0")
+            gateway.cluster_state.version() == 9 && listed("early") && !listed("s0")
         };
         eventually("the instance has the new intent and server list", is_current);
         let (resume_sender, resume) = mpsc::channel();
@@ -236,13 +238,13 @@
         let body: Vec<u8> = (0..LARGE).map(|at| (at % 251) as u8).collect();
         let large = Call { body: body.clone(), ..call("/once/", "r1") };
         let mut conn =
-            Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
+            Conn::connect(testbed.instance.callers(), Duration::from_secs(1), &Clock::system())
                 .expect("a connection");
         let response = large.send_on(&mut conn);
         assert_eq!((response.status, response.text().as_str()), (status, "early"));
         resume_sender.send(()).expect("the server waits");
         // A request that follows must not be sent on the connection, as the rest of that body.
-        let _ = call("/once/", "r2").send(world.instance.callers());
+        let _ = call("/once/", "r2").send(testbed.instance.callers());
         let arrived = server.join().expect("the server");
         assert!(body.starts_with(&arrived), "{} bytes of something else", arrived.len());
     }
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -12,12 +12,12 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{KEY, call, settings, spawn, start, start_sharing},
+    testbed::{KEY, call, settings, spawn, start, start_sharing},
 };
 
 #[test]
 fn a_request_is_forwarded_unchanged_except_for_the_headers_that_cartvane_sets() {
-    let world = start(1);
+    let testbed = start(1);
     let target = "/idem/a%20b/../c?q=1&x=%2F";
     let sent = call(target, "r1")
         .with("x-tenant", "somebody-else")
@@ -25,12 +25,12 @@
         .with("x-kept", "as it is")
         .with("connection", "keep-alive, x-dropped")
         .with("x-dropped", "hop by hop");
-    let response = world.send(&sent);
+    let response = testbed.send(&sent);
     assert_eq!((response.status, response.whole), (200, true));
     assert_eq!(response.text(), expected(target, b"some body"));
     assert_eq!(response.header("x-response-seal"), "s0");
     assert_eq!(response.header("x-request-id"), "r1");
-    let arrived = world.servers[0].arrivals().pop().expect("an arrival");
+    let arrived = testbed.servers[0].arrivals().pop().expect("an arrival");
     let header = |name| arrived.head.header(name);
     assert_eq!(arrived.head.target, target);
     assert_eq!(arrived.body, b"some body");
@@ -47,8 +47,8 @@
 
 #[test]
 fn a_stream_is_relayed_event_by_event() {
-    let world = start(1);
-    let response = world.send(&call("/stream/x", "r1"));
+    let testbed = start(1);
+    let response = testbed.send(&call("/stream/x", "r1"));
     assert_eq!((response.status, response.whole), (200, true));
     assert_eq!(response.text(), events(1));
     assert!(response.pieces.len() > EVENTS / 2, "{:?}", response.pieces);
@@ -57,7 +57,7 @@
 
 #[test]
 fn invalid_and_unauthorized_requests_are_refused_and_do_not_run() {
-    let world = start(1);
+    let testbed = start(1);
     let no_key = Call { headers: vec![("x-request-id".into(), "k".into())], ..call("/idem/", "k") };
     let cases: [(&str, Call, u16); 9] = [
         ("no route", call("/nothing/", "a"), 404),
@@ -75,25 +75,25 @@
         ("large head", call("/idem/", "g").with("x-long", "x".repeat(5000)), 431),
     ];
     for (what, call, status) in cases {
-        assert_eq!(world.send(&call).status, status, "{what}");
+        assert_eq!(testbed.send(&call).status, status, "{what}");
     }
     let only = |ms: &str| {
         Call::post("/idem/", KEY, "").with("x-request-id", "h").with("x-deadline-ms", ms)
     };
     for ms in ["-5", "0", "NaN", "1e400"] {
-        assert_eq!(world.send(&only(ms)).status, 400, "deadline {ms}");
+        assert_eq!(testbed.send(&only(ms)).status, 400, "deadline {ms}");
     }
-    assert_eq!(world.servers[0].total_runs(), 1, "the first of two deadlines applies");
+    assert_eq!(testbed.servers[0].total_runs(), 1, "the first of two deadlines applies");
     let public =
         Call { headers: vec![("x-request-id".into(), "p".into())], ..call("/public/", "p") };
-    assert_eq!(world.send(&public).status, 200);
+    assert_eq!(testbed.send(&public).status, 200);
 }
 
 /// Each server fault with an idempotent request and one that may run only once: the status that the caller gets, and
 /// how often the request ran.
 #[test]
 fn server_faults_give_the_expected_status_and_number_of_runs() {
-    let world = start_sharing(3);
+    let testbed = start_sharing(3);
     let stall = Fault::StallHead(Duration::from_millis(1500));
     // (fault of the first server, status and runs of an idempotent request, status and runs of one that runs only once)
     let table = [
@@ -113,20 +113,20 @@
     for (number, (fault, idempotent, once)) in table.into_iter().enumerate() {
         for (path, (status, runs)) in [("/idem/", idempotent), ("/once/", once)] {
             // A server whose address responded as another server is removed until it is listed again.
-            for server in &world.servers {
-                world.store.put("servers", &server.id, &server.entry("app", "ready"));
+            for server in &testbed.servers {
+                testbed.store.put("servers", &server.id, &server.entry("app", "ready"));
             }
-            let instance = spawn("fresh", world.store.address(), Vec::new());
+            let instance = spawn("fresh", testbed.store.address(), Vec::new());
             eventually("ready", || instance.gateway().is_ready());
             let id = format!("{path}{number}");
             // The servers share one queue of faults: the first one to get the request has the fault, the others have
             // none.
-            world.servers[0].faults.clear();
-            world.servers[0].faults.push([fault]);
+            testbed.servers[0].faults.clear();
+            testbed.servers[0].faults.push([fault]);
             let response = call(path, &id).send(instance.callers());
-            let log = || log_lines::with(&[&format!("request={id} ")]);
+            let log = || log_lines::matching(&[&format!("request={id} ")]);
             assert_eq!(response.status, status, "{fault:?} {path}{}", log());
-            assert_eq!(world.runs(&id), runs, "{fault:?} {path}{}", log());
+            assert_eq!(testbed.runs(&id), runs, "{fault:?} {path}{}", log());
             if status == 200 {
                 assert_eq!(response.text(), expected(path, b"some body"), "{fault:?} {path}");
                 assert!(response.whole, "{fault:?} {path}");
@@ -137,25 +137,25 @@
 
 #[test]
 fn a_refusal_has_a_retry_after_and_the_request_has_not_run() {
-    let world = start(2);
-    world.fault(Fault::RefuseNotRun);
+    let testbed = start(2);
+    testbed.fault(Fault::RefuseNotRun);
     for path in ["/idem/", "/once/", "/stream/"] {
-        let response = world.send(&call(path, path));
+        let response = testbed.send(&call(path, path));
         assert_eq!(response.status, 503, "{path}");
         let retry_after: f64 = response.header("retry-after").parse().expect("a time");
         assert!(retry_after > 0.0 && retry_after < 1.0, "{retry_after}");
-        assert_eq!(world.runs(path), 0);
+        assert_eq!(testbed.runs(path), 0);
     }
 }
 
 #[test]
 fn an_unreachable_server_is_skipped() {
-    let mut world = start(3);
-    world.servers[0].stop();
+    let mut testbed = start(3);
+    testbed.servers[0].stop();
     for number in 0..20 {
         let id = format!("r{number}");
-        assert_eq!(world.send(&call("/once/", &id)).status, 200);
-        assert_eq!(world.runs(&id), 1);
+        assert_eq!(testbed.send(&call("/once/", &id)).status, 200);
+        assert_eq!(testbed.runs(&id), 1);
     }
 }
 
@@ -167,13 +167,13 @@
         Fault::CloseAfterRun,
         Fault::SilentAfter(3, Duration::from_secs(3)),
     ] {
-        let world = start(2);
-        world.servers.iter().for_each(|server| server.faults.push([fault]));
-        world.servers[0].faults.clear();
+        let testbed = start(2);
+        testbed.servers.iter().for_each(|server| server.faults.push([fault]));
+        testbed.servers[0].faults.clear();
         for number in 0..4 {
             let id = format!("r{number}");
-            let response = world.send(&call("/stream-resumable/x", &id));
-            let log = || log_lines::with(&[&format!("request={id} ")]);
+            let response = testbed.send(&call("/stream-resumable/x", &id));
+            let log = || log_lines::matching(&[&format!("request={id} ")]);
             assert_eq!((response.status, response.whole), (200, true), "{fault:?}{}", log());
             assert_eq!(response.text(), events(1), "{fault:?}{}", log());
         }
@@ -182,71 +182,71 @@
 
 #[test]
 fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
-    let world = start(2);
-    world.fault(Fault::BreakAfter(3));
-    let response = world.send(&call("/stream/x", "r1"));
+    let testbed = start(2);
+    testbed.fault(Fault::BreakAfter(3));
+    let response = testbed.send(&call("/stream/x", "r1"));
     assert_eq!((response.status, response.whole), (200, false));
     assert!(events(1).starts_with(&response.text()), "only whole events, in order");
-    assert_eq!(world.runs("r1"), 1);
-    world.fault(Fault::CloseAfterRun);
-    let response = world.send(&call("/stream/x", "r2"));
+    assert_eq!(testbed.runs("r1"), 1);
+    testbed.fault(Fault::CloseAfterRun);
+    let response = testbed.send(&call("/stream/x", "r2"));
     assert_eq!(response.status, 502);
-    assert_eq!(world.runs("r2"), 1);
+    assert_eq!(testbed.runs("r2"), 1);
 }
 
 #[test]
 fn a_request_gets_a_response_at_the_timeout_of_its_route() {
-    let world = start(2);
-    world.fault(Fault::StallHead(Duration::from_secs(2)));
-    let response = world.send(&call("/short/", "r1"));
+    let testbed = start(2);
+    testbed.fault(Fault::StallHead(Duration::from_secs(2)));
+    let response = testbed.send(&call("/short/", "r1"));
     assert_eq!(response.status, 504);
-    assert_eq!(world.runs("r1"), 1);
+    assert_eq!(testbed.runs("r1"), 1);
 }
 
 /// A request stays at a slow server if no other server can take it.
 #[test]
 fn a_slow_response_is_awaited_if_no_other_server_can_respond() {
-    let world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(700)));
-    assert_eq!(world.send(&call("/idem/", "r1")).status, 200);
-    assert_eq!(world.runs("r1"), 1);
+    let testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(700)));
+    assert_eq!(testbed.send(&call("/idem/", "r1")).status, 200);
+    assert_eq!(testbed.runs("r1"), 1);
 }
 
 /// The retry that was available when the wait started may be taken before the wait ends. Ending the attempt then would
 /// only lose the request.
 #[test]
 fn a_slow_response_is_awaited_if_the_last_retry_was_taken_meanwhile() {
-    let world = start(2);
-    world.fault(Fault::Late(Duration::from_millis(900)));
-    let callers = world.instance.callers();
+    let testbed = start(2);
+    testbed.fault(Fault::Late(Duration::from_millis(900)));
+    let callers = testbed.instance.callers();
     let caller = std::thread::spawn(move || call("/idem/", "r1").send(callers));
-    eventually("the request is in flight", || world.runs("r1") == 1);
-    let gateway = world.instance.gateway();
+    eventually("the request is in flight", || testbed.runs("r1") == 1);
+    let gateway = testbed.instance.gateway();
     let (now, service) = (gateway.clock.now(), "app".parse().expect("a name"));
     while gateway.take_retry(now, &service, 0.0) {}
     assert_eq!(caller.join().expect("a response").status, 200);
-    assert_eq!(world.runs("r1"), 1);
+    assert_eq!(testbed.runs("r1"), 1);
 }
 
 /// Requests that get no response count as evidence against their server long before they time out, even if they may run
 /// only once.
 #[test]
 fn an_unresponsive_server_is_skipped_before_its_requests_have_failed() {
-    let world = start(2);
+    let testbed = start(2);
     for number in 0..20 {
-        assert_eq!(world.send(&call("/once/", &format!("w{number}"))).status, 200);
+        assert_eq!(testbed.send(&call("/once/", &format!("w{number}"))).status, 200);
     }
-    world.servers[0].faults.set_standing(Some(Fault::StallHead(Duration::from_secs(3))));
-    let callers = world.instance.callers();
+    testbed.servers[0].faults.set_standing(Some(Fault::StallHead(Duration::from_secs(3))));
+    let callers = testbed.instance.callers();
     let waiting: Vec<_> = (0..12)
         .map(|i| std::thread::spawn(move || call("/once/", &format!("s{i}")).send(callers).status))
         .collect();
-    let unresponsive = world.servers[0].id.parse().expect("an id");
-    let gateway = world.instance.gateway();
+    let unresponsive = testbed.servers[0].id.parse().expect("an id");
+    let gateway = testbed.instance.gateway();
     eventually("the server is skipped", || {
         let now = gateway.clock.now();
         let picker = gateway.picker.lock().expect("the picker");
-        let servers = gateway.knowledge.with_servers(|r| {
+        let servers = gateway.cluster_state.with_servers(|r| {
             r.servers().find(|server| server.id == unresponsive).map(|server| server.tag())
         });
         servers.is_some_and(|tag| picker.own_unresponsive(now).contains(&tag))
@@ -261,18 +261,18 @@
 /// it.
 #[test]
 fn a_caller_that_disconnects_ends_its_request() {
-    let world = start(1);
+    let testbed = start(1);
     for fault in
         [Fault::StallHead(Duration::from_secs(3)), Fault::SilentAfter(2, Duration::from_secs(3))]
     {
-        world.fault(fault);
+        testbed.fault(fault);
         let target = if matches!(fault, Fault::StallHead(_)) { "/idem/" } else { "/stream/" };
         let mut conn =
-            Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
+            Conn::connect(testbed.instance.callers(), Duration::from_secs(1), &Clock::system())
                 .expect("a connection");
         conn.send(&call(target, "r1").bytes(), Duration::from_secs(1)).expect("sent");
         let in_flight = || {
-            let picker = world.instance.gateway().picker.lock().expect("the picker");
+            let picker = testbed.instance.gateway().picker.lock().expect("the picker");
             picker.in_flight().map(|(_, own)| own).sum::<u32>()
         };
         eventually("the request is in flight", || in_flight() == 1);
@@ -285,9 +285,9 @@
 #[test]
 fn a_caller_that_half_closes_still_gets_its_response() {
     use std::io::{Read, Write};
-    let world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(200)));
-    let mut stream = std::net::TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(200)));
+    let mut stream = std::net::TcpStream::connect(testbed.instance.callers()).expect("connected");
     stream.write_all(&call("/once/", "r1").bytes()).expect("sent");
     stream.shutdown(std::net::Shutdown::Write).expect("half closed");
     let mut response = String::new();
@@ -298,8 +298,8 @@
 #[test]
 fn pipelined_requests_get_their_responses_in_order() {
     use std::io::{Read, Write};
-    let world = start(1);
-    let mut stream = std::net::TcpStream::connect(world.instance.callers()).expect("connected");
+    let testbed = start(1);
+    let mut stream = std::net::TcpStream::connect(testbed.instance.callers()).expect("connected");
     let last = call("/once/", "r3").with("connection", "close").bytes();
     let all = [call("/once/", "r1").bytes(), call("/idem/", "r2").bytes(), last].concat();
     stream.write_all(&all).expect("sent");
@@ -312,10 +312,10 @@
 
 #[test]
 fn metrics_cover_requests_and_the_cluster_state() {
-    let world = start(1);
-    (0..3).for_each(|i| assert_eq!(world.send(&call("/idem/", &format!("r{i}"))).status, 200));
+    let testbed = start(1);
+    (0..3).for_each(|i| assert_eq!(testbed.send(&call("/idem/", &format!("r{i}"))).status, 200));
     let get = Call { method: "GET".into(), ..call("/metrics", "m") };
-    let text = get.send(world.instance.metrics().expect("metrics")).text();
+    let text = get.send(testbed.instance.metrics().expect("metrics")).text();
     for name in [
         "cartvane_requests_total{outcome=\"run\",service=\"app\",status=\"200\"} 3",
         "cartvane_knowledge_age_seconds{subject=\"servers\"}",
@@ -328,9 +328,9 @@
 
 #[test]
 fn kept_connections_serve_several_requests() {
-    let world = start(1);
+    let testbed = start(1);
     let mut conn =
-        Conn::connect(world.instance.callers(), Duration::from_secs(1), &Clock::system())
+        Conn::connect(testbed.instance.callers(), Duration::from_secs(1), &Clock::system())
             .expect("a connection");
     for number in 0..10 {
         let target = if number % 2 == 0 { "/once/" } else { "/stream/" };
@@ -341,13 +341,13 @@
 
 #[test]
 fn a_drain_finishes_requests_in_flight_and_closes_idle_connections() {
-    let mut world = start(1);
-    world.fault(Fault::Late(Duration::from_millis(600)));
-    let callers = world.instance.callers();
+    let mut testbed = start(1);
+    testbed.fault(Fault::Late(Duration::from_millis(600)));
+    let callers = testbed.instance.callers();
     let in_flight = std::thread::spawn(move || call("/once/", "r1").send(callers));
     std::thread::sleep(Duration::from_millis(200));
     let idle = Conn::connect(callers, Duration::from_secs(1), &Clock::system()).expect("a conn");
-    let instance = world.instance;
+    let instance = testbed.instance;
     let readiness = instance.readiness();
     let draining = std::thread::spawn(move || (instance.drain(), instance));
     std::thread::sleep(Duration::from_millis(100));
@@ -359,7 +359,7 @@
     let (clean, instance) = draining.join().expect("a drain");
     assert!(clean);
     assert_ne!(idle.state(), cartvane::link::http1::conn::ConnState::Open);
-    world.instance = instance;
+    testbed.instance = instance;
 }
 
 // Many streams break at the same time, and break again after each resumption. The retry budget must bound how many are
@@ -368,12 +368,12 @@
 fn streams_that_break_together_are_resumed_within_the_retry_budget() {
     const STREAMS: usize = 40;
     const SLACK: usize = 10;
-    let world = start(3);
-    let mut tight = settings("tight", world.store.address(), Vec::new());
+    let testbed = start(3);
+    let mut tight = settings("tight", testbed.store.address(), Vec::new());
     tight.bounds.retries.slack = SLACK as f64;
     let instance = GatewayHandle::spawn(tight, &Clock::system()).expect("an instance");
     eventually("the instance is ready", || instance.gateway().is_ready());
-    world.fault(Fault::BreakAfter(2));
+    testbed.fault(Fault::BreakAfter(2));
     let callers = instance.callers();
     let streams: Vec<_> = (0..STREAMS)
         .map(|i| {
@@ -384,9 +384,9 @@
         let response = stream.join().expect("a response");
         assert_eq!((response.status, response.whole), (200, false), "stream {number}");
         assert!(events(1).starts_with(&response.text()), "only whole events, each once, in order");
-        assert!((1..=3).contains(&world.runs(&format!("r{number}"))), "stream {number}");
+        assert!((1..=3).contains(&testbed.runs(&format!("r{number}"))), "stream {number}");
     }
-    let runs: u32 = world.servers.iter().map(|server| server.total_runs()).sum();
+    let runs: u32 = testbed.servers.iter().map(|server| server.total_runs()).sum();
     let allowed = STREAMS + SLACK + STREAMS / 5;
     assert!((STREAMS + 1..=allowed).contains(&(runs as usize)), "{runs} runs");
 }
--- a/tests/suite/silent_links.rs
+++ b/tests/suite/silent_links.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     support::eventually,
-    world::{call, intent, route, settings},
+    testbed::{call, intent, route, settings},
 };
 
 /// Maximum time until a new configuration is active: a store call in flight may stall for 0.9 s, and the next one
--- a/tests/suite/world.rs
+++ b/tests/suite/testbed.rs
@@ -1,4 +1,4 @@
-//! A small world for tests of an instance on a platform: a store, listed backend servers, an instance.
+//! The test bed of an instance on a platform: a store, listed backend servers, and the instance.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -6,7 +6,7 @@
     clock::Clock,
     gateway::{
         GatewayHandle,
-        settings::{Addresses, Bounds, GatewaySettings, RosterSource},
+        settings::{Addresses, Bounds, GatewaySettings, StoreSettings},
     },
     routing::{ExposureLimit, StoreRates, budget::BudgetTerms},
     units::Rate,
@@ -23,6 +23,7 @@
 
 pub(crate) const KEY: &str = "key-of-crew";
 
+/// Returns a port of the loopback address.
 pub(crate) fn port(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
 }
@@ -44,7 +45,7 @@
             metrics: port(0),
         },
         seeds,
-        source: RosterSource {
+        store: StoreSettings {
             address: store,
             rates: StoreRates { reads: Rate(2000.0), writes: Rate(400.0) },
         },
@@ -53,9 +54,9 @@
         peer_connections: 100,
         body_bytes: 64 << 20,
         bounds: Bounds {
-            leaving_acted_on: Duration::from_millis(400),
+            server_drain_time: Duration::from_millis(400),
             grace: Duration::from_secs(8),
-            intent_in_force: Duration::from_millis(800),
+            intent_apply_time: Duration::from_millis(800),
             load: 2.0,
             rollouts: ExposureLimit { share: 0.1, slack: 50.0 },
             retries: BudgetTerms { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) },
@@ -95,25 +96,26 @@
     })
 }
 
-/// A store, some servers, and an instance that knows them.
-pub(crate) struct World {
+/// A store, some servers, and an instance that has received their list.
+pub(crate) struct Testbed {
     pub(crate) store: StoreStandIn,
     pub(crate) servers: Vec<Listed>,
     pub(crate) instance: GatewayHandle,
 }
 
-pub(crate) fn start(servers: usize) -> World {
+/// Starts a test bed with this number of servers, and waits until the instance is ready.
+pub(crate) fn start(servers: usize) -> Testbed {
     start_with((0..servers).map(|i| Listed::spawn(&format!("s{i}")).expect("a server")).collect())
 }
 
-/// Starts a world whose servers share their faults: whichever is met first has the next one.
-pub(crate) fn start_sharing(servers: usize) -> World {
+/// Starts a test bed whose servers share one list of faults: the first one that receives a request has the next fault.
+pub(crate) fn start_sharing(servers: usize) -> Testbed {
     let faults: Arc<Faults> = Arc::default();
     let server = |i| Listed::spawn_sharing(&format!("s{i}"), Arc::clone(&faults));
     start_with((0..servers).map(|i| server(i).expect("a server")).collect())
 }
 
-fn start_with(servers: Vec<Listed>) -> World {
+fn start_with(servers: Vec<Listed>) -> Testbed {
     let store = StoreStandIn::spawn().expect("a store");
     for server in &servers {
         store.put("servers", &server.id, &server.entry("app", "ready"));
@@ -121,27 +123,31 @@
     store.put("op", "config", &intent(5));
     let instance = spawn("one", store.address(), Vec::new());
     eventually("the instance is ready", || instance.gateway().is_ready());
-    World { store, servers, instance }
+    Testbed { store, servers, instance }
 }
 
+/// Starts an instance.
 pub(crate) fn spawn(node: &str, store: SocketAddr, seeds: Vec<SocketAddr>) -> GatewayHandle {
     log_lines::start();
     GatewayHandle::spawn(settings(node, store, seeds), &Clock::system()).expect("an instance")
 }
 
+/// Returns a call with a key, an id and a deadline of 2 s.
 pub(crate) fn call(target: &str, id: &str) -> Call {
     Call::post(target, KEY, "some body").with("x-request-id", id).with("x-deadline-ms", 2000)
 }
 
-impl World {
+impl Testbed {
     pub(crate) fn send(&self, call: &Call) -> Answer {
         call.send(self.instance.callers())
     }
 
+    /// Returns how often the servers have run a request.
     pub(crate) fn runs(&self, id: &str) -> u32 {
         self.servers.iter().map(|server| server.runs(id)).sum()
     }
 
+    /// Gives all servers a standing fault.
     pub(crate) fn fault(&self, fault: Fault) {
         self.servers.iter().for_each(|server| server.faults.set_standing(Some(fault)));
     }
