--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -97,7 +97,7 @@
     pub fn note_success(&self, now: Instant, request: &Request) {
         if let Some(digest) = self.note_success_by(now, request.fingerprint(), || request.digest())
         {
-            log::info!("event=request_cleared digest={digest} request={}", request.asked.id);
+            log::info!("event=request_cleared digest={digest} request={}", request.metadata.id);
         }
     }
 
--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -33,7 +33,7 @@
     /// A listener or a thread cannot be started, or a pipe cannot be created.
     pub fn spawn(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<GatewayHandle> {
         let gateway = Arc::new(Gateway::open(settings, clock)?);
-        let closing = gateway.drain.idle_end().context("cannot create a pipe")?;
+        let closing = gateway.drain.idle_close_signal().context("cannot create a pipe")?;
         let idle = IdleConns::spawn(clock.clone(), closing)
             .context("cannot start the watch over idle connections")?;
         let readiness = serve_readiness(&gateway, &idle)?;
@@ -89,7 +89,7 @@
     pub fn drain(&self) -> bool {
         let grace = self.gateway.settings.bounds.grace;
         self.gateway.drain.start(self.gateway.clock.now(), grace);
-        log::warn!("event=draining under_way={}", self.gateway.drain.busy());
+        log::warn!("event=draining under_way={}", self.gateway.drain.in_flight());
         let clean = self.gateway.drain.finish(&self.gateway.clock);
         log::warn!("event=stopped every_request_finished={clean}");
         clean
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,16 +4,16 @@
 //! `stream` forwards events. `intent_reader`, `roster_reader` and `peers` keep `cluster_state` up to date. By
 //! `instance_table`, instances discover each other.
 
+pub mod attempts;
 pub mod cluster_state;
 pub mod cold_permits;
 pub mod connection;
 pub mod crash_suspects;
 pub mod drain;
-pub mod exchange;
-pub mod flight;
 pub mod forward;
 pub mod handle;
 pub mod held_table;
+pub mod in_flight;
 pub mod instance_table;
 pub mod intent_reader;
 pub mod intent_relay;
@@ -23,21 +23,21 @@
 pub mod notices;
 pub mod peer_server;
 pub mod peers;
-pub mod reply;
+pub mod pick_error;
 pub mod request;
+pub mod response;
 pub mod rollout_controller;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
+pub mod server_call;
 pub mod server_conns;
 pub mod server_list_cache;
 pub mod settings;
-pub mod silence;
 pub mod skipped_log;
+pub mod stall_timer;
 pub mod startup;
 pub mod stream;
-pub mod tries;
-pub mod unpicked;
 
 use std::{
     collections::HashSet,
@@ -52,7 +52,7 @@
 pub use self::handle::GatewayHandle;
 use self::{
     cluster_state::ClusterState, cold_permits::ColdPermits, crash_suspects::CrashSuspects,
-    drain::Drain, flight::Flight, peers::Peers, request::Request, rollouts::Rollouts,
+    drain::Drain, in_flight::InFlightGuard, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, server_list_cache::ServerListCache, settings::GatewaySettings,
     skipped_log::SkippedLog,
 };
@@ -177,12 +177,12 @@
         &self,
         now: Instant,
         wanted: &PickRequest<'_>,
-    ) -> Result<(Picked, Flight<'_>), PickError> {
+    ) -> Result<(Picked, InFlightGuard<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
         picker.start_request(now, &server);
-        Ok((picked, Flight { gateway: self, server }))
+        Ok((picked, InFlightGuard { gateway: self, server }))
     }
 
     /// Returns whether the budget of `service` has a retry left beyond `reserve`.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -16,7 +16,7 @@
 
 use super::{
     Gateway,
-    cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
+    cold_permits::{PERMIT_PATH, PERMIT_TIMEOUT, PermitReply, PermitRequest},
     intent_reader,
     intent_relay::{OFFER_PATH, Offer, OfferReply},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
@@ -109,7 +109,7 @@
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
-            permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIME, traffic.clone()),
+            permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIMEOUT, traffic.clone()),
             links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
@@ -226,7 +226,7 @@
     pub fn request_permit(
         &self,
         from: SocketAddr,
-        request: &PermitAsk,
+        request: &PermitRequest,
     ) -> Result<PermitReply, String> {
         let reply = self.permit_links.call(Purpose::Permits, from, PERMIT_PATH, request);
         reply.map_err(|fault| fault.to_string())
