--- a/src/routing/fallback_reader.rs
+++ b/src/routing/fallback_reader.rs
@@ -1,33 +1,33 @@
-//! Which instance reads the store for one that others turn to, and that the store turns away.
+//! Which instance reads the store on behalf of an aggregator whose own calls the store rejects.
 //!
-//! Answers a store that serves some instances and turns others away, the one that all turn to among them. All would
-//! find their news old at the same time and read for themselves, again and again: 341 instances did so every two
-//! seconds, with 6,600 calls of the fleet in a minute where a calm one takes 2,000. Handing the whole role on
-//! instead would split the counts that it collects, each time that the next one is turned away too.
+//! A store may serve some instances and reject others, the aggregator among them. Without a fallback reader the lists of
+//! all instances become outdated at the same time, and all read the store themselves, again and again: 341 instances
+//! did so every two seconds, and the fleet made 6,600 calls in a minute instead of 2,000. Moving the whole role of the
+//! aggregator instead would split the counts that it collects, again with each new aggregator that is rejected too.
 
 use std::time::Instant;
 
 use super::{Candidates, InstanceInfo};
 
-/// Instances asked one after the other before the store is left alone for a while: of a store that turns away a
-/// third of them, all four are turned away once in eighty times.
+/// Instances that are asked one after the other before the store is left alone for a while. If the store rejects a
+/// third of the instances, all four are rejected in one of eighty cases.
 pub const ATTEMPTS_MAX: usize = 4;
 
 /// The instance that is asked to read.
 #[derive(Debug, Default)]
 pub struct FallbackReader {
-    /// How many of the instances that answer are passed over, the strongest first.
+    /// How many of the responsive instances are skipped, the strongest first.
     skip: usize,
 }
 
 impl FallbackReader {
-    /// Returns the instance to ask now; `None` where no other answers.
+    /// Returns the instance to ask now; `None` if no other instance is responsive.
     pub fn pick(&self, now: Instant, candidates: &Candidates) -> Option<InstanceInfo> {
-        let answering = candidates.responsive(now).count();
-        candidates.responsive(now).nth(self.skip.checked_rem(answering)?).cloned()
+        let responsive = candidates.responsive(now).count();
+        candidates.responsive(now).nth(self.skip.checked_rem(responsive)?).cloned()
     }
 
-    /// Notes that the one that was asked did not answer or could not read either: another one is asked from now on.
+    /// Notes that the picked instance did not respond or could not read either: the next pick is another one.
     pub fn failed(&mut self) {
         self.skip += 1;
     }
--- a/src/routing/fanout.rs
+++ b/src/routing/fanout.rs
@@ -1,4 +1,5 @@
-//! Who hands news on to whom: each instance to a few, and each of these to a part of the rest.
+//! How an update reaches all instances: each instance sends it to a few others, and each of these relays it to a part
+//! of the rest.
 
 use std::net::SocketAddr;
 
@@ -6,12 +7,12 @@
 
 use super::InstanceInfo;
 
-/// Instances to which one hands news on at once. With 4, news reach 302 instances in four steps; a change of 1,400
-/// routes (19 KB) takes 0.06 s to leave the slowest link planned for (1.25 MB a second) four times.
+/// Number of instances to which one instance sends an update at once. With 4, an update reaches 302 instances in four
+/// hops; on the slowest supported link (1.25 MB a second) four copies of a change of 1,400 routes (19 KB) take 0.06 s.
 pub const FANOUT: usize = 4;
 
-/// Returns the first parts of `instances`, which come in the order of their strength: those of one availability
-/// zone together, so that news cross between two zones once.
+/// Splits `instances`, ranked by strength, into the groups to which the origin of an update sends it. A group
+/// lies within one availability zone, so that an update crosses between two zones only once.
 pub fn split_by_zone<'a>(
     instances: impl Iterator<Item = &'a InstanceInfo>,
 ) -> Vec<Vec<SocketAddr>> {
@@ -23,17 +24,17 @@
     zones.into_values().flat_map(|zone| deal(zone, each)).collect()
 }
 
-/// Returns the parts of what one that was handed news hands on.
+/// Splits the instances to which the receiver of an update has to relay it.
 pub fn split_evenly(instances: Vec<SocketAddr>) -> Vec<Vec<SocketAddr>> {
     deal(instances, FANOUT)
 }
 
-/// Deals out in turn, so that the strongest come first in each part and pass on most.
-fn deal(instances: Vec<SocketAddr>, most: usize) -> Vec<Vec<SocketAddr>> {
-    let mut parts = vec![Vec::new(); most.min(instances.len())];
-    let count = parts.len();
+/// Deals the instances out round-robin, so that each group starts with its strongest instance, which relays to the rest.
+fn deal(instances: Vec<SocketAddr>, groups_max: usize) -> Vec<Vec<SocketAddr>> {
+    let mut groups = vec![Vec::new(); groups_max.min(instances.len())];
+    let count = groups.len();
     for (number, instance) in instances.into_iter().enumerate() {
-        parts[number % count].push(instance);
+        groups[number % count].push(instance);
     }
-    parts
+    groups
 }
--- a/src/routing/fleet_budget.rs
+++ b/src/routing/fleet_budget.rs
@@ -1,10 +1,11 @@
-//! The retry budget of all instances together, as the one that collects their reports knows it.
+//! The retry budget of the whole fleet, as the aggregator sums it up.
 //!
-//! Answers a fleet in which each instance has few requests: 295 instances with 1.5 requests a second each have parts
-//! of under one repeat after a start, and spend none, while the fleet asks for a fifth of what it may spend. Where
-//! sums are told, an instance draws on what the fleet has left. Sums outlive the instances that spent: what was
-//! reported counts for a whole window, whoever is killed meanwhile; and they outlive the instance that collects
-//! them, as the others tell the next one what they were told.
+//! In a fleet in which each instance serves few requests, fixed shares of the budget are useless: after a start, 295
+//! instances with 1.5 requests a second each have a share of less than one retry and spend none, while the fleet
+//! requests a fifth of what it may spend. Where sums are received, an instance draws on what remains of the fleet's
+//! budget instead. A sum survives the instances that spent, since reported retries count for a whole window even if
+//! the instance is killed meanwhile. It also survives the aggregator, since the other instances report the sum that
+//! they received last to the next aggregator.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -16,50 +17,51 @@
 
 use crate::names::{NodeName, ServiceName};
 
-/// Age at which an instance's report counts no more: it has missed several exchanges.
-const REPORT_LIFE: Duration = Duration::from_millis(2500);
+/// Age at which the report of an instance expires: the instance has missed several exchanges.
+const REPORT_MAX_AGE: Duration = Duration::from_millis(2500);
 
-/// One run of an instance's process: counts of another run begin anew.
+/// One run of an instance's process; counters start at zero in each run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RunId(pub u64);
 
-/// What an instance has spent at one service.
+/// What an instance has spent of the budget of one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RetrySpending {
     /// The service.
     pub service: ServiceName,
-    /// Repeats since the instance's start.
+    /// Retries since the start of the instance.
     pub total: u64,
-    /// Repeats that are in no sum which the instance was told lately: those since then, or of the last window.
+    /// Retries that no fleet sum counts yet: those since the last sum was received, or, without a recent sum, those of
+    /// the last window.
     pub uncounted: u32,
-    /// What it was told last that all had spent, where that is not long ago.
+    /// The last fleet sum that the instance received, if that is recent.
     pub fleet_spent: Option<FleetSpentReport>,
-    /// Requests of the last window that the window before backs.
+    /// Requests of the last window, capped at those of the window before.
     pub sustained: f64,
 }
 
-/// What an instance was told that all had spent.
+/// What the whole fleet had spent, as an instance received it from an aggregator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSpentReport {
-    /// The one that told it.
+    /// Run of the aggregator that sent it.
     pub aggregator: RunId,
-    /// Repeats of its window.
+    /// Retries in the window of that aggregator.
     pub spent: u32,
 }
 
-/// What all instances have spent at one service.
+/// What all instances have spent of the budget of one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSum {
     /// The service.
     pub service: ServiceName,
-    /// Repeats of the last window.
+    /// Retries of the last window.
     pub spent: u32,
-    /// Requests of the last window that the window before backs.
+    /// Requests of the last window, capped at those of the window before.
     pub sustained: f64,
-    /// Instances whose reports are in it.
+    /// Number of instances whose reports it includes.
     pub reporters: usize,
-    /// The one that collected it.
+    /// Run of the aggregator that summed the reports up.
     pub aggregator: RunId,
 }
 
@@ -70,23 +72,23 @@
     services: HashMap<ServiceName, RetrySpending>,
 }
 
-/// The reports of all instances that turn to this one.
+/// The reports of all instances for which this one is the aggregator.
 #[derive(Debug)]
 pub struct FleetBudget {
     own: RunId,
     window: Duration,
-    /// Since when reports have come without a longer pause: earlier repeats are not known.
+    /// Start of the current uninterrupted sequence of reports; earlier retries are unknown.
     since: Option<Instant>,
     last: Option<Instant>,
     reporters: HashMap<NodeName, Reporter>,
     spent: IndexMap<ServiceName, VecDeque<(Instant, u32)>>,
-    /// What all had spent before their reports came here, by the word of those that were told, and when they said
-    /// so.
-    before: HashMap<ServiceName, (Instant, u32)>,
+    /// What all instances had spent before they reported here, according to the sums that they received from the
+    /// former aggregator, and when this was reported.
+    spent_before: HashMap<ServiceName, (Instant, u32)>,
 }
 
 impl FleetBudget {
-    /// Returns the sums of an instance to which nobody has reported; the budget is for windows of that length.
+    /// Returns the sums of an instance without reports, for a budget with windows of that length.
     pub fn new(own: RunId, window: Duration) -> FleetBudget {
         FleetBudget {
             own,
@@ -95,11 +97,11 @@
             last: None,
             reporters: HashMap::new(),
             spent: IndexMap::new(),
-            before: HashMap::new(),
+            spent_before: HashMap::new(),
         }
     }
 
-    /// Takes an instance's report.
+    /// Records the report of an instance.
     pub fn record_report(
         &mut self,
         now: Instant,
@@ -108,69 +110,73 @@
         spending: Vec<RetrySpending>,
     ) {
         let pause = self.last.map(|last| now.saturating_duration_since(last));
-        if pause.is_none_or(|pause| pause > REPORT_LIFE) {
+        if pause.is_none_or(|pause| pause > REPORT_MAX_AGE) {
             self.since = Some(now);
-            self.before.clear();
+            self.spent_before.clear();
         }
         self.last = Some(now);
         let is_new = self.reporters.get(node).is_none_or(|known| known.run != run);
         if is_new {
-            spending.iter().for_each(|said| self.record_fleet_spent(now, said));
+            spending.iter().for_each(|report| self.record_fleet_spent(now, report));
         }
         let known = self.reporters.get(node).filter(|known| known.run == run);
-        for said in &spending {
-            let before = known.and_then(|known| known.services.get(&said.service));
-            let news = match before {
-                Some(before) => said.total.saturating_sub(before.total),
-                // What it spent before it turned to this one counts as far as it is not in another's sums.
-                None => u64::from(said.uncounted),
+        for report in &spending {
+            let before = known.and_then(|known| known.services.get(&report.service));
+            let added = match before {
+                Some(before) => report.total.saturating_sub(before.total),
+                // Retries before its first report here count unless another aggregator's sum includes them.
+                None => u64::from(report.uncounted),
             };
-            if news > 0 {
-                let count = u32::try_from(news).unwrap_or(u32::MAX);
-                self.spent.entry(said.service.clone()).or_default().push_back((now, count));
+            if added > 0 {
+                let count = u32::try_from(added).unwrap_or(u32::MAX);
+                self.spent.entry(report.service.clone()).or_default().push_back((now, count));
             }
         }
-        let services = spending.into_iter().map(|said| (said.service.clone(), said)).collect();
+        let services =
+            spending.into_iter().map(|report| (report.service.clone(), report)).collect();
         self.reporters.insert(node.clone(), Reporter { at: now, run, services });
     }
 
-    /// Takes the word of an instance that has not reported here on what all had spent before: the highest counts.
-    fn record_fleet_spent(&mut self, now: Instant, said: &RetrySpending) {
-        // Its own sums, told back to it, say nothing new.
-        let Some(told) = said.fleet_spent.filter(|told| told.aggregator != self.own) else {
+    /// Records the fleet sum that an instance received from the former aggregator; the largest such sum counts.
+    fn record_fleet_spent(&mut self, now: Instant, report: &RetrySpending) {
+        // Sums of this aggregator itself contain nothing new.
+        let Some(received) = report.fleet_spent.filter(|received| received.aggregator != self.own)
+        else {
             return;
         };
-        let former = self.before.get(&said.service).copied();
-        let still = |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) <= self.window;
-        let known = former.filter(still).map_or(0, |(_, spent)| spent);
-        let news = told.spent.saturating_sub(known);
-        self.before.insert(said.service.clone(), (now, told.spent.max(known)));
-        if news > 0 {
-            self.spent.entry(said.service.clone()).or_default().push_back((now, news));
+        let former = self.spent_before.get(&report.service).copied();
+        let in_window =
+            |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) <= self.window;
+        let known = former.filter(in_window).map_or(0, |(_, spent)| spent);
+        let added = received.spent.saturating_sub(known);
+        self.spent_before.insert(report.service.clone(), (now, received.spent.max(known)));
+        if added > 0 {
+            self.spent.entry(report.service.clone()).or_default().push_back((now, added));
         }
     }
 
-    /// Returns whether reports have come for a whole window.
-    fn is_whole(&self, now: Instant) -> bool {
+    /// Returns whether reports have arrived for a whole window.
+    fn covers_window(&self, now: Instant) -> bool {
         self.since.is_some_and(|since| now.saturating_duration_since(since) > self.window)
     }
 
-    /// Returns what all have spent; nothing of a service until a whole window has been reported, or somebody has
-    /// told what had been spent before.
+    /// Returns what all instances have spent. A service is left out until reports cover a whole window, or an instance
+    /// has reported what was spent before.
     pub fn sums(&mut self, now: Instant) -> Vec<BudgetSum> {
         let window = self.window;
-        let is_old = |at: Instant, life: Duration| now.saturating_duration_since(at) > life;
+        let is_old = |at: Instant, max_age: Duration| now.saturating_duration_since(at) > max_age;
         self.reporters.retain(|_, reporter| !is_old(reporter.at, window));
         for spent in self.spent.values_mut() {
             while spent.front().is_some_and(|(at, _)| is_old(*at, window)) {
                 spent.pop_front();
             }
         }
-        let heard = || self.reporters.values().filter(|reporter| !is_old(reporter.at, REPORT_LIFE));
-        let reporters = heard().count();
+        let recent =
+            || self.reporters.values().filter(|reporter| !is_old(reporter.at, REPORT_MAX_AGE));
+        let reporters = recent().count();
         let mut sustained: IndexMap<&ServiceName, f64> = IndexMap::new();
-        for said in heard().flat_map(|reporter| reporter.services.values()) {
-            *sustained.entry(&said.service).or_default() += said.sustained;
+        for report in recent().flat_map(|reporter| reporter.services.values()) {
+            *sustained.entry(&report.service).or_default() += report.sustained;
         }
         let spent = |service: &ServiceName| {
             self.spent.get(service).map_or(0, |spent| spent.iter().map(|(_, count)| count).sum())
@@ -182,7 +188,9 @@
             reporters,
             aggregator: self.own,
         };
-        let known = |service: &ServiceName| self.is_whole(now) || self.before.contains_key(service);
-        sustained.into_iter().filter(|(service, _)| known(service)).map(sum).collect()
+        let is_known = |service: &ServiceName| {
+            self.covers_window(now) || self.spent_before.contains_key(service)
+        };
+        sustained.into_iter().filter(|(service, _)| is_known(service)).map(sum).collect()
     }
 }
--- a/src/routing/startup.rs
+++ b/src/routing/startup.rs
@@ -1,35 +1,37 @@
-//! Whether an instance that starts reads the store, or waits for others to tell it what there is.
+//! Whether an instance that starts reads the store, or waits for updates from other instances.
 //!
-//! Answers the load of all instances that start together: hundreds of whole lists of thousands of servers at the store,
-//! where a few that the settings name to all read them and tell the rest.
+//! Without the wait, hundreds of instances that start together would each read a whole list of thousands of servers
+//! from the store. With it, only the few seeds named in everyone's settings read, and the others copy from them.
 
 use std::time::{Duration, Instant};
 
-/// How long an instance waits for others, at the least and at the most; drawn, so that those whom nobody tells do not
-/// all read together. The ones that are asked are to have read by then, and callers to be served 1.5 s after a start.
-const PATIENCE: (Duration, Duration) = (Duration::from_millis(900), Duration::from_millis(1400));
+/// Shortest wait for other instances. By then the seeds should have read the store.
+const WAIT_MIN: Duration = Duration::from_millis(900);
 
-/// Pause between two questions, and between two looks at whether there is an answer.
+/// Longest wait: callers are to be served 1.5 s after a start. The wait is drawn between the two, so that instances
+/// that reach no seed do not all read at the same time.
+const WAIT_MAX: Duration = Duration::from_millis(1400);
+
+/// Interval at which a starting instance asks others, and checks whether a reply has come.
 pub const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The start of an instance.
+/// The wait of an instance that starts.
 #[derive(Debug, Clone, Copy)]
 pub struct StartupWait {
-    /// When it no longer waits; `None` for one that has nobody to wait for.
+    /// When the wait ends; `None` for an instance that does not wait.
     until: Option<Instant>,
 }
 
 impl StartupWait {
-    /// Returns the watch of an instance that starts now; `draw` is a number in [0, 1).
+    /// Returns the wait of an instance that starts now; `draw` is a random number in [0, 1).
     ///
-    /// `has_dependents` says that others turn to it, or that it has nobody to ask.
-    pub fn new(now: Instant, has_dependents: bool, draw: f64) -> StartupWait {
-        let (least, most) = PATIENCE;
-        let until = (!has_dependents).then(|| now + least + (most - least).mul_f64(draw));
+    /// `is_seed` is set if other instances rely on it, or if it has none to ask: it does not wait.
+    pub fn new(now: Instant, is_seed: bool, draw: f64) -> StartupWait {
+        let until = (!is_seed).then(|| now + WAIT_MIN + (WAIT_MAX - WAIT_MIN).mul_f64(draw));
         StartupWait { until }
     }
 
-    /// Returns whether what is not known yet is waited for.
+    /// Returns whether the instance still waits for data that it lacks.
     pub fn is_waiting(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
