--- a/src/routing/fallback_reader.rs
+++ b/src/routing/fallback_reader.rs
@@ -1,9 +1,10 @@
 //! Which instance reads the store on behalf of an aggregator whose own calls the store rejects.
 //!
-//! A store may serve some instances and reject others, the aggregator among them. Without a fallback reader the lists of
-//! all instances become outdated at the same time, and all read the store themselves, again and again: 341 instances
-//! did so every two seconds, and the fleet made 6,600 calls in a minute instead of 2,000. Moving the whole role of the
-//! aggregator instead would split the counts that it collects, again with each new aggregator that is rejected too.
+//! A store may serve some instances and reject others, the aggregator among them. Without a fallback reader the lists
+//! of all instances become outdated at the same time, and all read the store themselves, again and again: 341
+//! instances did so every two seconds, and the fleet made 6,600 calls in a minute instead of 2,000. Moving the whole
+//! role of the aggregator instead would split the counts that it collects, again with each new aggregator that is
+//! rejected too.
 
 use std::time::Instant;
 
--- a/src/routing/fanout.rs
+++ b/src/routing/fanout.rs
@@ -29,7 +29,7 @@
     deal(instances, FANOUT)
 }
 
-/// Deals the instances out round-robin, so that each group starts with its strongest instance, which relays to the rest.
+/// Deals the instances out round-robin, so that each group starts with its strongest instances, which relay most.
 fn deal(instances: Vec<SocketAddr>, groups_max: usize) -> Vec<Vec<SocketAddr>> {
     let mut groups = vec![Vec::new(); groups_max.min(instances.len())];
     let count = groups.len();
--- a/src/routing/incarnation.rs
+++ b/src/routing/incarnation.rs
@@ -1,4 +1,4 @@
-//! One start of a backend server.
+//! One run of a backend server, from its start to its end.
 
 use std::{fmt, str::FromStr};
 
@@ -6,31 +6,31 @@
 
 use crate::names::{IdError, ServerId, Tag};
 
-/// When a backend server started, in Unix milliseconds of its own clock. It only tells one start from another:
-/// the clock may be ahead of this instance's or behind it.
+/// When a backend server started, in Unix milliseconds of its own clock. It only distinguishes one start from another,
+/// since that clock may differ from this instance's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartTime(pub u64);
 
-/// A backend server from one start to its end. What is known of one incarnation says nothing of the next, which
-/// may have the same id: it has none of the requests, and keeps none of the prompts.
+/// One run of a backend server. Nothing known about one incarnation applies to the next one with the same id, which
+/// has none of the requests in flight and none of the cached prompts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
     /// Id of the server.
     pub server: ServerId,
-    /// When it started, if it says so.
+    /// When it started, if its entry says so.
     #[serde(rename = "born")]
     pub started_at: Option<StartTime>,
 }
 
 impl Incarnation {
-    /// Returns the tag that stands for the server in rendezvous hashing. A server that starts again has its former
-    /// place: its prompts come back to it, and those of the others stay where they are.
+    /// Returns the tag of the server in rendezvous hashing. A restart does not change it: the same prompts are routed
+    /// to the server again, and those of other servers do not move.
     pub fn stable_tag(&self) -> Tag {
         Tag::of(self.server.as_str())
     }
 
-    /// Returns the tag that stands for the incarnation in messages between instances.
+    /// Returns the tag of the incarnation in messages between instances.
     pub fn tag(&self) -> Tag {
         match self.started_at {
             None => self.stable_tag(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns whether `other` is of the same server and certainly started later.
+    /// Returns whether `other` is certainly a later incarnation of the same server.
     pub fn is_before(&self, other: &Incarnation) -> bool {
         self.server == other.server
             && self.started_at.is_some()
@@ -58,7 +58,7 @@
 impl FromStr for Incarnation {
     type Err = IdError;
 
-    /// Understands an id, or an id with `@` and the time of its start behind it.
+    /// Parses an id, or an id followed by `@` and the start time.
     fn from_str(text: &str) -> Result<Incarnation, IdError> {
         let started_at = |at: &str| at.parse().ok().map(StartTime);
         let parts = text.rsplit_once('@').and_then(|(id, at)| Some((id, started_at(at)?)));
--- a/src/routing/instance_list.rs
+++ b/src/routing/instance_list.rs
@@ -1,7 +1,7 @@
-//! What changes in the list of all instances, as it is passed from instance to instance.
+//! Updates of the list of all instances, as one instance sends them to another.
 //!
-//! Answers the load of starts and stops in a large fleet: each is told to all, and a whole list to each would grow with the
-//! square of their number.
+//! Each start or stop of an instance is sent to all others. With whole lists the bytes sent would grow with the square
+//! of the number of instances.
 
 use std::collections::VecDeque;
 
@@ -11,25 +11,25 @@
 use super::InstanceInfo;
 use crate::names::NodeName;
 
-/// Changes remembered; instances ask once a second at the least, and a fleet of a thousand that starts within two seconds
-/// makes half as many in that time.
-const HISTORY: usize = 1024;
+/// Number of changes kept. Each instance asks at least once a second, in which a fleet of a thousand that starts within
+/// two seconds makes half as many changes.
+const CHANGES_MAX: usize = 1024;
 
 /// What turns a list of instances into a later one.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstanceChange {
-    /// Instances that are new, or known by another address.
+    /// Instances that are new or have another address.
     pub put: Vec<InstanceInfo>,
-    /// Instances that are gone.
+    /// Instances that have stopped.
     pub removed: Vec<NodeName>,
 }
 
-/// What an instance is told of the list.
+/// What an instance receives of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum InstanceListUpdate {
-    /// What has changed since the list that it knows.
+    /// The changes since the version that it has.
     Changes(InstanceChange),
-    /// All of it.
+    /// The whole list.
     Whole(Vec<InstanceInfo>),
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl InstanceChange {
-    /// Returns how many instances it tells of.
+    /// Returns the number of instances that it puts or removes.
     pub fn len(&self) -> usize {
         self.put.len() + self.removed.len()
     }
@@ -52,15 +52,15 @@
 }
 
 impl InstanceHistory {
-    /// Takes a change of the list that had `version`.
+    /// Adds the change that was made to the list of `version`.
     pub fn push(&mut self, version: u64, change: InstanceChange) {
         self.changes.push_back((version, change));
-        if self.changes.len() > HISTORY {
+        if self.changes.len() > CHANGES_MAX {
             self.changes.pop_front();
         }
     }
 
-    /// Returns what turns the list of `version` into the newest; `None` where that is not remembered.
+    /// Returns what turns the list of `version` into the newest one; `None` if that is no longer kept.
     pub fn since(&self, version: u64) -> Option<InstanceChange> {
         let first = self.changes.iter().rposition(|(before, _)| *before == version)?;
         let mut merged: IndexMap<&NodeName, Option<&InstanceInfo>> = IndexMap::new();
--- a/src/routing/intent.rs
+++ b/src/routing/intent.rs
@@ -1,4 +1,4 @@
-//! What the operator wants, as one version, and the rule that it only goes forward.
+//! The operator's configuration as one version, the intent, and the rule that its version never decreases.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,14 +8,14 @@
 use super::{ColdTerms, RouteTable, Teams};
 use crate::names::ServiceName;
 
-/// What a service's backend servers take.
+/// Limits and kind of the backend servers of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Most connections of one backend server, from all callers together.
+    /// Largest number of connections to one backend server, over all instances together.
     pub max_connections: u32,
     /// Whether its backend servers are model engines, whose load is bounded.
     pub engine: bool,
-    /// What its backend servers bear while they are cold, where that is less than otherwise.
+    /// Limits while its backend servers are cold, if these differ.
     pub cold: Option<ColdTerms>,
 }
 
@@ -26,16 +26,16 @@
     pub head_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive once it has begun.
+    /// Longest time from the first byte of a head to its end.
     pub head_time: Duration,
     /// Longest time that a connection stays open without a request.
     pub idle_time: Duration,
 }
 
-/// One version of what the operator wants.
+/// One version of the operator's configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Intent {
-    /// Version; grows with each change.
+    /// Version, which increases with each change.
     pub version: u64,
     /// Routes.
     pub routes: RouteTable,
@@ -48,7 +48,7 @@
 }
 
 impl Intent {
-    /// Returns the intent of version 0, by which nothing is served.
+    /// Returns the intent of version 0, with which nothing is served.
     pub fn empty() -> Intent {
         let limits = CallerLimits {
             head_bytes: 0,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The version in force, which never goes back.
+/// The active intent, whose version never decreases.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveIntent {
     intent: Option<Arc<Intent>>,
@@ -74,30 +74,31 @@
 }
 
 impl ActiveIntent {
-    /// Puts `intent` in force unless one as new already is; returns whether it did.
+    /// Activates `intent` if it is newer than the active one; returns whether it is.
     pub fn offer(&mut self, intent: impl Into<Arc<Intent>>) -> bool {
         let intent = intent.into();
-        if self.intent.as_ref().is_some_and(|known| known.version >= intent.version) {
+        if self.intent.as_ref().is_some_and(|active| active.version >= intent.version) {
             return false;
         }
-        if let Some(known) = &self.intent {
-            self.previous_idle_time = known.limits.idle_time;
+        if let Some(active) = &self.intent {
+            self.previous_idle_time = active.limits.idle_time;
         }
         self.intent = Some(intent);
         true
     }
 
-    /// Returns the version in force.
+    /// Returns the active intent.
     pub fn current(&self) -> Option<&Arc<Intent>> {
         self.intent.as_ref()
     }
 
-    /// Returns the version number in force; 0 before the first.
+    /// Returns the active version; 0 before the first.
     pub fn version(&self) -> u64 {
         self.intent.as_ref().map_or(0, |intent| intent.version)
     }
 
-    /// Returns how long an idle connection stays open: callers may still go by the version before.
+    /// Returns how long an idle connection stays open, the longer of the active and the previous version: callers may
+    /// still rely on the previous one.
     pub fn idle_time(&self) -> Duration {
         let current = self.intent.as_ref().map_or(Duration::ZERO, |i| i.limits.idle_time);
         current.max(self.previous_idle_time)
--- a/src/routing/intent_change.rs
+++ b/src/routing/intent_change.rs
@@ -1,4 +1,4 @@
-//! What turns one version of the intent into a later one, and how that travels between instances.
+//! Changes from one version of the intent to a later one, and their encoding between instances.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -10,67 +10,67 @@
     utils::deflate,
 };
 
-/// Why a change cannot be used.
+/// Why a change cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum IntentChangeError {
-    /// It does not decompress.
-    #[error("the change cannot be unpacked: {0}; the intent is read from the store")]
+    /// It cannot be decompressed.
+    #[error("cannot decompress the intent change: {0}; reading the intent from the store")]
     Packing(#[from] std::io::Error),
-    /// It is from an instance whose messages differ.
-    #[error("the change is not understood: {0}; the intent is read from the store")]
+    /// It comes from an instance of a build with another encoding.
+    #[error("cannot decode the intent change: {0}; reading the intent from the store")]
     Encoding(#[from] rmp_serde::decode::Error),
-    /// It is of another version than the one in force.
+    /// It is based on another version than the active one.
     #[error(
-        "the change is of version {from}, and {version} is in force; a whole intent is asked for"
+        "the change is based on version {from}, but {version} is active; requesting the whole intent"
     )]
     Base {
-        /// Version that it changes.
+        /// Version on which it is based.
         from: u64,
-        /// Version in force.
+        /// Active version.
         version: u64,
     },
 }
 
-/// What turns one version of the intent into a later one.
+/// The difference between one version of the intent and a later one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct IntentChange {
-    /// Version that is changed; 0 for a change that says everything.
+    /// Version on which it is based; 0 for a change that contains the whole intent.
     pub from: u64,
-    /// Version that it becomes.
+    /// Resulting version.
     pub to: u64,
     /// Routes that are new or changed.
     put: Vec<Route>,
-    /// Routes that are gone.
+    /// Routes that are removed.
     removed: Vec<RouteKey>,
-    /// All services: they are few.
+    /// All services, changed or not, since there are only a few.
     services: IndexMap<ServiceName, ServiceSpec>,
     /// Limits on what callers send.
     limits: CallerLimits,
     /// Keys that are new or whose team has changed.
     keys_put: Vec<(String, Team)>,
-    /// Keys that are gone.
+    /// Keys that are removed.
     keys_removed: Vec<String>,
     /// Whether callers of routes that are not public need a key.
     needs_key: bool,
 }
 
-/// A change as it travels, encoded and compressed once and passed on as it is.
+/// A change as it is sent, encoded and compressed once and relayed unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedChange {
-    /// Version that is changed; 0 for a change that says everything.
+    /// Version on which it is based; 0 for a change that contains the whole intent.
     pub from: u64,
-    /// Version that it becomes.
+    /// Resulting version.
     pub to: u64,
     #[serde(with = "serde_bytes")]
     bytes: Vec<u8>,
 }
 
 impl IntentChange {
-    /// Returns what turns `old` into `new`.
+    /// Returns the change from `old` to `new`.
     pub fn between(old: &Intent, new: &Intent) -> IntentChange {
         let put = new.routes.iter().filter(|route| old.routes.get(&route.key()) != Some(route));
-        let gone = |key: &RouteKey| new.routes.get(key).is_none();
-        let removed = old.routes.iter().map(|route| route.key()).filter(gone);
+        let is_removed = |key: &RouteKey| new.routes.get(key).is_none();
+        let removed = old.routes.iter().map(|route| route.key()).filter(is_removed);
         let (before, after) = (&old.teams, &new.teams);
         let keys_put = after.keys().filter(|(key, team)| before.holder(key) != Some(team));
         let keys_removed = before.keys().filter(|(key, _)| after.holder(key).is_none());
@@ -87,16 +87,16 @@
         }
     }
 
-    /// Returns the change that says everything of `intent`.
+    /// Returns the change that contains the whole of `intent`.
     pub fn whole(intent: &Intent) -> IntentChange {
         IntentChange::between(&Intent::empty(), intent)
     }
 
-    /// Returns what `old` becomes.
+    /// Returns the intent that results from applying the change to `old`.
     ///
     /// # Errors
     ///
-    /// The change is of another version than `old`.
+    /// The change is based on another version than that of `old`.
     pub fn apply(self, old: &Intent) -> Result<Intent, IntentChangeError> {
         let empty = Intent::empty();
         let base = if self.from == 0 { &empty } else { old };
@@ -114,17 +114,17 @@
 }
 
 impl PackedChange {
-    /// Packs a change.
+    /// Encodes and compresses a change.
     pub fn pack(change: &IntentChange) -> PackedChange {
         let bytes = deflate::pack(&encode(change));
         PackedChange { from: change.from, to: change.to, bytes }
     }
 
-    /// Unpacks the change.
+    /// Decompresses and decodes the change.
     ///
     /// # Errors
     ///
-    /// The bytes are no change, or one of another version of the program.
+    /// The bytes are no change, or one of a build with another encoding.
     pub fn unpack(&self) -> Result<IntentChange, IntentChangeError> {
         Ok(decode(&deflate::unpack(&self.bytes)?)?)
     }
@@ -134,7 +134,7 @@
         self.bytes.len()
     }
 
-    /// Returns whether there are no bytes, which no packed change has.
+    /// Returns whether there are no bytes, which is never the case for a packed change.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/src/routing/intent_history.rs
+++ b/src/routing/intent_history.rs
@@ -4,22 +4,22 @@
 
 use super::{Intent, IntentChange, PackedChange};
 
-/// Changes kept: a storm of some seconds, and the instances that missed all of it.
+/// Number of changes kept: enough for an instance that missed a burst of changes of some seconds.
 const CHANGES_MAX: usize = 64;
 
-/// Bytes of changes kept: a few hundred thousand routes' worth would be a whole intent.
+/// Bytes of changes kept. More would not pay: changes of a few hundred thousand routes amount to a whole intent.
 const BYTES_MAX: usize = 512 << 10;
 
-/// The newest changes, each of the version before it.
+/// The newest changes, each applying to the version before it.
 #[derive(Default)]
 pub struct IntentHistory {
     changes: VecDeque<Arc<PackedChange>>,
-    /// The newest version whole, packed when it is first asked for.
+    /// The whole newest version, packed when it is first requested.
     whole: Option<Arc<PackedChange>>,
 }
 
 impl IntentHistory {
-    /// Takes the change to the newest version.
+    /// Adds the change to the newest version.
     pub fn push(&mut self, change: Arc<PackedChange>) {
         self.whole = None;
         if change.from == 0 {
@@ -41,18 +41,18 @@
         self.changes.back()
     }
 
-    /// Returns the changes that turn `version` into `newest`, the intent in force, as far as they are kept:
-    /// none for an instance that has it, nor for one that is too far behind.
+    /// Returns the changes from `version` to `newest`, the active intent, if they are all kept: none for an instance
+    /// that has it, nor for one that is too far behind.
     pub fn kept_since(&self, version: u64, newest: &Intent) -> Vec<Arc<PackedChange>> {
         let first = self.changes.iter().position(|change| change.from == version);
-        let current = self.changes.back().is_some_and(|last| last.to == newest.version);
+        let is_current = self.changes.back().is_some_and(|last| last.to == newest.version);
         match first {
-            Some(first) if current => self.changes.iter().skip(first).cloned().collect(),
+            Some(first) if is_current => self.changes.iter().skip(first).cloned().collect(),
             _ => Vec::new(),
         }
     }
 
-    /// Returns what turns `version` into `newest`, the intent in force: the changes, or all of it for an instance
+    /// Returns what turns `version` into `newest`, the active intent: the changes, or the whole intent for an instance
     /// that is too far behind; nothing for one that has it.
     pub fn since(&mut self, version: u64, newest: &Intent) -> Vec<Arc<PackedChange>> {
         if version >= newest.version {
@@ -62,9 +62,9 @@
         if !kept.is_empty() {
             return kept;
         }
-        let known = self.whole.take().filter(|whole| whole.to == newest.version);
+        let packed = self.whole.take().filter(|whole| whole.to == newest.version);
         let whole =
-            known.unwrap_or_else(|| Arc::new(PackedChange::pack(&IntentChange::whole(newest))));
+            packed.unwrap_or_else(|| Arc::new(PackedChange::pack(&IntentChange::whole(newest))));
         self.whole = Some(Arc::clone(&whole));
         vec![whole]
     }
--- a/src/routing/store_share.rs
+++ b/src/routing/store_share.rs
@@ -1,23 +1,26 @@
-//! This instance's part of the calls that the platform's store takes from all instances together.
+//! This instance's share of the calls that the platform's store accepts from all instances together.
 
 use std::time::{Duration, Instant};
 
 use crate::{contract::token_bucket::TokenBucket, units::Rate};
 
-/// Part of the store's rates that all instances use together; the rest is for instances that do
-/// not know each other yet.
+/// Share of the store's rate limits that all instances use together; the rest is for instances that do not know each
+/// other yet.
 const USED_SHARE: f64 = 0.8;
 
-/// Part of what they use that is for those which read for others, and how many of these there may be at once: the one that all
-/// turn to, one that reads for it, and their successors. Divided among all, a list of many pages would take the longer the
-/// larger the fleet is.
-const READERS: (f64, f64) = (0.25, 4.0);
+/// Fraction of the used share that is for instances that read on behalf of others. If all instances shared it, reading
+/// a list of many pages would take longer the larger the fleet is.
+const READERS_FRACTION: f64 = 0.25;
 
-/// Least calls a second of one instance, however many there are: it reads the servers' list and the
-/// intent within the operator's bounds, in a few pages each.
-const LEAST: f64 = 4.0;
+/// Largest number of instances that read on behalf of others at once: the aggregator, its fallback reader, and the
+/// successors of both.
+const READERS_MAX: f64 = 4.0;
 
-/// Calls that the store limits separately.
+/// Lowest rate of one instance, in calls a second, however many instances there are: it suffices to read the server
+/// list and the intent, a few pages each, within the operator's bounds.
+const RATE_MIN: f64 = 4.0;
+
+/// Kinds of calls that the store limits separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
     /// Changes nothing.
@@ -26,7 +29,7 @@
     Write,
 }
 
-/// Calls a second that the store takes from all instances together.
+/// Calls a second that the store accepts from all instances together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreRates {
     /// Reads.
@@ -35,7 +38,7 @@
     pub writes: Rate,
 }
 
-/// What one instance may call.
+/// Rate limits of one instance.
 #[derive(Debug)]
 pub struct StoreShare {
     rates: StoreRates,
@@ -46,9 +49,9 @@
 }
 
 impl StoreShare {
-    /// Returns the share of an instance that knows no other one.
+    /// Returns the share of an instance that knows no other instance.
     pub fn new(rates: StoreRates, now: Instant) -> StoreShare {
-        let bucket = |rate| TokenBucket::new(part(rate, 1), now);
+        let bucket = |rate| TokenBucket::new(share_of(rate, 1), now);
         let (reads, writes) = (bucket(rates.reads), bucket(rates.writes));
         StoreShare { rates, reads, writes, instances: 1, reads_for_others: false }
     }
@@ -57,10 +60,10 @@
     pub fn set_instances(&mut self, instances: usize) {
         self.instances = instances;
         self.set_reads();
-        self.writes.set_rate(part(self.rates.writes, instances));
+        self.writes.set_rate(share_of(self.rates.writes, instances));
     }
 
-    /// Sets whether others have this instance read for them.
+    /// Sets whether this instance reads on behalf of others.
     pub fn set_reads_for_others(&mut self, reads_for_others: bool) {
         if self.reads_for_others != reads_for_others {
             self.reads_for_others = reads_for_others;
@@ -69,19 +72,18 @@
     }
 
     fn set_reads(&mut self) {
-        let (part_of_readers, readers) = READERS;
         let rate = self.rates.reads.0;
-        let own = part(Rate(rate * (1.0 - part_of_readers)), self.instances);
-        let for_others = Rate(rate * USED_SHARE * part_of_readers / readers);
+        let own = share_of(Rate(rate * (1.0 - READERS_FRACTION)), self.instances);
+        let for_others = Rate(rate * USED_SHARE * READERS_FRACTION / READERS_MAX);
         let rate = if self.reads_for_others { for_others.0.max(own.0) } else { own.0 };
         self.reads.set_rate(Rate(rate));
     }
 
-    /// Takes one call, or says how long until there is one.
+    /// Takes one call from the rate limit.
     ///
     /// # Errors
     ///
-    /// The time to wait.
+    /// The time until the next call is allowed.
     pub fn take(&mut self, now: Instant, kind: CallKind) -> Result<(), Duration> {
         match kind {
             CallKind::Read => self.reads.take(now),
@@ -90,6 +92,6 @@
     }
 }
 
-fn part(rate: Rate, instances: usize) -> Rate {
-    Rate((rate.0 * USED_SHARE / instances.max(1) as f64).max(LEAST))
+fn share_of(rate: Rate, instances: usize) -> Rate {
+    Rate((rate.0 * USED_SHARE / instances.max(1) as f64).max(RATE_MIN))
 }
--- a/src/routing/store_version.rs
+++ b/src/routing/store_version.rs
@@ -1,28 +1,28 @@
-//! Versions of the platform's store, which may come back from a copy some seconds old.
+//! Versions of the platform's store, which may be restored from a backup some seconds old.
 
 use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// How long what was known before the store's return is held against what the store says now: operators and backend
-/// servers write again what was lost, the servers with their next heartbeat (1.2 s at the users' sites); an entry
-/// that nobody writes lapses after three of them.
+/// How long the state from before a restore takes precedence over what the restored store contains. Meanwhile operators
+/// and backend servers write again what was lost, the servers with their next heartbeat (every 1.2 s at the users'
+/// sites); an entry that is not written expires after three heartbeats.
 pub const SETTLING: Duration = Duration::from_secs(5);
 
-/// How often the store has come back from a copy.
+/// Number of times that the store has been restored from a backup.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct StoreEra(pub u64);
 
-/// A version of the store: its one counter grows with each change of any table, and goes back when the store comes
-/// back from a copy. Versions of a later era are later, whatever they count.
+/// A version of the store. Its one counter increases with each change of any table and decreases when the store is
+/// restored from a backup; versions of a later era are therefore later whatever their counter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreVersion {
     /// Era of the counter.
     pub era: StoreEra,
-    /// The counter.
+    /// Counter of the changes of all tables.
     pub counter: u64,
 }
 
