--- a/src/routing/intent_watch.rs
+++ b/src/routing/intent_watch.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{FleetPosition, StoreVersion, store_version::SETTLING};
+use super::{FleetPosition, StoreVersion, store_version::SETTLING_TIME};
 
 /// Parts of the operator's bound after which the first and the last instance of the fleet read the store
 /// themselves if no other tells them anything newer. One after the other, so that the first can tell the
@@ -169,7 +169,7 @@
             return;
         }
         if confirmed.store.era > known.store.era {
-            self.unsettled_until = Some(confirmed.at + SETTLING);
+            self.unsettled_until = Some(confirmed.at + SETTLING_TIME);
             // Whoever has the newer version in force tells of it again; if nobody does, it is lost.
             self.newer = None;
         }
--- a/src/routing/operator_orders.rs
+++ b/src/routing/operator_orders.rs
@@ -9,7 +9,7 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
-use super::{RolloutOrder, StoreVersion, store_version::SETTLING};
+use super::{RolloutOrder, StoreVersion, store_version::SETTLING_TIME};
 use crate::names::{ServiceName, ZoneName};
 
 /// The orders that stood at one version of the store.
@@ -118,7 +118,7 @@
         let knows_any = self.newest.as_of != StoreVersion::default();
         if knows_any && told.as_of.era > self.newest.as_of.era {
             self.former = self.active(now);
-            self.former_until = Some(now + SETTLING);
+            self.former_until = Some(now + SETTLING_TIME);
         }
         self.newest = told;
         true
--- a/src/routing/roster.rs
+++ b/src/routing/roster.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::{Incarnation, StoreEra, store_version::SETTLING};
+use super::{Incarnation, StoreEra, store_version::SETTLING_TIME};
 use crate::names::{ServerId, ServiceName, SoftwareVersion, Tag, ZoneName};
 
 /// How long entries missing from the first lists after an outage are still believed: entries that
@@ -111,7 +111,7 @@
     /// list lacks stays in use, until all have had time to write again what was lost.
     pub fn note_era(&mut self, now: Instant, era: StoreEra) -> bool {
         if era > self.era && self.as_of.is_some() {
-            self.settled_at = Some(now + SETTLING);
+            self.settled_at = Some(now + SETTLING_TIME);
         }
         self.era = self.era.max(era);
         era == self.era
--- a/src/routing/store_version.rs
+++ b/src/routing/store_version.rs
@@ -7,7 +7,7 @@
 /// How long the state from before a restore takes precedence over what the restored store contains. Meanwhile operators
 /// and backend servers write again what was lost, the servers with their next heartbeat (every 1.2 s at the users'
 /// sites); an entry that is not written expires after three heartbeats.
-pub const SETTLING: Duration = Duration::from_secs(5);
+pub const SETTLING_TIME: Duration = Duration::from_secs(5);
 
 /// Number of times that the store has been restored from a backup.
 #[derive(
