--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -1,8 +1,8 @@
-//! Which instance collects the fleet's counts and reads the store for the others.
+//! Which instance is the aggregator: it collects the fleet's counts and reads the store on behalf of the others.
 //!
-//! Every instance ranks all instances in the same way and turns to the first that answers. Views
-//! may differ for a while: whoever is asked answers with what it knows, and every answer carries
-//! the age of what it says, so nothing rests on agreement.
+//! Every instance ranks all instances in the same way and reports to the first that responds. Their views may differ
+//! for a while. That is safe without agreement: an instance replies to every report with what it knows, and each reply
+//! contains the age of that data.
 
 use std::{
     cmp::Ordering,
@@ -18,29 +18,29 @@
 use super::{FleetPosition, InstanceChange, InstanceHistory, InstanceListUpdate};
 use crate::names::{NodeName, ZoneName};
 
-/// First pause after an instance did not answer; doubled at each further time.
-const PAUSE_FIRST: Duration = Duration::from_secs(1);
+/// First period for which an instance is skipped after it did not respond; doubled with each further failure.
+const SKIP_FIRST: Duration = Duration::from_secs(1);
 
-/// Longest pause.
-const PAUSE_MAX: Duration = Duration::from_secs(8);
+/// Longest such period.
+const SKIP_MAX: Duration = Duration::from_secs(8);
 
-/// Changes at once from which the whole list is ranked anew rather than each put into its place.
-const RANKED_ANEW: usize = 16;
+/// Largest number of changes that are inserted one by one; with more, the whole list is sorted again.
+const INSERTED_MAX: usize = 16;
 
-/// A running instance as the others know it.
+/// A running instance, as listed at the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// Name.
+    /// Name of the instance.
     pub node: NodeName,
-    /// Where it listens for other instances.
+    /// Address at which it listens for other instances.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its share of processors, in cores: stronger instances come first.
+    /// Its share of processors, in cores; stronger instances rank first.
     pub cores: f32,
 }
 
-/// All instances, ranked, with those that did not answer.
+/// All instances by rank, and which of them did not respond.
 #[derive(Debug)]
 pub struct Candidates {
     own: InstanceInfo,
@@ -51,7 +51,7 @@
 }
 
 impl Candidates {
-    /// Returns the candidates as an instance knows them that knows only itself.
+    /// Returns the candidates of an instance that knows only itself.
     pub fn new(own: InstanceInfo) -> Candidates {
         let (history, unresponsive) = (InstanceHistory::default(), IndexMap::new());
         let mut candidates =
@@ -60,17 +60,17 @@
         candidates
     }
 
-    /// Sets the own address, once it is bound.
+    /// Sets this instance's address, once it is bound.
     pub fn set_own_address(&mut self, address: SocketAddr) {
         self.own.address = address;
         self.change(vec![self.own.clone()], Vec::new());
     }
 
-    /// Takes the list of all instances; the own one is always in it.
+    /// Sets the list of all instances; this instance is always included.
     pub fn set(&mut self, instances: impl IntoIterator<Item = InstanceInfo>) {
         let own = self.own.node.clone();
         if self.ranked.len() <= 1 {
-            // One that has just started knows nothing that could have changed.
+            // An instance that has just started knows no list that could have changed.
             let others = instances.into_iter().filter(|instance| instance.node != own);
             self.ranked = others.collect();
             self.ranked.push(self.own.clone());
@@ -88,7 +88,7 @@
         self.change(put, removed);
     }
 
-    /// Takes what another instance tells of the list; returns whether it has changed.
+    /// Applies an update received from another instance; returns whether the list has changed.
     pub fn apply_update(&mut self, news: InstanceListUpdate) -> bool {
         let before = self.version;
         match news {
@@ -100,7 +100,7 @@
         self.version != before
     }
 
-    /// Returns what has changed in the list since it had `version`: all of it where that is too long ago.
+    /// Returns the changes of the list since it had `version`, or the whole list if that version is no longer known.
     pub fn update_since(&self, version: u64) -> InstanceListUpdate {
         match self.history.since(version) {
             Some(change) if change.len() < self.ranked.len() => InstanceListUpdate::Changes(change),
@@ -128,12 +128,11 @@
         }
     }
 
-    /// Changes the list.
     fn change(&mut self, mut put: Vec<InstanceInfo>, mut removed: Vec<NodeName>) {
         let before = self.version;
         removed.retain(|node| *node != self.own.node);
         put.retain(|instance| instance.node != self.own.node || *instance == self.own);
-        if put.len() + removed.len() > RANKED_ANEW {
+        if put.len() + removed.len() > INSERTED_MAX {
             self.rerank(&put, &removed);
         } else {
             removed.iter().for_each(|node| self.remove(node));
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Returns the first instance that is not passed over; `None` for the own one.
+    /// Returns the first instance that is not skipped; `None` if that is this instance.
     pub fn aggregator(&self, now: Instant) -> Option<&InstanceInfo> {
         self.ranked
             .iter()
@@ -179,7 +178,7 @@
             .filter(|i| i.node != self.own.node)
     }
 
-    /// Returns the other instances that are not passed over.
+    /// Returns the other instances that are not skipped.
     pub fn responsive(&self, now: Instant) -> impl Iterator<Item = &InstanceInfo> {
         let others = self.ranked.iter().filter(|i| i.node != self.own.node);
         others.filter(move |i| !self.is_skipped(now, i))
@@ -189,41 +188,41 @@
         self.unresponsive.get(&instance.node).is_some_and(|(until, _)| now < *until)
     }
 
-    /// Notes that an instance did not answer.
+    /// Notes that an instance did not respond.
     pub fn note_unresponsive(&mut self, now: Instant, node: &NodeName) {
-        let pause = self.unresponsive.get(node).map_or(Duration::ZERO, |(_, pause)| *pause);
-        let pause = (pause * 2).clamp(PAUSE_FIRST, PAUSE_MAX);
-        self.unresponsive.insert(node.clone(), (now + pause, pause));
+        let period = self.unresponsive.get(node).map_or(Duration::ZERO, |(_, period)| *period);
+        let period = (period * 2).clamp(SKIP_FIRST, SKIP_MAX);
+        self.unresponsive.insert(node.clone(), (now + period, period));
     }
 
-    /// Notes that an instance answered.
+    /// Notes that an instance responded.
     pub fn note_responsive(&mut self, node: &NodeName) {
         self.unresponsive.shift_remove(node);
     }
 
-    /// Returns all instances, the own one included.
+    /// Returns all instances by rank, this one included.
     pub fn all(&self) -> &[InstanceInfo] {
         &self.ranked
     }
 
-    /// Returns the own entry.
+    /// Returns the entry of this instance.
     pub fn own(&self) -> &InstanceInfo {
         &self.own
     }
 
-    /// Returns which of all instances the own one is.
+    /// Returns the rank of this instance among all.
     pub fn position(&self) -> FleetPosition {
         let number = self.ranked.iter().position(|i| i.node == self.own.node).unwrap_or(0);
         FleetPosition { number, instances: self.ranked.len() }
     }
 
-    /// Returns a hash of the list, by which two instances see whether they know the same.
+    /// Returns a hash of the list, by which two instances tell whether their lists are the same.
     pub fn version(&self) -> u64 {
         self.version
     }
 }
 
-/// Compares by rank: the strongest first, else as their names' hashes have it.
+/// Compares by rank: the strongest first, instances of the same strength by the hashes of their names.
 fn by_rank(a: &InstanceInfo, b: &InstanceInfo) -> Ordering {
     let order = |i: &InstanceInfo| xxh3_64(i.node.as_str().as_bytes());
     b.cores.total_cmp(&a.cores).then_with(|| order(a).cmp(&order(b)))
--- a/src/routing/operator_orders.rs
+++ b/src/routing/operator_orders.rs
@@ -1,8 +1,10 @@
-//! What operators order beside the intent: availability zones that they empty, for maintenance or before they lose them, so
-//! that nothing new is sent to their backend servers until they are taken back; and roll-outs of versions.
+//! Orders that operators give beside the intent: evacuations of availability zones, and rollouts of versions.
 //!
-//! The orders are read with the intent and handed from instance to instance like it, so that they cost no call of their
-//! own; the version of the store at which they were read says which of two tellings is the newer one.
+//! The backend servers of an evacuated zone receive no new requests until the order is withdrawn; operators evacuate a
+//! zone for maintenance or before they lose it.
+//!
+//! Orders are read together with the intent and relayed between instances like it, so that they cost no calls of their
+//! own. The version of the store at which a snapshot was read tells which of two snapshots is the newer one.
 
 use std::time::Instant;
 
@@ -12,59 +14,59 @@
 use super::{RolloutOrder, StoreVersion, store_version::SETTLING_TIME};
 use crate::names::{ServiceName, ZoneName};
 
-/// The orders that stood at one version of the store.
+/// The orders in the store at one of its versions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrdersSnapshot {
-    /// Version of the store at which they were read.
+    /// Version of the store at which the orders were read.
     pub as_of: StoreVersion,
-    /// Zones to be empty.
+    /// Evacuated zones.
     pub zones: IndexSet<ZoneName>,
-    /// Roll-outs, by service.
+    /// Rollouts by service.
     pub rollouts: IndexMap<ServiceName, RolloutOrder>,
-    /// Services of whose roll-out something is written that is not understood: the order before it goes on.
+    /// Services whose rollout order in the store cannot be parsed: the previous order stays active.
     #[serde(default)]
     pub unparsed: IndexSet<ServiceName>,
 }
 
-/// That operators give an order, or take it back.
+/// An order that operators give or withdraw.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderChange {
-    /// A zone is to be empty, or not any more.
+    /// The evacuation of a zone is ordered or withdrawn.
     Zone {
         /// The zone.
         zone: ZoneName,
-        /// Whether it is to be empty.
+        /// Whether the zone is to be evacuated.
         evacuate: bool,
     },
-    /// A service's requests are to be moved to a version; `None` where that is taken back.
+    /// A rollout of a service is ordered or withdrawn.
     Rollout {
         /// The service.
         service: ServiceName,
-        /// The order.
+        /// The order; `None` if it is withdrawn.
         order: Option<RolloutOrder>,
     },
-    /// Something that is not understood is written of a service's roll-out.
+    /// The rollout order of a service cannot be parsed.
     Unparsed(ServiceName),
 }
 
-/// What an instance knows of operators' orders.
+/// Orders of operators as an instance knows them.
 #[derive(Debug, Default)]
 pub struct OperatorOrders {
     newest: OrdersSnapshot,
-    /// Orders of the store's era before, which operators may not have had time to write again.
+    /// Orders of the previous era of the store, which operators may not have had time to write again.
     former: OrdersSnapshot,
     former_until: Option<Instant>,
 }
 
 impl OrdersSnapshot {
-    /// Returns the orders as of `as_of` that lead from none by `changes`.
+    /// Returns the snapshot as of `as_of` that `changes` make out of no orders.
     pub fn from_changes(
         as_of: StoreVersion,
         changes: impl IntoIterator<Item = OrderChange>,
     ) -> OrdersSnapshot {
-        let mut told = OrdersSnapshot { as_of, ..OrdersSnapshot::default() };
-        changes.into_iter().for_each(|change| told.apply(change));
-        told
+        let mut snapshot = OrdersSnapshot { as_of, ..OrdersSnapshot::default() };
+        changes.into_iter().for_each(|change| snapshot.apply(change));
+        snapshot
     }
 
     fn apply(&mut self, change: OrderChange) {
@@ -89,9 +91,8 @@
         }
     }
 
-    /// Has orders go on that were in force before something was written of them that is not understood; returns whether there
-    /// are any.
-    fn keep(&mut self, before: &OrdersSnapshot) -> bool {
+    /// Keeps the orders of `before` whose new value cannot be parsed; returns whether there are any.
+    fn keep_unparsed(&mut self, before: &OrdersSnapshot) -> bool {
         let mut kept = false;
         for service in &self.unparsed {
             let Some(order) = before.rollouts.get(service) else { continue };
@@ -105,38 +106,38 @@
 }
 
 impl OperatorOrders {
-    /// Takes what was read or told; returns whether it is newer than what is known.
-    pub fn take(&mut self, now: Instant, mut told: OrdersSnapshot) -> bool {
-        if told.as_of == self.newest.as_of {
-            // Another one may know what was ordered before.
-            return self.newest.keep(&told);
+    /// Takes a snapshot that was read or received; returns whether it is newer than the current one.
+    pub fn take(&mut self, now: Instant, mut snapshot: OrdersSnapshot) -> bool {
+        if snapshot.as_of == self.newest.as_of {
+            // The instance that sent it may know the order before one that cannot be parsed.
+            return self.newest.keep_unparsed(&snapshot);
         }
-        if told.as_of < self.newest.as_of {
+        if snapshot.as_of < self.newest.as_of {
             return false;
         }
-        told.keep(&self.newest);
-        let knows_any = self.newest.as_of != StoreVersion::default();
-        if knows_any && told.as_of.era > self.newest.as_of.era {
+        snapshot.keep_unparsed(&self.newest);
+        let has_any = self.newest.as_of != StoreVersion::default();
+        if has_any && snapshot.as_of.era > self.newest.as_of.era {
             self.former = self.active(now);
             self.former_until = Some(now + SETTLING_TIME);
         }
-        self.newest = told;
+        self.newest = snapshot;
         true
     }
 
-    /// Takes the changes up to the version `as_of`; returns whether that is newer than what is known.
+    /// Applies the changes up to the version `as_of`; returns whether that is newer than the current snapshot.
     pub fn apply_changes(
         &mut self,
         now: Instant,
         as_of: StoreVersion,
         changes: impl IntoIterator<Item = OrderChange>,
     ) -> bool {
-        let mut told = OrdersSnapshot { as_of, ..self.newest.clone() };
-        changes.into_iter().for_each(|change| told.apply(change));
-        self.take(now, told)
+        let mut snapshot = OrdersSnapshot { as_of, ..self.newest.clone() };
+        changes.into_iter().for_each(|change| snapshot.apply(change));
+        self.take(now, snapshot)
     }
 
-    /// Returns the orders in force; zones and services in an order of their own.
+    /// Returns the active orders, sorted by zone and by service.
     pub fn active(&self, now: Instant) -> OrdersSnapshot {
         let mut orders = self.newest.clone();
         if self.former_until.is_some_and(|until| now < until) {
@@ -150,7 +151,7 @@
         orders
     }
 
-    /// Returns what other instances are told.
+    /// Returns the snapshot that other instances receive.
     pub fn newest(&self) -> &OrdersSnapshot {
         &self.newest
     }
--- a/src/routing/roster.rs
+++ b/src/routing/roster.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the platform lists them.
+//! The list of backend servers, as the platform publishes it.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -13,42 +13,42 @@
 use super::{Incarnation, StoreEra, store_version::SETTLING_TIME};
 use crate::names::{ServerId, ServiceName, SoftwareVersion, Tag, ZoneName};
 
-/// How long entries missing from the first lists after an outage are still believed: entries that
-/// lapsed meanwhile are back within two seconds (users' letter), and a list is read about once a
-/// second.
-const RETURN_GRACE: Duration = Duration::from_millis(2500);
+/// How long servers missing from the first lists after an outage are kept: entries that expired meanwhile are written
+/// again within two seconds, as the users state, and the list is read about once a second.
+const MISSING_GRACE: Duration = Duration::from_millis(2500);
 
-/// Age of the list in force from which its source counts as having been away from everybody. An
-/// instance that alone is turned away learns the list from others about once a second, and entries
-/// do not lapse while any instance can read them.
+/// Age of the current list above which the store is taken to have been unreachable for all instances. An instance
+/// that is the only one without access receives the list from others about once a second, and entries do not expire
+/// while any instance can read them.
 const OUTAGE_AGE: Duration = Duration::from_millis(2500);
 
-/// How long a server that is gone is remembered: the store may come back from a copy some seconds old, which lists it.
-const GONE_KEPT: Duration = Duration::from_secs(30);
+/// How long a removed server is remembered: the store may be restored from a backup some seconds old that still lists
+/// it.
+const REMOVED_TTL: Duration = Duration::from_secs(30);
 
 /// One incarnation of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// Which server, and which start of it.
+    /// The server, and which of its runs.
     pub id: Incarnation,
-    /// Service that it serves.
+    /// Service to which it belongs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it takes no new requests.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// Requests that it runs at once, if it says so.
+    /// Number of requests that it runs at once, if its entry states it.
     pub slots: Option<u32>,
-    /// Version of its software, if it says so.
+    /// Version of its software, if its entry states it.
     pub version: Option<SoftwareVersion>,
-    /// How long it still stayed cold when its entry was read first.
+    /// How long it was still going to be cold when its entry was first read.
     pub cold_for: Duration,
 }
 
 impl BackendServer {
-    /// Returns whether `other` says the same, but for how long it is cold.
+    /// Returns whether `other` has the same fields except `cold_for`.
     fn differs_by_cold_only(&self, other: &BackendServer) -> bool {
         let BackendServer { id, service, address, zone, leaving, slots, version, cold_for: _ } =
             self;
@@ -58,57 +58,57 @@
         *id == other.id && same_place && same_work && *leaving == other.leaving
     }
 
-    /// Returns the tag that stands for the incarnation in messages between instances.
+    /// Returns the tag of the incarnation in messages between instances.
     pub fn tag(&self) -> Tag {
         self.id.tag()
     }
 
-    /// Returns the tag that stands for the server in rendezvous hashing, whenever it started.
+    /// Returns the tag of the server in rendezvous hashing, which a restart does not change.
     pub fn stable_tag(&self) -> Tag {
         self.id.stable_tag()
     }
 }
 
-/// The list in force, with how sure it is.
+/// The current list, and when it was last known to be current.
 #[derive(Debug, Default)]
 pub struct Roster {
     servers: IndexMap<Incarnation, Arc<BackendServer>>,
-    /// When the list in force was current at its source.
+    /// When the list was last current in the store.
     as_of: Option<Instant>,
-    /// Until when missing entries are kept.
+    /// Until when servers missing from a list are kept.
     keep_missing_until: Option<Instant>,
-    /// Era of the store that the list is from.
+    /// Era of the store from which the list comes.
     era: StoreEra,
-    /// Until when the store may not know what was known before it came back from a copy.
+    /// When all writers have had time to write again what a restore of the store lost.
     settled_at: Option<Instant>,
-    /// Servers that are gone, and when that became known.
+    /// Removed servers, and when their removal was noticed.
     removed: IndexMap<Incarnation, Instant>,
-    /// Until when servers are cold.
+    /// When servers stop being cold.
     cold: IndexMap<Incarnation, Instant>,
-    /// Whether a server of the list in force has been forgotten, or counts as leaving, against what the list says.
+    /// Whether servers were removed, or marked as leaving, against what the list contains.
     differs: bool,
 }
 
 /// What a new list changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RosterChange {
-    /// Servers that came.
+    /// New servers.
     pub added: Vec<Incarnation>,
-    /// Servers that began to leave.
+    /// Servers that started to leave.
     pub leaving: Vec<Incarnation>,
-    /// Servers that say something else of themselves: another address, that they no longer leave.
+    /// Servers whose entry changed otherwise: another address, or no longer leaving.
     pub changed: Vec<Incarnation>,
-    /// Servers that are gone.
+    /// Servers that are no longer listed.
     pub removed: Vec<Incarnation>,
-    /// Servers that say something new of how long they are cold.
+    /// Servers with a new time until which they are cold.
     pub cold: Vec<Incarnation>,
 }
 
 impl Roster {
-    /// Notes that the next list is of `era`; returns whether it is of use, which one of an earlier era is not.
+    /// Notes that the next list is of `era`; returns whether it can be used, which a list of an earlier era cannot.
     ///
-    /// After a return of the store from a copy, a server that is known to leave or to be gone stays so, and one that the
-    /// list lacks stays in use, until all have had time to write again what was lost.
+    /// After a restore of the store, a server known as leaving or removed stays so, and a server that the list is
+    /// missing stays in use, until all writers have had time to write again what was lost.
     pub fn note_era(&mut self, now: Instant, era: StoreEra) -> bool {
         if era > self.era && self.as_of.is_some() {
             self.settled_at = Some(now + SETTLING_TIME);
@@ -117,12 +117,12 @@
         era == self.era
     }
 
-    /// Returns the era of the list in force.
+    /// Returns the era of the current list.
     pub fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// Takes a whole list that was current at `as_of`; an older one than is in force is ignored.
+    /// Applies a whole list that was current at `as_of`; a list older than the current one is ignored.
     pub fn apply_list(
         &mut self,
         now: Instant,
@@ -134,16 +134,16 @@
         }
         self.differs = false;
         let unsettled = self.settled_at.is_some_and(|at| now < at);
-        let keeps = unsettled || self.keep_missing_until.is_some_and(|until| now < until);
-        self.removed.retain(|_, at| now.saturating_duration_since(*at) < GONE_KEPT);
+        let keeps_missing = unsettled || self.keep_missing_until.is_some_and(|until| now < until);
+        self.removed.retain(|_, at| now.saturating_duration_since(*at) < REMOVED_TTL);
         let mut change = RosterChange::default();
         let mut servers: IndexMap<Incarnation, Arc<BackendServer>> = IndexMap::new();
-        let starts: HashMap<&ServerId, &Arc<BackendServer>> =
+        let by_server: HashMap<&ServerId, &Arc<BackendServer>> =
             self.servers.values().map(|known| (&known.id.server, known)).collect();
         for server in list {
-            let started = starts.get(&server.id.server);
-            if let Some(&later) = started.filter(|known| server.id.is_before(&known.id)) {
-                // What an earlier start wrote of itself came late.
+            let current = by_server.get(&server.id.server);
+            if let Some(&later) = current.filter(|known| server.id.is_before(&known.id)) {
+                // A late entry of an earlier incarnation.
                 servers.insert(later.id.clone(), Arc::clone(later));
                 continue;
             }
@@ -167,8 +167,8 @@
                 }
                 Some(_) => {}
             }
-            let was_cold_for = known.map_or(Duration::ZERO, |known| known.cold_for);
-            if was_cold_for != server.cold_for {
+            let previous_cold_for = known.map_or(Duration::ZERO, |known| known.cold_for);
+            if previous_cold_for != server.cold_for {
                 change.cold.push(server.id.clone());
                 self.cold.insert(server.id.clone(), as_of + server.cold_for);
             }
@@ -182,12 +182,12 @@
             if servers.contains_key(id) {
                 continue;
             }
-            // A server that started again is not what it was, and an address in use by a listed server cannot
-            // still be the missing one's.
+            // A restarted server replaces its earlier incarnation, and the address of a listed server cannot still
+            // belong to the missing one.
             let replaced = servers.values().any(|listed| {
                 listed.address == server.address || listed.id.server == server.id.server
             });
-            if keeps && !server.leaving && !replaced {
+            if keeps_missing && !server.leaving && !replaced {
                 servers.insert(id.clone(), Arc::clone(server));
             } else {
                 change.removed.push(id.clone());
@@ -199,21 +199,21 @@
         change
     }
 
-    /// Notes that the list in force was current at `as_of`; returns whether that is news.
+    /// Notes that the list was current at `as_of`; returns whether that is later than known before.
     fn note_current(&mut self, now: Instant, as_of: Instant) -> bool {
         if self.as_of.is_some_and(|known| known >= as_of) {
             return false;
         }
         if self.as_of.is_some_and(|known| as_of.duration_since(known) > OUTAGE_AGE) {
-            self.keep_missing_until = Some(now + RETURN_GRACE);
+            self.keep_missing_until = Some(now + MISSING_GRACE);
         }
         self.as_of = Some(as_of);
         true
     }
 
-    /// Notes that the list in force was still current at `as_of`, in an era of the store, without looking at its servers:
-    /// nearly all that others tell is that nothing has changed, several times a second. Returns whether that is enough;
-    /// else the list is to be observed.
+    /// Notes that the list was still current at `as_of`, in an era of the store, without a scan of its servers:
+    /// nearly all updates from other instances, several a second, are that nothing has changed. Returns `false` if
+    /// the list must be applied instead.
     pub fn confirm(&mut self, now: Instant, as_of: Instant, era: StoreEra) -> bool {
         let unsettled = self.settled_at.is_some_and(|at| now < at);
         if era != self.era || unsettled || self.differs {
@@ -223,8 +223,8 @@
         true
     }
 
-    /// Notes that the entry of a server has been overwritten by something that is not understood: the server is
-    /// missing from the next list, and is not kept.
+    /// Notes that the entry of a server was overwritten by a value that cannot be parsed: the server is missing from
+    /// the next list and must not be kept.
     pub fn mark_overwritten(&mut self, key: &str) {
         let known = self.servers.values_mut().find(|known| known.id.server.as_str() == key);
         if let Some(server) = known {
@@ -233,24 +233,25 @@
         }
     }
 
-    /// Forgets one server until a list shows another entry with its address or id again.
+    /// Removes a server until a list that contains it is applied.
     pub fn remove(&mut self, id: &Incarnation) {
         self.servers.shift_remove(id);
         self.differs = true;
     }
 
-    /// Returns whether a list has servers of a version that no server of their service in force has.
+    /// Returns whether `list` has a server of a version that no current server of its service has.
     pub fn is_missing_version_of(&self, list: &[BackendServer]) -> bool {
         let known: HashSet<_> = self.servers().map(|s| (&s.service, &s.version)).collect();
         list.iter().any(|server| !known.contains(&(&server.service, &server.version)))
     }
 
-    /// Returns the servers in force.
+    /// Returns the current servers.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<BackendServer>> {
         self.servers.values()
     }
 
-    /// Has the servers of a zone count as cold: its return may have left them so, and their entries do not say it yet.
+    /// Treats the servers of a zone as cold: they may be when the zone comes back, and their entries do not state it
+    /// yet.
     pub fn assume_cold(
         &mut self,
         now: Instant,
@@ -265,12 +266,12 @@
         }
     }
 
-    /// Returns the servers that are or were cold, and until when.
+    /// Returns the servers that are or were cold, with the time at which that ends.
     pub fn cold(&self) -> impl Iterator<Item = (&Incarnation, Instant)> {
         self.cold.iter().map(|(id, until)| (id, *until))
     }
 
-    /// Returns when the list in force was current.
+    /// Returns when the list was last current.
     pub fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
--- a/src/routing/server_list.rs
+++ b/src/routing/server_list.rs
@@ -1,4 +1,4 @@
-//! Lists of backend servers as they are passed from instance to instance: only what changed.
+//! Updates of the list of backend servers, as one instance sends them to another: mostly the changes only.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -14,50 +14,50 @@
     utils::deflate,
 };
 
-/// Lists remembered; an instance that is further behind gets the whole list. Lists change about
-/// once a second at the most, and instances ask several times as often.
-const HISTORY: usize = 16;
+/// Number of lists kept; an instance that is further behind receives the whole list. Lists change at most about once a
+/// second, and instances ask several times as often.
+const LISTS_MAX: usize = 16;
 
-/// A list.
+/// A list of backend servers.
 pub type ServerList = Arc<Vec<BackendServer>>;
 
-/// Identity of a list: a hash of what it says.
+/// Identity of a list: a hash of its contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ListVersion(pub u64);
 
-/// What has changed since another list.
+/// What turns one list into a later one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ServerListUpdate {
-    /// Nothing.
+    /// Nothing has changed.
     Same,
-    /// Some entries.
+    /// Some entries have changed.
     Changes {
         /// Entries that are new or changed.
         put: Vec<BackendServer>,
-        /// Entries that are gone.
+        /// Entries that are removed.
         removed: Vec<Incarnation>,
     },
     /// The whole list.
     Whole(Arc<PackedList>),
 }
 
-/// A whole list as it travels, packed once for all that ask; 3,000 servers take 1.1 to 1.4 MB as the store sends
-/// them.
+/// A whole list as it is sent, compressed once for all instances that request it. Uncompressed, as the store sends
+/// them, 3,000 servers take 1.1 to 1.4 MB.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PackedList {
     #[serde(with = "serde_bytes")]
     bytes: Vec<u8>,
 }
 
-/// Why a list cannot be used.
+/// Why an update cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerListError {
-    /// It does not decompress.
-    #[error("the list of servers cannot be unpacked: {0}; it is read from the store")]
+    /// It cannot be decompressed.
+    #[error("cannot decompress the server list: {0}; reading it from the store")]
     Packing(#[from] std::io::Error),
-    /// It is from an instance whose messages differ.
-    #[error("the list of servers is not understood: {0}; it is read from the store")]
+    /// It comes from an instance of a build with another encoding.
+    #[error("cannot decode the server list: {0}; reading it from the store")]
     Encoding(#[from] rmp_serde::decode::Error),
 }
 
@@ -65,21 +65,21 @@
 #[derive(Debug, Default)]
 pub struct ListHistory {
     lists: VecDeque<(ListVersion, ServerList)>,
-    /// The newest list, packed when it is first asked for.
+    /// The newest list, packed when it is first requested.
     packed: Option<Arc<PackedList>>,
 }
 
 impl PackedList {
-    /// Packs a list.
+    /// Encodes and compresses a list.
     pub fn pack(list: &[BackendServer]) -> PackedList {
         PackedList { bytes: deflate::pack(&encode(&list)) }
     }
 
-    /// Unpacks the list.
+    /// Decompresses and decodes the list.
     ///
     /// # Errors
     ///
-    /// The bytes are no list, or one of another version of the program.
+    /// The bytes are no list, or one of a build with another encoding.
     pub fn unpack(&self) -> Result<Vec<BackendServer>, ServerListError> {
         Ok(decode(&deflate::unpack(&self.bytes)?)?)
     }
@@ -101,7 +101,7 @@
 }
 
 impl ListHistory {
-    /// Takes the newest list.
+    /// Adds the newest list.
     pub fn push(&mut self, list: Vec<BackendServer>) {
         let version = ListVersion::of(&list);
         if self.lists.back().is_some_and(|(known, _)| *known == version) {
@@ -109,7 +109,7 @@
         }
         self.packed = None;
         self.lists.push_back((version, Arc::new(list)));
-        if self.lists.len() > HISTORY {
+        if self.lists.len() > LISTS_MAX {
             self.lists.pop_front();
         }
     }
@@ -119,7 +119,7 @@
         self.lists.back()
     }
 
-    /// Returns what has changed since `version`.
+    /// Returns what turns the list of `version` into the newest one.
     pub fn since(&mut self, version: Option<ListVersion>) -> ServerListUpdate {
         let Some((newest, list)) = self.lists.back() else { return ServerListUpdate::Same };
         if version == Some(*newest) {
@@ -141,7 +141,7 @@
 }
 
 impl ServerListUpdate {
-    /// Returns the list that `old` becomes.
+    /// Returns the list that results from applying the update to `old`.
     ///
     /// # Errors
     ///
@@ -151,10 +151,10 @@
             ServerListUpdate::Same => old.to_vec(),
             ServerListUpdate::Whole(list) => list.unpack()?,
             ServerListUpdate::Changes { put, removed } => {
-                let stays = |s: &&BackendServer| {
+                let is_kept = |s: &&BackendServer| {
                     !removed.contains(&s.id) && !put.iter().any(|changed| changed.id == s.id)
                 };
-                let mut list: Vec<BackendServer> = old.iter().filter(stays).cloned().collect();
+                let mut list: Vec<BackendServer> = old.iter().filter(is_kept).cloned().collect();
                 list.extend(put);
                 list
             }
