--- a/src/routing/intent_watch.rs
+++ b/src/routing/intent_watch.rs
@@ -1,96 +1,107 @@
-//! How sure an instance is that its intent is the newest, and what it does next to be surer.
+//! How recently an instance's active intent was confirmed to be the newest, and what the instance does next to confirm
+//! it again.
 //!
-//! What is known is a moment at which the intent in force was the newest in the store, whoever looked: this
-//! instance or one that tells it. Replies about other tables say nothing of the intent.
+//! A confirmation is a time at which the active intent was the newest in the store, read by this instance or by one
+//! that sent it an update. Replies of the store about other tables confirm nothing about the intent.
 
 use std::time::{Duration, Instant};
 
 use super::{FleetPosition, StoreVersion, store_version::SETTLING_TIME};
 
-/// Parts of the operator's bound after which the first and the last instance of the fleet read the store
-/// themselves if no other tells them anything newer. One after the other, so that the first can tell the
-/// rest; the last still has the time of a read within the bound.
-const READ_AGE: (f64, f64) = (0.5, 0.7);
+/// Age of the confirmation, as a fraction of the operator's bound, at which the first instance by rank reads the store
+/// itself. The ages of the others lie between this and [`READ_AGE_LAST`], so that the first can update the rest.
+const READ_AGE_FIRST: f64 = 0.5;
 
-/// Times the pause between two exchanges that news may take from the instance that reads: the pause is drawn
-/// up to a tenth longer.
-const EXCHANGES: f64 = 1.1;
+/// The same for the last instance, which still has the time of a read within the bound.
+const READ_AGE_LAST: f64 = 0.7;
 
-/// Time for the calls themselves, in which nobody is surer: many round trips.
-const CALLS: Duration = Duration::from_millis(100);
+/// Longest time between two exchanges, as a multiple of the exchange period, which is drawn up to a tenth longer.
+const EXCHANGE_JITTER_MAX: f64 = 1.1;
 
-/// Shortest and longest wait of one call for changes. A wait ends before others need to read for themselves;
-/// a longer one would find a connection that went silent too late.
-const WAIT: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
+/// Allowance for the calls themselves, during which the confirmation ages: many round trips.
+const CALL_TIME: Duration = Duration::from_millis(100);
 
-/// Least pause between two calls to the store: a storm of changes costs a few calls a second.
-const PACE: Duration = Duration::from_millis(200);
+/// Shortest wait of one call that polls for changes.
+const POLL_WAIT_MIN: Duration = Duration::from_millis(200);
 
-/// Time that a change takes to all instances when each hands it on: 0.3 s measured with 62 of them, and one step
-/// more with 302; and the part of the operator's bound that it may take. Then an instance that was missed asks
-/// others, then the store.
-const HAND_ON: (Duration, f64) = (Duration::from_millis(500), 0.25);
+/// Longest such wait: with a longer one an unresponsive connection would be detected too late. The wait ends before
+/// other instances have to read the store themselves.
+const POLL_WAIT_MAX: Duration = Duration::from_secs(2);
 
-/// Pause after a question to others that brought nothing.
-const PAUSE_ASKED: Duration = Duration::from_millis(100);
+/// Shortest interval between two calls to the store, so that a burst of changes costs only a few calls a second.
+const CALL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// First pause after a failed call and a question to other instances, doubled at each further time, and the longest:
-/// calls that the store refuses cost it as much as others. The one that reads for others keeps to the first, so that
-/// the store's return is noticed as soon as before.
-const PAUSE_FAILED: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(2));
+/// Time in which a relayed change reaches all instances: 0.3 s with 62 of them, and one more hop with 302. An instance
+/// that it has not reached by then asks others, then the store.
+const RELAY_TIME: Duration = Duration::from_millis(500);
 
-/// That the intent in force was the newest.
+/// Largest fraction of the operator's bound that is spent waiting for a relayed change.
+const RELAY_FRACTION_MAX: f64 = 0.25;
+
+/// Delay after a question to other instances that brought no newer intent.
+const ASK_DELAY: Duration = Duration::from_millis(100);
+
+/// First delay after a failed call and a question to other instances, doubled with each further failure: calls that the
+/// store rejects cost it as much as others. The delay of the aggregator stays at this value, so that it notices without
+/// further delay that the store is available again.
+const RETRY_DELAY_FIRST: Duration = Duration::from_millis(400);
+
+/// Longest such delay.
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(2);
+
+/// A time at which the active intent was the newest in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Confirmation {
-    /// At this moment.
+    /// When it was the newest.
     pub at: Instant,
-    /// In the store of this version.
+    /// Version of the store at that time.
     pub store: StoreVersion,
 }
 
-/// What an instance is to the others.
+/// Role of an instance in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchRole {
-    /// Whether others turn to it for news.
+    /// Whether other instances rely on its reads.
     pub reader: bool,
-    /// Its place among all instances.
+    /// Its rank among all instances.
     pub position: FleetPosition,
-    /// Pause between two exchanges.
+    /// Period between two exchanges.
     pub exchange_period: Duration,
 }
 
-/// What to do next.
+/// What an instance does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchStep {
-    /// Nothing for so long.
+    /// Do nothing for that long.
     Pause(Duration),
-    /// Nothing for so long, unless a newer version is told of.
+    /// Do nothing for that long, or until a newer version is reported.
     Wait(Duration),
-    /// Read the intent whole.
+    /// Read the whole intent.
     Read,
-    /// Ask the store what has changed since; wait so long for it.
+    /// Poll the store for changes.
     PollChanges {
-        /// Version of the store up to which everything is known.
+        /// Version of the store up to which all changes have been read.
         after: StoreVersion,
         /// Longest wait for a change.
         wait: Duration,
     },
-    /// Ask another instance.
+    /// Ask other instances.
     AskPeers,
 }
 
-/// A newer version than the one in force is known to exist.
+/// A version newer than the active one that is known to exist.
 #[derive(Debug, Clone, Copy)]
 struct NewerVersion {
-    newest: u64,
+    version: u64,
+    /// When the first version newer than the active one was reported.
     since: Instant,
-    /// Whether the log has been told.
-    is_reported: bool,
-    /// Whether others were asked since the store was.
-    asked: bool,
+    /// Whether the delay has been logged.
+    is_logged: bool,
+    /// Whether other instances were asked after the last call to the store.
+    peers_asked: bool,
 }
 
-/// What is known of the intent in force.
+/// Tracks the confirmation of the active intent and the calls to the store.
 #[derive(Debug)]
 pub struct IntentWatch {
     bound: Duration,
@@ -98,16 +109,16 @@
     confirmed: Option<Confirmation>,
     history_expired: bool,
     newer: Option<NewerVersion>,
-    ask_next: bool,
-    /// Pause after the next failed call.
-    pause_failed: Duration,
+    ask_peers_next: bool,
+    /// Delay after the next failed call.
+    retry_delay: Duration,
     not_before: Option<Instant>,
-    /// Until when a newer intent may have been lost with the store's return, and be written again.
+    /// Until when operators may write again a newer intent that a restore of the store lost.
     unsettled_until: Option<Instant>,
 }
 
 impl IntentWatch {
-    /// Returns the watch of an instance that knows nothing; changes are to be in force within `bound`.
+    /// Returns the watch of an instance without an intent; changes must be active within `bound`.
     pub fn new(bound: Duration) -> IntentWatch {
         IntentWatch {
             bound,
@@ -115,54 +126,54 @@
             confirmed: None,
             history_expired: false,
             newer: None,
-            ask_next: false,
-            pause_failed: PAUSE_FAILED.0,
+            ask_peers_next: false,
+            retry_delay: RETRY_DELAY_FIRST,
             not_before: None,
             unsettled_until: None,
         }
     }
 
-    /// Returns what is to be done next.
+    /// Returns what to do next.
     pub fn next(&self, now: Instant, role: &WatchRole) -> WatchStep {
         let pause = self.not_before.map(|at| at.saturating_duration_since(now));
         if let Some(pause) = pause.filter(|pause| !pause.is_zero()) {
             return WatchStep::Pause(pause);
         }
-        if self.ask_next {
+        if self.ask_peers_next {
             return WatchStep::AskPeers;
         }
-        if let Some(newer) = self.newer.filter(|newer| !newer.asked) {
-            let patience = HAND_ON.0.min(self.bound.mul_f64(HAND_ON.1));
-            let left = (newer.since + patience).saturating_duration_since(now);
+        if let Some(newer) = self.newer.filter(|newer| !newer.peers_asked) {
+            let relay_time = RELAY_TIME.min(self.bound.mul_f64(RELAY_FRACTION_MAX));
+            let left = (newer.since + relay_time).saturating_duration_since(now);
             return if left.is_zero() { WatchStep::AskPeers } else { WatchStep::Pause(left) };
         }
         let (Some(age), false) = (self.age(now), self.history_expired) else {
             return WatchStep::Read;
         };
-        let own = self.read_age(role.position);
-        let due = self.newer.is_some() || role.reader || age >= own;
+        let read_age = self.read_age(role.position);
+        let due = self.newer.is_some() || role.reader || age >= read_age;
         if !due {
-            return WatchStep::Wait(own.saturating_sub(age));
+            return WatchStep::Wait(read_age.saturating_sub(age));
         }
         let after = self.confirmed.map_or(StoreVersion::default(), |confirmed| confirmed.store);
-        let waits = role.reader && self.newer.is_none();
-        let wait = if waits { self.wait(role).saturating_sub(age) } else { Duration::ZERO };
+        let may_wait = role.reader && self.newer.is_none();
+        let wait = if may_wait { self.poll_wait(role).saturating_sub(age) } else { Duration::ZERO };
         WatchStep::PollChanges { after, wait }
     }
 
-    /// Notes the version in force.
+    /// Notes the active version.
     pub fn set_active(&mut self, version: u64) {
         if version > self.version {
             self.unsettled_until = None;
         }
         self.version = self.version.max(version);
-        if self.newer.is_some_and(|newer| newer.newest <= self.version) {
+        if self.newer.is_some_and(|newer| newer.version <= self.version) {
             self.newer = None;
         }
     }
 
-    /// Notes that the intent in force was the newest. What is told of an earlier era of the store says nothing of
-    /// this one.
+    /// Notes that the active intent was the newest in the store. Confirmations from an earlier era of the store do not
+    /// apply to the current one.
     pub fn confirm(&mut self, confirmed: Confirmation) {
         let known = *self.confirmed.get_or_insert(confirmed);
         if confirmed.store.era < known.store.era {
@@ -170,125 +181,127 @@
         }
         if confirmed.store.era > known.store.era {
             self.unsettled_until = Some(confirmed.at + SETTLING_TIME);
-            // Whoever has the newer version in force tells of it again; if nobody does, it is lost.
+            // An instance on which the newer version is active reports it again; if there is none, the version is lost.
             self.newer = None;
         }
         let at = known.at.max(confirmed.at);
         self.confirmed = Some(Confirmation { at, store: known.store.max(confirmed.store) });
     }
 
-    /// Returns whether nothing newer can have been lost with the store's return.
+    /// Returns whether no restore of the store can still hide a newer intent.
     pub fn is_settled(&self, now: Instant) -> bool {
         self.unsettled_until.is_none_or(|until| now >= until)
     }
 
-    /// Notes that all of the store up to `store` was seen, whether it was understood or not.
+    /// Notes that all changes up to `store` were read, including any that could not be parsed.
     pub fn note_store_version(&mut self, store: StoreVersion) {
         if let Some(known) = &mut self.confirmed {
             known.store = known.store.max(store);
         }
     }
 
-    /// Notes that there is `version`; returns whether that is news.
+    /// Notes that `version` exists; returns whether it is newer than any version known before.
     pub fn note_version(&mut self, now: Instant, version: u64) -> bool {
         if version <= self.version {
             return false;
         }
         let since = self.newer.map_or(now, |newer| newer.since);
-        if self.newer.is_some_and(|newer| newer.newest >= version) {
+        if self.newer.is_some_and(|newer| newer.version >= version) {
             return false;
         }
-        let asked = self.newer.is_some_and(|newer| newer.asked);
-        self.newer = Some(NewerVersion { newest: version, since, is_reported: false, asked });
-        // Whatever the store does, others can tell what is newer.
-        self.not_before = self.not_before.map(|at| at.min(now + PAUSE_FAILED.0));
+        let peers_asked = self.newer.is_some_and(|newer| newer.peers_asked);
+        self.newer = Some(NewerVersion { version, since, is_logged: false, peers_asked });
+        // Other instances can provide the newer version even if the store is unavailable.
+        self.not_before = self.not_before.map(|at| at.min(now + RETRY_DELAY_FIRST));
         true
     }
 
     /// Notes that the store was read.
     pub fn store_read(&mut self, now: Instant) {
         self.history_expired = false;
-        self.pause_failed = PAUSE_FAILED.0;
-        self.not_before = Some(now + PACE);
-        self.ask_again();
+        self.retry_delay = RETRY_DELAY_FIRST;
+        self.not_before = Some(now + CALL_INTERVAL);
+        self.allow_asking();
     }
 
-    /// Notes that the store could not be read: others are asked next.
+    /// Notes that the store could not be read: other instances are asked next.
     pub fn store_failed(&mut self) {
-        self.ask_next = true;
-        self.ask_again();
+        self.ask_peers_next = true;
+        self.allow_asking();
     }
 
-    /// Notes that the store no longer tells what has changed: it is read whole.
+    /// Notes that the store no longer keeps the changes since the last poll: the whole intent is read next.
     pub fn history_expired(&mut self) {
         self.history_expired = true;
     }
 
-    /// Notes that others were asked, whatever they said.
+    /// Notes that other instances were asked, whatever their replies.
     pub fn peers_asked(&mut self, now: Instant, role: &WatchRole) {
-        let pause = if self.ask_next { self.pause_failed } else { PAUSE_ASKED };
-        self.not_before = Some(now + pause);
-        if self.ask_next && !role.reader {
-            self.pause_failed = (self.pause_failed * 2).min(PAUSE_FAILED.1);
+        let delay = if self.ask_peers_next { self.retry_delay } else { ASK_DELAY };
+        self.not_before = Some(now + delay);
+        if self.ask_peers_next && !role.reader {
+            self.retry_delay = (self.retry_delay * 2).min(RETRY_DELAY_MAX);
         }
-        self.ask_next = false;
+        self.ask_peers_next = false;
         if let Some(newer) = &mut self.newer {
-            newer.asked = true;
+            newer.peers_asked = true;
         }
     }
 
-    fn ask_again(&mut self) {
+    fn allow_asking(&mut self) {
         if let Some(newer) = &mut self.newer {
-            newer.asked = false;
+            newer.peers_asked = false;
         }
     }
 
-    /// Returns when the intent in force was last known to be the newest.
+    /// Returns the latest confirmation.
     pub fn confirmed(&self) -> Option<Confirmation> {
         self.confirmed
     }
 
-    /// Returns how long ago the intent in force was known to be the newest.
+    /// Returns the time since the latest confirmation.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.confirmed.map(|confirmed| now.saturating_duration_since(confirmed.at))
     }
 
     /// Returns the newest version that is known to exist.
     pub fn newest(&self) -> u64 {
-        self.newer.map_or(self.version, |newer| newer.newest)
+        self.newer.map_or(self.version, |newer| newer.version)
     }
 
-    /// Returns whether a newer version than the one in force is known to exist.
+    /// Returns whether a version newer than the active one is known to exist.
     pub fn is_outdated(&self) -> bool {
         self.newer.is_some()
     }
 
-    /// Returns for how long a newer version has been known to exist without being in force.
+    /// Returns for how long a version newer than the active one has been known to exist.
     pub fn outdated_for(&self, now: Instant) -> Option<Duration> {
         self.newer.map(|newer| now.saturating_duration_since(newer.since))
     }
 
-    /// Returns how long the instance has been behind, once for each newer version, when that is longer than
-    /// half of the operator's bound.
+    /// Returns how long the active intent has been outdated if that is longer than half of the operator's bound, once
+    /// for each newer version.
     pub fn take_overdue(&mut self, now: Instant) -> Option<Duration> {
         let late = self.bound / 2;
-        let newer = self.newer.as_mut().filter(|newer| !newer.is_reported)?;
+        let newer = self.newer.as_mut().filter(|newer| !newer.is_logged)?;
         let since = now.saturating_duration_since(newer.since);
-        newer.is_reported = since >= late;
-        newer.is_reported.then_some(since)
+        newer.is_logged = since >= late;
+        newer.is_logged.then_some(since)
     }
 
-    /// Returns the age at which an instance reads the store itself.
+    /// Returns the age of the confirmation at which an instance reads the store itself.
     fn read_age(&self, position: FleetPosition) -> Duration {
-        let (first, last) = READ_AGE;
-        let place = position.number as f64 / position.instances.max(1) as f64;
-        self.bound.mul_f64(first + (last - first) * place)
+        let rank = position.number as f64 / position.instances.max(1) as f64;
+        self.bound.mul_f64(READ_AGE_FIRST + (READ_AGE_LAST - READ_AGE_FIRST) * rank)
     }
 
-    /// Returns how long the instance that reads for the others waits for changes, so that what it tells is
-    /// never as old as what makes them read for themselves.
-    fn wait(&self, role: &WatchRole) -> Duration {
-        let spent = PACE + CALLS + role.exchange_period.mul_f64(EXCHANGES);
-        self.bound.mul_f64(READ_AGE.0).saturating_sub(spent).clamp(WAIT.0, WAIT.1)
+    /// Returns how long the aggregator waits for changes in one poll, such that its confirmation reaches the others
+    /// before they have to read the store themselves.
+    fn poll_wait(&self, role: &WatchRole) -> Duration {
+        let elapsed = CALL_INTERVAL + CALL_TIME + role.exchange_period.mul_f64(EXCHANGE_JITTER_MAX);
+        self.bound
+            .mul_f64(READ_AGE_FIRST)
+            .saturating_sub(elapsed)
+            .clamp(POLL_WAIT_MIN, POLL_WAIT_MAX)
     }
 }
--- a/src/routing/roster_watch.rs
+++ b/src/routing/roster_watch.rs
@@ -1,92 +1,97 @@
-//! When an instance reads the list of backend servers itself, and when the news of others will do.
+//! When an instance reads the list of backend servers itself, and when the updates of others suffice.
 //!
-//! One instance reads the list for all others at a pace. The others read it only when what they have been told has
-//! grown old: the one that they turn to may be cut off, killed or standing still, and the next one that they turn
-//! to has not read it either.
+//! The aggregator reads the list periodically on behalf of all others. The others read it only when their list is too
+//! old: the aggregator may be cut off, killed or suspended, and its successor has not read the list either.
 
 use std::time::{Duration, Instant};
 
 use super::FleetPosition;
 
-/// Part of the time in which a leaving server must be acted on that passes between two reads of
-/// the servers' list; with the longest pause between two exchanges and the calls themselves, what the others are
-/// told is then younger than they wait for.
-const PACE: f64 = 0.2;
+/// Period between two reads of the aggregator, as a fraction of the bound within which a leaving server must be acted
+/// on. Even with the longest period between two exchanges and the calls themselves, the list that the others receive
+/// is then not old enough for them to read it.
+const READ_PERIOD: f64 = 0.2;
 
-/// Parts of that time at which the first and the last of all instances no longer wait for news from others and
-/// read the store themselves, so that not all do it at once. The rest is for a read that is lost and made again
-/// (0.9 s), and for requests on their way: 295 instances that lose the one they turn to have a list of 0.61 of
-/// the time at the most, and had one of 0.73 (simulated).
-const READ_AGE: (f64, f64) = (0.5, 0.6);
+/// Age of the list, as a fraction of the bound, at which the first instance by rank reads the store itself. The ages of
+/// the others lie between this and [`READ_AGE_LAST`], so that not all read at once.
+const READ_AGE_FIRST: f64 = 0.5;
 
-/// Part of that time at which an instance asks others for younger news before it reads the store: in a large fleet the
-/// news of the one that reads come as late as they may, and lists are read since they are
-/// some tenths of a second too old: 0.316 GB of the store on a day with 296 instances and 2,964 servers, 0.105 GB with it.
+/// The same for the last instance. The rest of the bound is for a read that is lost and repeated (0.9 s), and for
+/// requests in flight. In a simulation of 295 instances that lose their aggregator, the age of the list reached at
+/// most 0.61 of the bound, where it had reached 0.73 before.
+const READ_AGE_LAST: f64 = 0.6;
+
+/// Age of the list, as a fraction of the bound, at which an instance asks others for a newer list before it reads the
+/// store. In a large fleet the aggregator's updates arrive as late as they may, so that lists which are only some
+/// tenths of a second too old would be read: 0.316 GB from the store on a day with 296 instances and 2,964 servers,
+/// 0.105 GB with the questions to others.
 const ASK_AGE: f64 = 0.4;
 
-/// First pause before the store is tried again when it cannot be read, doubled at each further time, and the
-/// longest: calls that the store refuses cost it as much as others.
-const PAUSE_FAILED: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
+/// First delay before a failed read of the store is retried, doubled with each further failure: calls that the store
+/// rejects cost it as much as others.
+const RETRY_DELAY_FIRST: Duration = Duration::from_millis(250);
+
+/// Longest such delay.
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(2);
 
-/// Part of that time between two questions to others.
-const ASK_PACE: f64 = 0.1;
+/// Period between two questions to other instances, as a fraction of the bound.
+const ASK_PERIOD: f64 = 0.1;
 
-/// Returns the pause between two reads of the instance that reads for others, where a leaving server is to be acted
-/// on within `bound`.
+/// Returns the period between two reads of the aggregator, where a leaving server must be acted on within `bound`.
 pub fn read_period(bound: Duration) -> Duration {
-    bound.mul_f64(PACE)
+    bound.mul_f64(READ_PERIOD)
 }
 
-/// What is next.
+/// What an instance does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RosterStep {
-    /// Nothing, for that long.
+    /// Wait for that long.
     Wait(Duration),
-    /// The store is read.
+    /// Read the store.
     Read,
-    /// Other instances are asked, since the store could not be read.
+    /// Ask other instances, because the store could not be read or the list is about to be too old.
     AskPeers,
 }
 
-/// What an instance is to the others.
+/// Role of an instance in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RosterRole {
-    /// Whether others rely on it, or it has nobody to rely on.
+    /// Whether other instances rely on its reads, or it has none to rely on.
     pub reader: bool,
-    /// Its place among all.
+    /// Its rank among all instances.
     pub position: FleetPosition,
 }
 
-/// The watch over the age of the list.
+/// Tracks the age of the list and the reads of the store.
 #[derive(Debug)]
 pub struct RosterWatch {
-    /// Time within which a leaving server must be acted on.
+    /// Bound within which a leaving server must be acted on.
     bound: Duration,
-    /// When the last read began.
+    /// When the last successful read started.
     read_at: Option<Instant>,
-    /// When others were last asked.
+    /// When other instances were last asked.
     asked_at: Option<Instant>,
-    /// What is known of a store that cannot be read.
+    /// Set while the store cannot be read.
     failing: Option<Failing>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Failing {
-    /// When the store is tried again.
+    /// When the read is retried.
     retry_at: Instant,
-    /// Pause that led there.
-    pause: Duration,
-    /// When others are asked next.
+    /// Delay before that retry.
+    delay: Duration,
+    /// When other instances are asked next.
     ask_at: Instant,
 }
 
 impl RosterWatch {
-    /// Returns the watch of an instance that knows nothing; a leaving server is to be acted on within `bound`.
+    /// Returns the watch of an instance without a list; a leaving server must be acted on within `bound`.
     pub fn new(bound: Duration) -> RosterWatch {
         RosterWatch { bound, read_at: None, asked_at: None, failing: None }
     }
 
-    /// Returns what is next, where the list was current at `as_of`.
+    /// Returns what to do next if the list was last current at `as_of`.
     pub fn next(&self, now: Instant, role: &RosterRole, as_of: Option<Instant>) -> RosterStep {
         let due = self.due(role, as_of).unwrap_or(now);
         if now < due {
@@ -106,50 +111,50 @@
         }
     }
 
-    /// Returns when the list should be read next.
+    /// Returns when the next read is due.
     fn due(&self, role: &RosterRole, as_of: Option<Instant>) -> Option<Instant> {
         if role.reader {
-            // One that others have just turned to reads at once, unless it knows what was read lately.
+            // A new aggregator reads at once unless its list is recent.
             return self.read_at.max(as_of).map(|at| at + read_period(self.bound));
         }
         as_of.map(|as_of| as_of + self.read_age(role.position))
     }
 
-    /// Returns when others are asked for younger news.
+    /// Returns when other instances are asked for a newer list.
     fn ask_at(&self, role: &RosterRole, as_of: Option<Instant>) -> Option<Instant> {
         if role.reader || role.position.instances <= 1 {
             return None;
         }
         let aged = as_of? + self.bound.mul_f64(ASK_AGE);
-        let pause = self.bound.mul_f64(ASK_PACE);
-        Some(self.asked_at.map_or(aged, |asked| aged.max(asked + pause)))
+        let period = self.bound.mul_f64(ASK_PERIOD);
+        Some(self.asked_at.map_or(aged, |asked| aged.max(asked + period)))
     }
 
-    /// Returns the age at which an instance that others do not rely on reads for itself.
+    /// Returns the age of the list at which an instance that is not the aggregator reads the store.
     fn read_age(&self, position: FleetPosition) -> Duration {
-        let (first, last) = READ_AGE;
-        let place = position.number as f64 / position.instances.max(1) as f64;
-        self.bound.mul_f64(first + (last - first) * place)
+        let rank = position.number as f64 / position.instances.max(1) as f64;
+        self.bound.mul_f64(READ_AGE_FIRST + (READ_AGE_LAST - READ_AGE_FIRST) * rank)
     }
 
-    /// Notes that the store was read, which began at `began`.
-    pub fn store_read(&mut self, began: Instant) {
-        self.read_at = Some(began);
+    /// Notes a successful read of the store that started at `started_at`.
+    pub fn store_read(&mut self, started_at: Instant) {
+        self.read_at = Some(started_at);
         self.failing = None;
     }
 
-    /// Notes that the store could not be read: others are asked next.
+    /// Notes that the store could not be read: other instances are asked next.
     pub fn store_failed(&mut self, now: Instant) {
-        let (first, longest) = PAUSE_FAILED;
-        let pause = self.failing.map_or(first, |failing| (failing.pause * 2).min(longest));
-        self.failing = Some(Failing { retry_at: now + pause, pause, ask_at: now });
+        let delay = self
+            .failing
+            .map_or(RETRY_DELAY_FIRST, |failing| (failing.delay * 2).min(RETRY_DELAY_MAX));
+        self.failing = Some(Failing { retry_at: now + delay, delay, ask_at: now });
     }
 
-    /// Notes that others were asked, whatever they said.
+    /// Notes that other instances were asked, whatever their replies.
     pub fn peers_asked(&mut self, now: Instant) {
         self.asked_at = Some(now);
         if let Some(failing) = &mut self.failing {
-            failing.ask_at = now + self.bound.mul_f64(ASK_PACE);
+            failing.ask_at = now + self.bound.mul_f64(ASK_PERIOD);
         }
     }
 }
