--- a/tests/suite/budget_fleet.rs
+++ b/tests/suite/budget_fleet.rs
@@ -12,7 +12,7 @@
     test_runner::{Config, RngSeed, TestRunner},
 };
 
-use crate::budget_drawn::{SEEDS, STEP, STEPS, most_beyond};
+use crate::budget_random::{SEEDS, STEP, STEPS, most_beyond};
 
 /// Requests of which a share fails, and each of these asks for one repeat.
 #[derive(Debug, Clone)]
