--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the intent say, how they travel, and that all instances are reached.
+//! Changes of the intent: their contents, their encoding, and their relay to all instances.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -40,9 +40,9 @@
     }
 }
 
-/// What an intent is drawn from: routes with their services, keys with their teams, and the rest.
+/// Random contents of an intent: routes with their services, keys with their teams, and the rest.
 #[derive(Debug, Clone)]
-struct Drawn {
+struct Contents {
     routes: BTreeMap<u8, u8>,
     keys: BTreeMap<u8, u8>,
     services: BTreeSet<u8>,
@@ -50,12 +50,12 @@
     needs_key: bool,
 }
 
-fn drawn() -> impl Strategy<Value = Drawn> {
+fn contents() -> impl Strategy<Value = Contents> {
     let routes = prop::collection::btree_map(0..12u8, 0..3u8, 0..12);
     let keys = prop::collection::btree_map(0..8u8, 0..3u8, 0..8);
     let services = prop::collection::btree_set(0..4u8, 0..4);
     (routes, keys, services, 1..5usize, any::<bool>()).prop_map(
-        |(routes, keys, services, head_bytes, needs_key)| Drawn {
+        |(routes, keys, services, head_bytes, needs_key)| Contents {
             routes,
             keys: if needs_key { keys } else { BTreeMap::new() },
             services,
@@ -65,19 +65,19 @@
     )
 }
 
-/// Some have homes, some have none.
+/// Even numbers have home regions, odd ones none.
 fn homes(number: u8) -> HomeRegions {
     let region = |number: u8| format!("r{number}").parse().expect("a name");
     HomeRegions::named((number.is_multiple_of(2)).then(|| region(number)))
 }
 
-fn build(version: u64, drawn: &Drawn) -> Intent {
+fn build(version: u64, contents: &Contents) -> Intent {
     let team = |number: &u8| Team {
         name: format!("team-{number}").parse().expect("a name"),
         priority: (*number > 0).then_some(*number),
         homes: homes(*number),
     };
-    let keys = drawn.keys.iter().map(|(key, holder)| (team(holder), vec![format!("key-{key}")]));
+    let keys = contents.keys.iter().map(|(key, holder)| (team(holder), vec![format!("key-{key}")]));
     let spec = |number: &u8| ServiceSpec {
         max_connections: 10,
         engine: *number > 1,
@@ -85,15 +85,15 @@
     };
     Intent {
         version,
-        routes: RouteTable::new(drawn.routes.iter().map(|(&number, &s)| route(number, s))),
-        services: drawn.services.iter().map(|n| (name(&format!("s{n}")), spec(n))).collect(),
+        routes: RouteTable::new(contents.routes.iter().map(|(&number, &s)| route(number, s))),
+        services: contents.services.iter().map(|n| (name(&format!("s{n}")), spec(n))).collect(),
         limits: CallerLimits {
-            head_bytes: drawn.head_bytes,
+            head_bytes: contents.head_bytes,
             body_bytes: 1,
             head_time: Duration::from_secs(1),
             idle_time: Duration::from_millis(2),
         },
-        teams: Teams::new(drawn.needs_key.then(|| keys.collect())),
+        teams: Teams::new(contents.needs_key.then(|| keys.collect())),
     }
 }
 
@@ -101,7 +101,7 @@
     Arc::new(PackedChange::pack(&IntentChange::between(old, new)))
 }
 
-/// Applies changes one after the other.
+/// Applies changes in order.
 fn apply(intent: &Intent, changes: &[Arc<PackedChange>]) -> Intent {
     changes.iter().fold(intent.clone(), |intent, change| {
         change.unpack().expect("it was packed").apply(&intent).expect("it is of this version")
@@ -121,9 +121,9 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_change_turns_the_version_before_into_the_one_after(all in prop::collection::vec(drawn(), 2..9)) {
+    fn changes_turn_any_earlier_version_into_the_newest(all in prop::collection::vec(contents(), 2..9)) {
         let versions: Vec<Intent> =
-            all.iter().enumerate().map(|(i, drawn)| build(3 * i as u64 + 1, drawn)).collect();
+            all.iter().enumerate().map(|(i, contents)| build(3 * i as u64 + 1, contents)).collect();
         let newest = versions.last().expect("one");
         let mut history = IntentHistory::default();
         for pair in versions.windows(2) {
@@ -133,28 +133,28 @@
             let changes = history.since(known.version, newest);
             prop_assert_eq!(&apply(known, &changes), newest, "from version {}", known.version);
         }
-        // One that skipped versions has others between: it gets all of the newest.
-        let elsewhere = build(2, &all[0]);
-        prop_assert_eq!(&apply(&elsewhere, &history.since(2, newest)), newest);
+        // An instance with a version that the history does not contain receives the whole newest intent.
+        let unknown = build(2, &all[0]);
+        prop_assert_eq!(&apply(&unknown, &history.since(2, newest)), newest);
     }
 
     #[test]
-    fn all_that_answer_are_reached_and_none_that_was_handed_it_gets_it_twice(
+    fn an_update_reaches_each_responsive_instance_exactly_once(
         zones in prop::collection::vec(0..60usize, 1..7),
         seed in any::<u64>(),
-        silent_share in 0.0..0.6f64,
+        unresponsive_share in 0.0..0.6f64,
     ) {
         let instances = fleet(&zones);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let silent: BTreeSet<SocketAddr> =
-            instances.iter().map(|i| i.address).filter(|_| rng.f64() < silent_share).collect();
+        let unresponsive: BTreeSet<SocketAddr> =
+            instances.iter().map(|i| i.address).filter(|_| rng.f64() < unresponsive_share).collect();
         let mut reached = BTreeMap::new();
-        for part in fanout::split_by_zone(instances.iter()) {
-            hand_on(&part, &silent, 1, &mut reached);
+        for group in fanout::split_by_zone(instances.iter()) {
+            relay(&group, &unresponsive, 1, &mut reached);
         }
         for instance in &instances {
             let times = reached.get(&instance.address).map_or(0, |(times, _)| *times);
-            prop_assert_eq!(times, usize::from(!silent.contains(&instance.address)));
+            prop_assert_eq!(times, usize::from(!unresponsive.contains(&instance.address)));
         }
     }
 }
@@ -174,52 +174,55 @@
     instances
 }
 
-/// Hands on as instances do: to the first of a part that answers, which hands on to the rest.
-fn hand_on(
-    part: &[SocketAddr],
-    silent: &BTreeSet<SocketAddr>,
-    step: usize,
+/// Relays as instances do: to the first responsive instance of a group, which relays to the rest.
+fn relay(
+    group: &[SocketAddr],
+    unresponsive: &BTreeSet<SocketAddr>,
+    hop: usize,
     reached: &mut BTreeMap<SocketAddr, (usize, usize)>,
 ) {
-    let Some(first) = part.iter().position(|address| !silent.contains(address)) else { return };
-    let entry = reached.entry(part[first]).or_default();
-    *entry = (entry.0 + 1, step);
-    for next in fanout::split_evenly(part[first + 1..].to_vec()) {
-        hand_on(&next, silent, step + 1, reached);
+    let Some(first) = group.iter().position(|address| !unresponsive.contains(address)) else {
+        return;
+    };
+    let entry = reached.entry(group[first]).or_default();
+    *entry = (entry.0 + 1, hop);
+    for next in fanout::split_evenly(group[first + 1..].to_vec()) {
+        relay(&next, unresponsive, hop + 1, reached);
     }
 }
 
 #[test]
-fn a_few_steps_reach_fleets_of_every_size() {
-    for (zones, steps) in
+fn four_hops_reach_fleets_of_all_supported_sizes() {
+    for (zones, hops) in
         [(&[2, 2, 2, 2][..], 2), (&[16, 14, 17, 15], 3), (&[80, 72, 76, 74], 4), (&[36; 10], 4)]
     {
         let mut reached = BTreeMap::new();
-        let parts = fanout::split_by_zone(fleet(zones).iter());
-        assert!(parts.len() >= fanout::FANOUT);
-        parts.iter().for_each(|part| hand_on(part, &BTreeSet::new(), 1, &mut reached));
-        let most = reached.values().map(|(_, step)| *step).max();
-        assert_eq!(most, Some(steps), "{zones:?}");
+        let groups = fanout::split_by_zone(fleet(zones).iter());
+        assert!(groups.len() >= fanout::FANOUT);
+        groups.iter().for_each(|group| relay(group, &BTreeSet::new(), 1, &mut reached));
+        let most = reached.values().map(|(_, hop)| *hop).max();
+        assert_eq!(most, Some(hops), "{zones:?}");
     }
 }
 
 #[test]
-fn a_change_is_of_one_version_and_says_so() {
-    let drawn = Drawn {
+fn a_change_applies_only_to_the_version_that_it_is_based_on() {
+    let contents = Contents {
         routes: BTreeMap::from([(1, 1)]),
         keys: BTreeMap::new(),
         services: BTreeSet::new(),
         head_bytes: 1,
         needs_key: false,
     };
-    let change = packed(&build(4, &drawn), &build(6, &drawn)).unpack().expect("it was packed");
-    let fault = change.apply(&build(5, &drawn)).expect_err("another version is in force");
+    let change =
+        packed(&build(4, &contents), &build(6, &contents)).unpack().expect("it was packed");
+    let fault = change.apply(&build(5, &contents)).expect_err("another version is active");
     assert!(matches!(fault, IntentChangeError::Base { from: 4, version: 5 }));
 }
 
 #[test]
-fn a_storm_of_changes_is_kept_and_no_more() {
-    let drawn = Drawn {
+fn the_history_keeps_a_burst_of_changes_and_no_more() {
+    let contents = Contents {
         routes: (0..12).map(|number| (number, 0)).collect(),
         keys: BTreeMap::new(),
         services: BTreeSet::new(),
@@ -227,15 +230,15 @@
         needs_key: false,
     };
     let version = |number: u64| {
-        let mut drawn = drawn.clone();
-        drawn.routes.insert((number % 12) as u8, (number % 3) as u8);
-        build(number, &drawn)
+        let mut contents = contents.clone();
+        contents.routes.insert((number % 12) as u8, (number % 3) as u8);
+        build(number, &contents)
     };
     let mut history = IntentHistory::default();
     (1..200).for_each(|number| history.push(packed(&version(number), &version(number + 1))));
     let newest = version(200);
     assert_eq!(history.kept_since(150, &newest).len(), 50);
     assert!(history.kept_since(100, &newest).is_empty());
-    assert_eq!(history.since(100, &newest).len(), 1, "all of the newest");
+    assert_eq!(history.since(100, &newest).len(), 1, "the whole newest intent");
     assert!(history.since(200, &newest).is_empty());
 }
--- a/tests/suite/intent_watch.rs
+++ b/tests/suite/intent_watch.rs
@@ -1,4 +1,4 @@
-//! How sure an instance is of its intent, and what it does next, on a made-up clock.
+//! The confirmation of an instance's intent, and what the instance does next, on a simulated clock.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 const BOUND: Duration = Duration::from_secs(2);
 
-const NOTHING: Duration = Duration::ZERO;
+const NO_WAIT: Duration = Duration::ZERO;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -28,20 +28,20 @@
     Confirmation { at, store: store(70) }
 }
 
-/// Returns a watch over version 5, which was the newest at `at`.
-fn sure(at: Instant) -> IntentWatch {
+/// Returns a watch with version 5 active, which was the newest at `at`.
+fn confirmed_watch(at: Instant) -> IntentWatch {
     let mut watch = IntentWatch::new(BOUND);
     watch.set_active(5);
     watch.confirm(confirmed(at));
     watch
 }
 
-fn look(wait: Duration) -> WatchStep {
+fn poll(wait: Duration) -> WatchStep {
     WatchStep::PollChanges { after: store(70), wait }
 }
 
 #[test]
-fn an_instance_that_knows_nothing_reads_the_intent_whole() {
+fn an_instance_without_an_intent_reads_the_whole_intent() {
     let now = Instant::now();
     let mut watch = IntentWatch::new(BOUND);
     assert_eq!(watch.next(now, &role(false, 3, 8)), WatchStep::Read);
@@ -55,23 +55,26 @@
 }
 
 #[test]
-fn the_instances_look_for_themselves_one_after_the_other_and_within_the_bound() {
+fn instances_poll_the_store_one_after_the_other_within_the_bound() {
     let now = Instant::now();
-    let watch = sure(now);
-    let mut last = NOTHING;
+    let watch = confirmed_watch(now);
+    let mut last = NO_WAIT;
     for number in 1..62 {
-        let WatchStep::Wait(own) = watch.next(now, &role(false, number, 62)) else {
-            panic!("{number}: others are heard")
+        let WatchStep::Wait(read_age) = watch.next(now, &role(false, number, 62)) else {
+            panic!("{number}: expected a wait for updates")
         };
-        assert!(own > last, "{number}");
-        assert!(own < BOUND.mul_f64(0.75), "{number}: time is left for the read");
-        assert_eq!(watch.next(now + own, &role(false, number, 62)), look(NOTHING));
-        last = own;
+        assert!(read_age > last, "{number}");
+        assert!(
+            read_age < BOUND.mul_f64(0.75),
+            "{number}: there is time for the read within the bound"
+        );
+        assert_eq!(watch.next(now + read_age, &role(false, number, 62)), poll(NO_WAIT));
+        last = read_age;
     }
 }
 
 #[test]
-fn what_the_reading_instance_tells_is_young_enough_for_all_others() {
+fn confirmations_of_the_aggregator_reach_the_others_before_they_poll() {
     for (bound, instances) in
         [(2000, 8), (3000, 8), (3000, 62), (3000, 87), (3000, 302), (13_000, 360)]
     {
@@ -79,46 +82,55 @@
         let mut watch = IntentWatch::new(ms(bound));
         watch.set_active(5);
         watch.confirm(confirmed(now));
-        let reading = role(true, 0, instances);
-        let WatchStep::PollChanges { wait, .. } = watch.next(now, &reading) else {
-            panic!("it reads")
+        let aggregator = role(true, 0, instances);
+        let WatchStep::PollChanges { wait, .. } = watch.next(now, &aggregator) else {
+            panic!("expected a poll")
         };
         assert!(!wait.is_zero());
-        // The wait, the pause after it, and an exchange that comes as late as it may.
-        let told = wait + ms(200) + reading.exchange_period.mul_f64(1.1);
-        let WatchStep::Wait(own) = watch.next(now, &role(false, 1, instances)) else {
-            panic!("others are heard")
+        // The wait, the interval between two calls, and the longest time between two exchanges.
+        let age = wait + ms(200) + aggregator.exchange_period.mul_f64(1.1);
+        let WatchStep::Wait(read_age) = watch.next(now, &role(false, 1, instances)) else {
+            panic!("expected a wait for updates")
         };
-        assert!(told < own, "{bound} ms, {instances}: {told:?} old when told, {own:?} allowed");
+        assert!(
+            age < read_age,
+            "{bound} ms, {instances}: {age:?} old on receipt, {read_age:?} allowed"
+        );
     }
 }
 
 #[test]
-fn the_waits_of_a_reading_instance_end_by_the_clock_not_by_the_changes() {
+fn the_aggregators_wait_ends_at_a_fixed_time_even_with_changes() {
     let now = Instant::now();
-    let watch = sure(now);
-    let reading = role(true, 0, 8);
-    let WatchStep::PollChanges { wait, .. } = watch.next(now, &reading) else { panic!("it reads") };
-    assert_eq!(watch.next(now + wait / 2, &reading), look(wait - wait / 2));
-    assert_eq!(watch.next(now + wait * 2, &reading), look(NOTHING));
+    let watch = confirmed_watch(now);
+    let aggregator = role(true, 0, 8);
+    let WatchStep::PollChanges { wait, .. } = watch.next(now, &aggregator) else {
+        panic!("expected a poll")
+    };
+    assert_eq!(watch.next(now + wait / 2, &aggregator), poll(wait - wait / 2));
+    assert_eq!(watch.next(now + wait * 2, &aggregator), poll(NO_WAIT));
 }
 
 #[test]
-fn an_instance_that_is_told_of_a_newer_version_waits_for_it_then_asks_then_reads() {
+fn an_outdated_instance_waits_for_the_relay_then_asks_peers_then_polls() {
     let now = Instant::now();
-    let mut watch = sure(now);
+    let mut watch = confirmed_watch(now);
     assert!(!watch.note_version(now, 5));
     assert!(watch.note_version(now, 7));
     assert!(!watch.note_version(now, 6));
     for role in [role(false, 7, 8), role(true, 0, 8)] {
-        // A quarter of the bound, for the instances that hand it on.
+        // A quarter of the bound, in which other instances relay it.
         assert_eq!(watch.next(now, &role), WatchStep::Pause(ms(500)));
         assert_eq!(watch.next(now + ms(500), &role), WatchStep::AskPeers);
     }
     watch.peers_asked(now + ms(500), &role(false, 7, 8));
     let after = now + ms(600);
-    assert_eq!(watch.next(after, &role(false, 7, 8)), look(NOTHING));
-    assert_eq!(watch.next(after, &role(true, 0, 8)), look(NOTHING), "it does not wait for changes");
+    assert_eq!(watch.next(after, &role(false, 7, 8)), poll(NO_WAIT));
+    assert_eq!(
+        watch.next(after, &role(true, 0, 8)),
+        poll(NO_WAIT),
+        "the poll does not wait for changes"
+    );
     watch.store_failed();
     assert_eq!(watch.next(after, &role(false, 7, 8)), WatchStep::AskPeers);
     watch.set_active(6);
@@ -128,70 +140,78 @@
 }
 
 #[test]
-fn after_a_failed_read_others_are_asked_then_the_store_again() {
+fn after_a_failed_read_peers_are_asked_then_the_store_again() {
     let now = Instant::now();
-    let mut watch = sure(now);
-    let reading = role(true, 0, 8);
+    let mut watch = confirmed_watch(now);
+    let aggregator = role(true, 0, 8);
     watch.store_failed();
-    assert_eq!(watch.next(now, &reading), WatchStep::AskPeers);
-    watch.peers_asked(now, &reading);
-    let WatchStep::Pause(pause) = watch.next(now, &reading) else { panic!("it pauses") };
-    assert!(matches!(watch.next(now + pause, &reading), WatchStep::PollChanges { .. }));
+    assert_eq!(watch.next(now, &aggregator), WatchStep::AskPeers);
+    watch.peers_asked(now, &aggregator);
+    let WatchStep::Pause(pause) = watch.next(now, &aggregator) else { panic!("expected a pause") };
+    assert!(matches!(watch.next(now + pause, &aggregator), WatchStep::PollChanges { .. }));
 }
 
 #[test]
-fn an_instance_that_stays_behind_says_so_once_for_each_version() {
+fn an_outdated_intent_is_overdue_once_for_each_version() {
     let now = Instant::now();
-    let mut watch = sure(now);
+    let mut watch = confirmed_watch(now);
     watch.note_version(now, 7);
     assert_eq!(watch.take_overdue(now + ms(900)), None);
     assert_eq!(watch.take_overdue(now + ms(1100)), Some(ms(1100)));
     assert_eq!(watch.take_overdue(now + ms(1500)), None);
     watch.note_version(now + ms(1600), 9);
-    assert_eq!(watch.take_overdue(now + ms(1700)), Some(ms(1700)), "behind since the first");
+    assert_eq!(
+        watch.take_overdue(now + ms(1700)),
+        Some(ms(1700)),
+        "outdated since the first newer version"
+    );
     assert_eq!(watch.outdated_for(now + ms(1700)), Some(ms(1700)));
 }
 
 #[test]
-fn knowledge_never_grows_older() {
+fn an_older_confirmation_is_ignored() {
     let now = Instant::now();
-    let mut watch = sure(now);
+    let mut watch = confirmed_watch(now);
     watch.confirm(Confirmation { at: now - ms(500), store: store(60) });
-    assert_eq!(watch.age(now), Some(NOTHING));
-    assert_eq!(watch.next(now + BOUND, &role(false, 1, 8)), look(NOTHING));
+    assert_eq!(watch.age(now), Some(NO_WAIT));
+    assert_eq!(watch.next(now + BOUND, &role(false, 1, 8)), poll(NO_WAIT));
     watch.note_store_version(store(90));
     let step = watch.next(now + BOUND, &role(false, 1, 8));
-    assert_eq!(step, WatchStep::PollChanges { after: store(90), wait: NOTHING });
+    assert_eq!(step, WatchStep::PollChanges { after: store(90), wait: NO_WAIT });
 }
 
-// With the largest version of the store kept over its return, every look led to a read of the whole intent; and what the
-// copy shows is not known to be the newest until operators have had time to write again what was lost.
+// Guards against keeping the largest store version over a restore of the store, where every poll led to a read of the
+// whole intent. The restored intent is not settled until operators have had time to write again what was lost.
 #[test]
-fn a_later_era_of_the_store_goes_before_any_count_and_takes_time_to_settle() {
+fn a_later_era_of_the_store_supersedes_any_counter_and_takes_time_to_settle() {
     let now = Instant::now();
-    let mut watch = sure(now);
+    let mut watch = confirmed_watch(now);
     watch.note_version(now, 7);
-    let back = StoreVersion { era: StoreEra(2), counter: 12 };
-    watch.confirm(Confirmation { at: now + ms(100), store: back });
-    assert!(!watch.is_outdated(), "who had the newer version may be gone");
+    let restored = StoreVersion { era: StoreEra(2), counter: 12 };
+    watch.confirm(Confirmation { at: now + ms(100), store: restored });
+    assert!(!watch.is_outdated(), "the newer version may be lost");
     let step = watch.next(now + BOUND, &role(false, 1, 8));
-    assert_eq!(step, WatchStep::PollChanges { after: back, wait: NOTHING });
+    assert_eq!(step, WatchStep::PollChanges { after: restored, wait: NO_WAIT });
     assert!(!watch.is_settled(now + BOUND));
     watch.confirm(Confirmation { at: now + BOUND * 2, store: store(900) });
-    assert_eq!(watch.confirmed().expect("confirmed").store, back, "an answer of before is late");
-    assert_eq!(watch.age(now + ms(100)), Some(NOTHING));
-    assert!(watch.is_settled(now + BOUND * 5), "not for ever");
+    assert_eq!(
+        watch.confirmed().expect("confirmed").store,
+        restored,
+        "a late reply of the earlier era is ignored"
+    );
+    assert_eq!(watch.age(now + ms(100)), Some(NO_WAIT));
+    assert!(watch.is_settled(now + BOUND * 5), "settled after the settling time");
     watch.set_active(8);
-    assert!(watch.is_settled(now + BOUND), "operators have written again");
+    assert!(watch.is_settled(now + BOUND), "operators have written the intent again");
 }
 
-// 65 instances made 2,352 calls on a day on which the store reset all connections for 8 s, a third of them to ask for the
-// intent every 0.4 s, though one reads for all.
+// Guards against needless load on a failing store: while it reset all connections for 8 s, 65 instances made 2,352
+// calls, a third of them for the intent, each instance every 0.4 s, although one reads on behalf of all.
 #[test]
-fn while_the_store_fails_only_the_one_that_reads_for_others_keeps_trying_often() {
+fn while_the_store_fails_only_the_aggregator_retries_often() {
     let now = Instant::now();
-    for (role, most) in [(role(true, 0, 65), 30), (role(false, 9, 65), 8)] {
-        let mut watch = sure(now);
+    for (role, calls_max) in [(role(true, 0, 65), 30), (role(false, 9, 65), 8)] {
+        let mut watch = confirmed_watch(now);
         let (mut at, mut calls) = (now + BOUND, 0);
         while at < now + BOUND + ms(8000) {
             match watch.next(at, &role) {
@@ -203,22 +223,24 @@
                 }
             }
         }
-        assert!((3..=most).contains(&calls), "{calls} calls, {role:?}");
+        assert!((3..=calls_max).contains(&calls), "{calls} calls, {role:?}");
     }
 }
 
 #[test]
-fn an_instance_that_is_told_of_a_newer_version_does_not_wait_for_a_store_that_fails() {
+fn a_newer_version_shortens_the_wait_after_failed_calls() {
     let now = Instant::now();
-    let mut watch = sure(now);
+    let mut watch = confirmed_watch(now);
     let role = role(false, 9, 65);
     for _ in 0..5 {
         watch.store_failed();
         watch.peers_asked(now, &role);
     }
     assert!(watch.note_version(now, 9));
-    let WatchStep::Pause(pause) = watch.next(now, &role) else { panic!("it pauses") };
+    let WatchStep::Pause(pause) = watch.next(now, &role) else { panic!("expected a pause") };
     assert!(pause <= ms(400), "{pause:?}");
-    let WatchStep::Pause(pause) = watch.next(now + pause, &role) else { panic!("it is handed on") };
+    let WatchStep::Pause(pause) = watch.next(now + pause, &role) else {
+        panic!("expected a wait for the relay")
+    };
     assert_eq!(watch.next(now + ms(400) + pause, &role), WatchStep::AskPeers);
 }
