--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -1,8 +1,8 @@
-//! The bytes of messages between instances, as this build writes them.
+//! The encoding of messages between instances.
 //!
-//! Instances of two builds are there during an upgrade; one that does not understand the other's messages reads the store for
-//! itself. Whoever changes a message sees it here, keeps the bytes of before among those that are still read, and says so in the
-//! changelog.
+//! During an upgrade instances of two builds run side by side. An instance that cannot decode the messages of the other
+//! build reads the store itself. A change of a message fails here: add its earlier bytes to those that must still be
+//! decoded, and mention the change in the changelog.
 
 use std::{fmt::Write as _, sync::Arc, time::Duration};
 
@@ -67,7 +67,7 @@
     }
 }
 
-fn news(list: ServerListUpdate) -> News {
+fn reply(list: ServerListUpdate) -> News {
     let service = "llm".parse().expect("a name");
     News {
         loads: vec![ServiceLoad {
@@ -109,32 +109,36 @@
     })
 }
 
-/// Returns whether a message is read as it was written.
-fn comes_back<T: Serialize + DeserializeOwned>(message: &T) -> bool {
+/// Returns whether a decoded message is encoded to the same bytes again.
+fn survives_round_trip<T: Serialize + DeserializeOwned>(message: &T) -> bool {
     let bytes = encode(message);
     decode::<T>(&bytes).is_ok_and(|read| encode(&read) == bytes)
 }
 
 #[test]
-fn messages_have_the_bytes_that_this_build_has_always_written() {
+fn message_bytes_are_stable() {
     let first = ListVersion::of(&[server("a", 1)]);
-    let changes = news(lists().since(Some(first)));
-    let whole = news(lists().since(None));
+    let changes = reply(lists().since(Some(first)));
+    let whole = reply(lists().since(None));
     let offer = Offer {
         version: 12,
         orders: orders(),
         changes: vec![Arc::new(PackedChange::pack(&IntentChange::whole(&Intent::empty())))],
         pass_on: vec![([10, 0, 0, 2], 8229).into()],
     };
-    let ask = PermitAsk { server: Tag(7), service: "llm".parse().expect("a name") };
-    assert!(comes_back(&report()) && comes_back(&changes) && comes_back(&whole));
-    assert!(comes_back(&offer) && comes_back(&OfferReply { version: 12 }));
-    assert!(comes_back(&ask) && comes_back(&PermitReply { granted: true }));
-    // Compressed bytes may differ with the library, and are left out.
+    let request = PermitAsk { server: Tag(7), service: "llm".parse().expect("a name") };
+    assert!(
+        survives_round_trip(&report())
+            && survives_round_trip(&changes)
+            && survives_round_trip(&whole)
+    );
+    assert!(survives_round_trip(&offer) && survives_round_trip(&OfferReply { version: 12 }));
+    assert!(survives_round_trip(&request) && survives_round_trip(&PermitReply { granted: true }));
+    // Compressed bytes are left out, since they depend on the version of the compression library.
     let lines = [
         ("report", hex(&report())),
-        ("news, changes of the list", hex(&changes)),
-        ("permit", hex(&ask)),
+        ("reply with changes of the list", hex(&changes)),
+        ("permit", hex(&request)),
         ("permit reply", hex(&PermitReply { granted: true })),
         ("offer reply", hex(&OfferReply { version: 12 })),
         ("orders", hex(&orders())),
@@ -143,14 +147,14 @@
     insta::assert_snapshot!(text);
 }
 
-/// Messages as builds before wrote them.
-const KEPT: [(&str, &str); 4] = [
+/// Messages as written by earlier builds.
+const EARLIER_BUILDS: [(&str, &str); 4] = [
     (
         "report",
         "9d94a6656467652d3181a2563492940a000001cd2025a56e6f727468ca3f00000091920703910905909090939090900cc2a6496e5475726e4d08",
     ),
     (
-        "news",
+        "reply",
         "9f9194a36c6c6dca4020000091920704c391099006c2900c9092289202cd019c939202cd019c91a56e6f72746881a36c6c6d92a27632920c009081a74368616e67657392919892a162cd03e8a36c6c6d81a2563492940a00000102a56e6f727468c2c0c09202ce1dcd650090ccfa0281a557686f6c659194a6656467652d3181a2563492940a000001cd2025a56e6f727468ca3f000000",
     ),
     ("permit", "9207a36c6c6d"),
@@ -158,18 +162,19 @@
 ];
 
 fn bytes_of(hex: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
-fn what_builds_before_have_written_is_understood() {
-    let [report_bytes, news_bytes, permit, orders_bytes] = KEPT.map(|(_, hex)| bytes_of(hex));
+fn messages_of_earlier_builds_are_decoded() {
+    let [report_bytes, reply_bytes, permit, orders_bytes] =
+        EARLIER_BUILDS.map(|(_, hex)| bytes_of(hex));
     let same = |read: Vec<u8>, now: Vec<u8>| assert_eq!(read, now);
     same(encode(&decode::<Report>(&report_bytes).expect("a report")), encode(&report()));
-    let without = OrdersSnapshot { unparsed: IndexSet::new(), ..orders() };
-    let read = decode::<News>(&news_bytes).expect("news");
-    assert_eq!((read.version, &read.orders), (12, &without));
-    assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
-    assert_eq!(decode::<OrdersSnapshot>(&orders_bytes).expect("orders"), without);
+    let orders_before = OrdersSnapshot { unparsed: IndexSet::new(), ..orders() };
+    let decoded = decode::<News>(&reply_bytes).expect("a reply");
+    assert_eq!((decoded.version, &decoded.orders), (12, &orders_before));
+    assert!(decode::<PermitAsk>(&permit).is_ok_and(|request| request.server == Tag(7)));
+    assert_eq!(decode::<OrdersSnapshot>(&orders_bytes).expect("orders"), orders_before);
 }
