--- a/src/routing/aggregate.rs
+++ b/src/routing/aggregate.rs
@@ -56,8 +56,9 @@
     }
 }
 
-/// Instances that must report a server as unresponsive before the others skip it; all of them in a smaller fleet.
-const WITNESSES: usize = 2;
+/// Number of instances that must report a server as unresponsive before the others skip it; all of them in a smaller
+/// fleet.
+const WITNESSES_MIN: usize = 2;
 
 /// The latest counts of each instance.
 #[derive(Debug, Default)]
@@ -112,7 +113,7 @@
         for server in self.unresponsive.values().flat_map(|(_, unresponsive)| unresponsive) {
             *witnesses.entry(*server).or_default() += 1;
         }
-        let required = WITNESSES.min(self.unresponsive.len());
+        let required = WITNESSES_MIN.min(self.unresponsive.len());
         let mut unresponsive: Vec<Tag> =
             witnesses.into_iter().filter(|(_, count)| *count >= required).map(|(t, _)| t).collect();
         unresponsive.sort_unstable_by_key(|tag| tag.0);
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -89,9 +89,9 @@
     }
 
     /// Applies an update received from another instance; returns whether the list has changed.
-    pub fn apply_update(&mut self, news: InstanceListUpdate) -> bool {
+    pub fn apply_update(&mut self, update: InstanceListUpdate) -> bool {
         let before = self.version;
-        match news {
+        match update {
             InstanceListUpdate::Whole(all) => self.set(all),
             InstanceListUpdate::Changes(InstanceChange { put, removed }) => {
                 self.change(put, removed)
--- a/src/routing/fallback_reader.rs
+++ b/src/routing/fallback_reader.rs
@@ -10,8 +10,8 @@
 
 use super::{Candidates, InstanceInfo};
 
-/// Instances that are asked one after the other before the store is left alone for a while. If the store rejects a
-/// third of the instances, all four are rejected in one of eighty cases.
+/// Largest number of instances that are asked one after the other before the store is left alone for a while. If the
+/// store rejects a third of the instances, all four are rejected in one of eighty cases.
 pub const ATTEMPTS_MAX: usize = 4;
 
 /// The instance that is asked to read.
--- a/src/routing/startup.rs
+++ b/src/routing/startup.rs
@@ -31,7 +31,7 @@
         StartupWait { until }
     }
 
-    /// Returns whether the instance still waits for data that it lacks.
+    /// Returns whether the instance still waits for updates from others.
     pub fn is_waiting(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -239,7 +239,7 @@
                     let fallback_reader = instance.fallback_reader.pick(now, &instance.candidates);
                     let node = fallback_reader.map(|fallback_reader| fallback_reader.node);
                     let other = self.infos.iter().position(|i| Some(&i.node) == node.as_ref());
-                    let other = other.expect("others answer");
+                    let other = other.expect("another instance responds");
                     if !cut && !self.is_hit(other, now, |_| true) {
                         self.all[other].as_of = Some(now);
                         self.all[other].reads += 1;
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -46,7 +46,7 @@
     (0..count).map(server).collect()
 }
 
-fn wanted(picker: &Picker, affinity: Option<u64>, spread: u64) -> cartvane::routing::Picked {
+fn pick(picker: &Picker, affinity: Option<u64>, spread: u64) -> cartvane::routing::Picked {
     let service = "llm".parse().expect("a name");
     let wanted = Wanted { affinity, spread, ..Wanted::of(&service) };
     picker.pick(Instant::now(), &wanted).expect("a server")
@@ -59,7 +59,7 @@
     let most = |count: usize| {
         let picker = picker(&servers(count));
         let considered = (0..500_u64).flat_map(|key| {
-            [wanted(&picker, Some(key), key), wanted(&picker, None, key)].map(|p| p.considered)
+            [pick(&picker, Some(key), key), pick(&picker, None, key)].map(|p| p.considered)
         });
         considered.max().expect("some choices")
     };
@@ -80,8 +80,8 @@
     let after = picker(&remaining);
     let is_listed = |id: &Incarnation| remaining.iter().any(|server| server.id == *id);
     for key in 0..prompts {
-        let first = wanted(&before, Some(key), key).server.id.clone();
-        if key % 40 == 0 && wanted(&after, Some(key), key).server.id != first {
+        let first = pick(&before, Some(key), key).server.id.clone();
+        if key % 40 == 0 && pick(&after, Some(key), key).server.id != first {
             moved += u32::from(is_listed(&first));
         }
         *prompts_at.entry(first).or_default() += 1;
@@ -103,7 +103,7 @@
     let picker = picker(&all);
     for key in 0..50 {
         for affinity in [Some(key), None] {
-            assert_eq!(wanted(&picker, affinity, key).server.id.server.as_str(), "s7");
+            assert_eq!(pick(&picker, affinity, key).server.id.server.as_str(), "s7");
         }
     }
 }
@@ -117,7 +117,7 @@
     // Fewer requests than servers in the own zone.
     let requests = SMALL as u64 / 4;
     for spread in 0..requests {
-        let picked = wanted(&picker, None, spread);
+        let picked = pick(&picker, None, spread);
         near += u64::from(picked.server.zone.as_str() == "north");
         picker.begin(now, &picked.server.id);
     }
@@ -380,5 +380,5 @@
     list(&mut picker, Instant::now(), &servers(LARGE));
     let tags: std::collections::HashSet<Tag> = servers(LARGE).iter().map(|s| s.tag()).collect();
     assert!(tags.len() >= LARGE - 4, "{} of {LARGE}", tags.len());
-    assert!(Arc::strong_count(&wanted(&picker, None, 1).server) > 1);
+    assert!(Arc::strong_count(&pick(&picker, None, 1).server) > 1);
 }
