--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -8,13 +8,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::suspicion::SuspicionReport;
+use super::crash_suspects::CrashSuspectsReport;
 use crate::{
     names::Tag,
     routing::{
         BudgetSum, InFlightCount, InstanceInfo, InstanceListUpdate, ListVersion, OrdersSnapshot,
-        PackedChange, RetrySpending, RolloutReport, RunId, ServerListUpdate, ServiceLoad, StoreEra,
-        StoreVersion, ToldRollout, ToldVerdict,
+        PackedChange, RetrySpending, RolloutReport, RolloutUpdate, RunId, ServerListUpdate,
+        ServiceLoad, StoreEra, StoreVersion, VerdictUpdate,
     },
 };
 
@@ -45,9 +45,9 @@
     /// What it has seen of roll-outs.
     pub rollouts: Vec<RolloutReport>,
     /// How far roll-outs have come, as it knows it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// What it had at servers that ended, and what it knows of requests that end them.
-    pub suspicion: SuspicionReport,
+    pub crash_suspects: CrashSuspectsReport,
     /// Version of the intent that it has in force.
     pub version: u64,
     /// Whether it wants a newer intent however large.
@@ -74,7 +74,7 @@
     /// Whether servers have ended lately.
     pub servers_end: bool,
     /// Requests that are held back or watched.
-    pub verdicts: Vec<ToldVerdict>,
+    pub verdicts: Vec<VerdictUpdate>,
     /// Version of the intent that the other has in force.
     pub version: u64,
     /// What has changed in the operator's intent, if that is small or wanted.
@@ -84,7 +84,7 @@
     /// Operators' orders, as the other knows them.
     pub orders: OrdersSnapshot,
     /// How far roll-outs have come, as the other knows it.
-    pub rollout_states: Vec<ToldRollout>,
+    pub rollout_states: Vec<RolloutUpdate>,
     /// What is new in the list of servers.
     pub list: ServerListUpdate,
     /// Milliseconds since the list was current.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 pub mod answering;
 pub mod cold_permits;
 pub mod connection;
+pub mod crash_suspects;
 pub mod drain;
 pub mod exchange;
 pub mod flight;
@@ -24,7 +25,7 @@
 pub mod peers;
 pub mod reply;
 pub mod request;
-pub mod rollout_keeper;
+pub mod rollout_controller;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
@@ -35,7 +36,6 @@
 pub mod spread;
 pub mod start;
 pub mod stream;
-pub mod suspicion;
 pub mod tries;
 pub mod unpicked;
 
@@ -51,10 +51,9 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cold_permits::ColdPermits, drain::Drain, flight::Flight, knowledge::Knowledge,
-    list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
+    cold_permits::ColdPermits, crash_suspects::CrashSuspects, drain::Drain, flight::Flight,
+    knowledge::Knowledge, list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, settings::GatewaySettings, skipped_log::SkippedLog,
-    suspicion::Suspicion,
 };
 use crate::{
     adapter::store::{Store, StoreFault},
@@ -62,8 +61,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, OrdersSnapshot, Picked, Picker, RetryBudget,
-        RetrySpending, StoreShare, Unpicked, Wanted,
+        BudgetSum, CallKind, Incarnation, OrdersSnapshot, PickError, PickRequest, Picked, Picker,
+        RetryBudget, RetrySpending, StoreShare,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -90,7 +89,7 @@
     /// Other instances.
     pub peers: Peers,
     /// Requests that end servers.
-    pub suspicion: Suspicion,
+    pub crash_suspects: CrashSuspects,
     /// Roll-outs of versions.
     pub rollouts: Rollouts,
     /// Requests to cold servers.
@@ -129,7 +128,7 @@
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
-            suspicion: Suspicion::default(),
+            crash_suspects: CrashSuspects::default(),
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
             drain: Drain::open().context("cannot make a pipe")?,
@@ -176,12 +175,12 @@
     pub fn pick(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
-    ) -> Result<(Picked, Flight<'_>), Unpicked> {
+        wanted: &PickRequest<'_>,
+    ) -> Result<(Picked, Flight<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
-        picker.begin(now, &server);
+        picker.start_request(now, &server);
         Ok((picked, Flight { gateway: self, server }))
     }
 
@@ -263,7 +262,8 @@
         }
         for zone in former.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts = |service: &ServiceName| self.cold_terms(service).map(|terms| terms.lasts);
+            let lasts =
+                |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
             self.knowledge.assume_cold(now, zone, lasts);
             self.servers_changed();
         }
@@ -324,7 +324,7 @@
             self.metrics.rollout_share(&service, share);
         }
         self.metrics.cold_servers(lock(&self.picker).cold_count(now));
-        self.metrics.held_requests(self.suspicion.held_count());
+        self.metrics.held_requests(self.crash_suspects.held_count());
         self.metrics.log_lines_left_out(log_sink::take_left_out());
     }
 
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -20,7 +20,7 @@
     cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
     intent_reader,
     messages::{Asks, ConfirmedAgo, News, Report},
-    rollout_table::{ROLLOUT_PATH, TableAsk, TableReply},
+    rollout_table::{ROLLOUT_PATH, RolloutTableReply, RolloutTableRequest},
     roster_reader,
     settings::GatewaySettings,
     spread::{OFFER_PATH, Offer, OfferReply},
@@ -192,11 +192,15 @@
     }
 
     /// Has another instance do something in the store's table of roll-outs; `None` where none could.
-    pub fn ask_helper_for_rollouts(&self, now: Instant, ask: &TableAsk) -> Option<TableReply> {
+    pub fn ask_helper_for_rollouts(
+        &self,
+        now: Instant,
+        ask: &RolloutTableRequest,
+    ) -> Option<RolloutTableReply> {
         for _ in 0..fallback_reader::ATTEMPTS_MAX {
             let fallback_reader = lock(&self.fallback_reader).pick(now, &lock(&self.candidates))?;
             match self.links.call(Purpose::Config, fallback_reader.address, ROLLOUT_PATH, ask) {
-                Ok(TableReply::Failed(reason)) => {
+                Ok(RolloutTableReply::Failed(reason)) => {
                     log::info!("event=no_help peer={} reason={reason:?}", fallback_reader.node);
                 }
                 Ok(reply) => return Some(reply),
@@ -267,7 +271,7 @@
         let Some(first) = first else {
             let sums = sums(gateway, now);
             take_loads(gateway, now, &sums.loads, None);
-            lock(&gateway.picker).told_silent(now, &sums.silent);
+            lock(&gateway.picker).note_reported_unresponsive(now, &sums.silent);
             gateway.set_budget_sums(now, sums.budgets.clone());
             judge_own(gateway, now);
             return;
@@ -287,16 +291,16 @@
 
 /// Takes this instance's own word on servers that ended, as the one to which all turn.
 fn judge_own(gateway: &Gateway, now: Instant) {
-    let suspicion = &gateway.suspicion;
+    let crash_suspects = &gateway.crash_suspects;
     if !gateway.settings.first_start && gateway.peers.knows_others(now) {
-        suspicion.want_table();
+        crash_suspects.request_table_read();
     }
-    let report = suspicion.report(now);
-    suspicion.take_report(now, &report);
-    suspicion.note_told(gateway.peers.run, &report);
-    suspicion.watch(now, &suspicion.watched(now));
-    if suspicion.is_alert(now) {
-        suspicion.alert(now);
+    let report = crash_suspects.report(now);
+    crash_suspects.apply_report(now, &report);
+    crash_suspects.mark_reported(gateway.peers.run, &report);
+    crash_suspects.watch(now, &crash_suspects.watched(now));
+    if crash_suspects.is_alert(now) {
+        crash_suspects.alert(now);
     }
 }
 
@@ -354,20 +358,21 @@
     };
     let (counts, silent) = {
         let picker = lock(&gateway.picker);
-        (picker.own_counts(), picker.own_silent(asked))
+        (picker.own_counts(), picker.own_unresponsive(asked))
     };
     // Others than the one that all turn to know only a part.
     let in_turn = asks == Asks::InTurn;
-    let suspicion = if in_turn { gateway.suspicion.report(asked) } else { Default::default() };
+    let crash_suspects =
+        if in_turn { gateway.crash_suspects.report(asked) } else { Default::default() };
     let report = Report {
         from,
         counts: counts.clone(),
         silent,
         run: peers.run,
-        suspicion,
+        crash_suspects,
         spending: if in_turn { gateway.spending(asked) } else { Vec::new() },
         rollouts: if in_turn { gateway.rollouts.reports(gateway) } else { Vec::new() },
-        rollout_states: gateway.rollouts.told(asked),
+        rollout_states: gateway.rollouts.updates(asked),
         version,
         // An instance that starts takes what it can get, and so does one that asks.
         wants_intent: !in_turn || version == 0,
@@ -382,15 +387,15 @@
     let told = gateway.clock.now();
     let (watched, lasting): (Vec<_>, Vec<_>) =
         news.verdicts.iter().partition(|told| told.judgement == Judgement::Watched);
-    gateway.suspicion.take_verdicts(told, &lasting, "peer");
+    gateway.crash_suspects.apply_verdicts(told, &lasting, "peer");
     if in_turn {
-        gateway.suspicion.note_told(news.run, &report.suspicion);
-        gateway.suspicion.watch(told, &watched);
+        gateway.crash_suspects.mark_reported(news.run, &report.crash_suspects);
+        gateway.crash_suspects.watch(told, &watched);
         if news.servers_end {
-            gateway.suspicion.alert(told);
+            gateway.crash_suspects.alert(told);
         }
         take_loads(gateway, told, &news.loads, Some(counts));
-        lock(&gateway.picker).told_silent(told, &news.silent);
+        lock(&gateway.picker).note_reported_unresponsive(told, &news.silent);
         gateway.set_budget_sums(told, std::mem::take(&mut news.budgets));
     }
     take(gateway, news, list, asked);
@@ -436,7 +441,7 @@
 fn take(gateway: &Gateway, news: News, list: Option<ListVersion>, asked: Instant) {
     // Before an intent or a list by which the instance may become ready.
     gateway.take_orders(news.orders, "peer");
-    gateway.rollouts.take_told(gateway, &news.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &news.rollout_states, "peer");
     intent_reader::take_changes(gateway, &news.changes);
     let then = |age_ms: u64| asked.checked_sub(Duration::from_millis(age_ms));
     if let Some(ConfirmedAgo { age_ms, store }) = news.confirmed
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -18,7 +18,7 @@
         answer::{AnswerBody, AnswerNote, AnswerWriter},
         http1::Conn,
     },
-    routing::{AnswerSeen, EventSplitter, RouteKind},
+    routing::{EventSplitter, ResponseObservation, RouteKind},
 };
 
 /// Times the route's longest pause after which a stream that may be resumed is taken to another
@@ -102,7 +102,7 @@
                 let picked = source.opened.picked.clone();
                 drop(source);
                 forwarding.note_fault(&picked, fault);
-                splitter.drop_rest();
+                splitter.discard_partial();
                 match resume(forwarding, writer.conn(), &splitter) {
                     Some(next) => {
                         source = next;
@@ -154,11 +154,11 @@
     }
 
     /// Returns what the pace says of the server, whose last piece came at `end`.
-    fn seen(&self, end: Instant) -> AnswerSeen {
+    fn seen(&self, end: Instant) -> ResponseObservation {
         if self.pieces < PACE_PIECES {
-            return AnswerSeen::Untimed;
+            return ResponseObservation::Untimed;
         }
-        AnswerSeen::Took(end.saturating_duration_since(self.first) / self.pieces)
+        ResponseObservation::Took(end.saturating_duration_since(self.first) / self.pieces)
     }
 }
 
@@ -186,7 +186,7 @@
         let piece = match source.answer().next(until, Some(caller)) {
             Ok(Some(piece)) => piece,
             Ok(None) => {
-                let rest = splitter.rest();
+                let rest = splitter.take_remainder();
                 return if rest.is_empty() { Brought::End } else { Brought::Events(rest) };
             }
             Err(AttemptFault::StalledBody) if waits_on(forwarding, source) => continue,
--- a/src/routing/blame/collector.rs
+++ b/src/routing/crash_suspects/attribution.rs
@@ -8,8 +8,8 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::{
-    RequestDigest, RequestLook, Suspect, ToldEnd, ToldVerdict,
-    verdicts::{CLEARED_FOR, Judgement},
+    CrashReport, RequestDigest, RequestFingerprint, Suspect, VerdictUpdate,
+    verdicts::{CLEARED_DURATION, Judgement},
 };
 use crate::names::{ServiceName, Tag};
 
@@ -70,26 +70,26 @@
 
 /// A request under blame.
 #[derive(Debug)]
-struct Blamed {
-    look: RequestLook,
+struct SuspectRecord {
+    fingerprint: RequestFingerprint,
     service: ServiceName,
     first: Instant,
     last: Instant,
     /// Since when it is watched.
     watched: Option<Instant>,
-    servers: Vec<BlamedAt>,
+    servers: Vec<CrashScore>,
 }
 
 /// Blame for the end of one server.
 #[derive(Debug)]
-struct BlamedAt {
+struct CrashScore {
     server: Tag,
     blame: f64,
     /// Copies of the request that were there.
     copies: u32,
 }
 
-impl Blamed {
+impl SuspectRecord {
     fn blame(&self) -> f64 {
         self.servers.iter().map(|at| at.blame).sum()
     }
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
     /// Its look.
-    pub look: RequestLook,
+    pub fingerprint: RequestFingerprint,
     /// The request.
     pub digest: RequestDigest,
     /// Servers that ended with it.
@@ -122,19 +122,19 @@
 
 /// The ends that all instances have told.
 #[derive(Debug, Default)]
-pub struct Collector {
+pub struct CrashAttribution {
     ends: IndexMap<Tag, End>,
-    suspects: IndexMap<RequestDigest, Blamed>,
+    suspects: IndexMap<RequestDigest, SuspectRecord>,
     /// Requests that will be held back unless one of them turns out to have been answered.
     pending: IndexSet<RequestDigest>,
     cleared: IndexMap<RequestDigest, Instant>,
-    watched: Vec<ToldVerdict>,
+    watched: Vec<VerdictUpdate>,
     looked: Option<Instant>,
 }
 
-impl Collector {
+impl CrashAttribution {
     /// Takes ends that an instance tells, and returns the requests that are found to end servers.
-    pub fn take(&mut self, now: Instant, told: &[ToldEnd]) -> Vec<Finding> {
+    pub fn take(&mut self, now: Instant, told: &[CrashReport]) -> Vec<Finding> {
         if told.is_empty() && self.pending.is_empty() {
             return Vec::new();
         }
@@ -143,12 +143,12 @@
             let at = now.checked_sub(Duration::from_millis(end.age_ms)).unwrap_or(now);
             let new = || End { at, service: end.service.clone() };
             self.ends.entry(end.server).or_insert_with(new);
-            for suspect in &end.under {
+            for suspect in &end.in_flight {
                 self.blame(now, end, suspect, at);
             }
         }
         let mut touched = std::mem::take(&mut self.pending);
-        touched.extend(told.iter().flat_map(|end| &end.under).map(|suspect| suspect.digest));
+        touched.extend(told.iter().flat_map(|end| &end.in_flight).map(|suspect| suspect.digest));
         let judged = touched.into_iter().filter_map(|digest| self.judge(now, digest));
         let findings: Vec<Finding> = judged.collect();
         for finding in &findings {
@@ -166,7 +166,7 @@
     }
 
     /// Returns requests that may be found to end servers, for all to look whether they are answered.
-    pub fn watched(&mut self, now: Instant) -> Vec<ToldVerdict> {
+    pub fn watched(&mut self, now: Instant) -> Vec<VerdictUpdate> {
         self.look_through(now);
         self.watched.clone()
     }
@@ -182,15 +182,15 @@
         self.suspects.len()
     }
 
-    fn blame(&mut self, now: Instant, end: &ToldEnd, suspect: &Suspect, at: Instant) {
+    fn blame(&mut self, now: Instant, end: &CrashReport, suspect: &Suspect, at: Instant) {
         if self.cleared.contains_key(&suspect.digest) {
             return;
         }
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&suspect.digest) {
             self.forget_least();
         }
-        let new = || Blamed {
-            look: suspect.look,
+        let new = || SuspectRecord {
+            fingerprint: suspect.fingerprint,
             service: end.service.clone(),
             first: at,
             last: at,
@@ -200,13 +200,13 @@
         let blamed = self.suspects.entry(suspect.digest).or_insert_with(new);
         blamed.first = blamed.first.min(at);
         blamed.last = blamed.last.max(at);
-        let blame = if suspect.ran_on { RAN_ON_BLAME } else { 1.0 };
+        let blame = if suspect.long_running { RAN_ON_BLAME } else { 1.0 };
         match blamed.servers.iter_mut().find(|known| known.server == end.server) {
             Some(known) => {
                 known.blame = known.blame.max(blame);
                 known.copies += 1;
             }
-            None => blamed.servers.push(BlamedAt { server: end.server, blame, copies: 1 }),
+            None => blamed.servers.push(CrashScore { server: end.server, blame, copies: 1 }),
         }
         if blamed.blame() >= WATCHED_FROM {
             blamed.watched.get_or_insert(now);
@@ -227,12 +227,12 @@
             return None;
         }
         let servers = blamed.servers.iter().map(|at| at.server).collect();
-        Some(Finding { look: blamed.look, digest, servers, ended })
+        Some(Finding { fingerprint: blamed.fingerprint, digest, servers, ended })
     }
 
     /// Returns whether no other request was at all the servers that ended with this one.
-    fn is_alone(&self, digest: RequestDigest, blamed: &Blamed) -> bool {
-        let was_there = |other: &Blamed| {
+    fn is_alone(&self, digest: RequestDigest, blamed: &SuspectRecord) -> bool {
+        let was_there = |other: &SuspectRecord| {
             let at = |server: Tag| other.servers.iter().any(|known| known.server == server);
             blamed.servers.iter().all(|known| at(known.server))
         };
@@ -258,13 +258,13 @@
             self.ends.shift_remove_index(0);
         }
         self.suspects.retain(|_, blamed| !is_old(blamed.last, END_LIFE));
-        self.cleared.retain(|_, at| !is_old(*at, CLEARED_FOR));
-        let mut watched: Vec<(&RequestDigest, &Blamed)> = self.suspects.iter().collect();
+        self.cleared.retain(|_, at| !is_old(*at, CLEARED_DURATION));
+        let mut watched: Vec<(&RequestDigest, &SuspectRecord)> = self.suspects.iter().collect();
         watched.retain(|(_, b)| b.blame() >= WATCHED_FROM && !is_old(b.last, WATCHED_FOR));
         watched.sort_by_key(|(_, blamed)| Reverse(blamed.rank()));
-        let told = |(digest, b): (&RequestDigest, &Blamed)| ToldVerdict {
+        let told = |(digest, b): (&RequestDigest, &SuspectRecord)| VerdictUpdate {
             digest: *digest,
-            look: b.look,
+            fingerprint: b.fingerprint,
             judgement: Judgement::Watched,
             age_ms: 0,
         };
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,11 +1,12 @@
 //! Decisions of the way of a request on a platform that lists backend servers: which route, which
 //! backend server, whether to try again. No I/O; the time is passed in.
 
+pub mod admission;
 pub mod aggregate;
-pub mod blame;
 pub mod budget;
 pub mod candidates;
 pub mod cold;
+pub mod crash_suspects;
 pub mod events;
 pub mod fallback_reader;
 pub mod fanout;
@@ -21,7 +22,6 @@
 pub mod load;
 pub mod notice;
 pub mod operator_orders;
-pub mod overload;
 pub mod pick;
 pub mod picker;
 pub mod rollout;
@@ -35,14 +35,16 @@
 pub mod team;
 pub mod unlisted;
 
+pub use admission::{AdmissionControl, ResponseTimes};
 pub use aggregate::{Aggregate, InFlightCount, ServiceLoad};
-pub use blame::{
-    Answered, Collector, Finding, HeldRow, Judgement, RequestDigest, RequestLook, ServerEnds,
-    Suspect, TablePlan, TableWatch, ToldEnd, ToldVerdict, Verdicts,
-};
 pub use budget::RetryBudget;
 pub use candidates::{Candidates, InstanceInfo};
 pub use cold::{ColdGranters, ColdGrants, ColdTerms};
+pub use crash_suspects::{
+    CrashAttribution, CrashReport, Finding, HeldRow, HeldTablePlan, HeldTableSync, Judgement,
+    RecentSuccesses, RequestDigest, RequestFingerprint, ServerCrashes, Suspect, VerdictUpdate,
+    Verdicts,
+};
 pub use events::EventSplitter;
 pub use fallback_reader::FallbackReader;
 pub use fleet_budget::{BudgetSum, FleetBudget, FleetSpentReport, RetrySpending, RunId};
@@ -57,13 +59,12 @@
 pub use load::{FleetPosition, Load, LoadReport};
 pub use notice::Notice;
 pub use operator_orders::{OperatorOrders, OrderChange, OrdersSnapshot};
-pub use overload::{AnswerTimes, Overload};
-pub use pick::{Crowded, Picked, Unpicked, Wanted};
+pub use pick::{Crowded, PickError, PickRequest, Picked};
 pub use picker::Picker;
 pub use rollout::{
-    AnswerSeen, Course, FailureDomains, Judge, LEASE, Lane, RolloutEvidence, RolloutOrder,
-    RolloutRecord, RolloutReport, RolloutState, RolloutStates, RolloutTerms, Stage, Tally,
-    ToldRollout,
+    ExposureLimit, FailureDomains, ROLLOUT_LEASE, ResponseObservation, RolloutEvidence,
+    RolloutOrder, RolloutProgress, RolloutRecord, RolloutReport, RolloutState, RolloutStates,
+    RolloutUpdate, Stage, StagePolicy, VersionEvaluation, VersionSplit,
 };
 pub use roster::{BackendServer, Roster};
 pub use roster_watch::{RosterRole, RosterStep, RosterWatch};
--- a/src/routing/picker/notices.rs
+++ b/src/routing/picker/notices.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::Picker;
-use crate::routing::{Incarnation, Notice, Wanted};
+use crate::routing::{Incarnation, Notice, PickRequest};
 
 impl Picker {
     /// Returns what a server has said of itself, to add to it.
@@ -18,19 +18,19 @@
     }
 
     /// Notes that a server said in an answer that it leaves; returns whether that is new.
-    pub fn said_leaving(&mut self, now: Instant, id: &Incarnation) -> bool {
+    pub fn note_leaving(&mut self, now: Instant, id: &Incarnation) -> bool {
         let notice = self.notice_of(now, id);
         let known = notice.is_leaving();
-        notice.leaves();
+        notice.set_leaving();
         !known
     }
 
     /// Notes that a server said in an answer that it wants no requests for `time`; returns whether it wanted some
     /// until now.
-    pub fn said_backoff(&mut self, now: Instant, id: &Incarnation, time: Duration) -> bool {
+    pub fn note_backoff(&mut self, now: Instant, id: &Incarnation, time: Duration) -> bool {
         let notice = self.notice_of(now, id);
         let known = notice.backoff_left(now).is_some();
-        notice.backs_off(now, time);
+        notice.extend_backoff(now, time);
         !known
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Returns when the first server takes requests again, where all that a request may go to want none for a while.
-    pub(super) fn backoff_left(&self, now: Instant, wanted: &Wanted<'_>) -> Option<Duration> {
+    pub(super) fn backoff_left(&self, now: Instant, wanted: &PickRequest<'_>) -> Option<Duration> {
         if !wanted.denied.is_empty() {
             return None;
         }
--- a/src/routing/picker/silent.rs
+++ b/src/routing/picker/unresponsive.rs
@@ -20,14 +20,14 @@
 impl Picker {
     /// Notes a request at `id` that has waited for a byte for longer than nearly all do; returns whether
     /// the server has come to count as silent.
-    pub fn silent(&mut self, now: Instant, id: &Incarnation) -> bool {
+    pub fn note_stall(&mut self, now: Instant, id: &Incarnation) -> bool {
         let Some(service) = self.servers.get(id).map(|t| t.server.service.clone()) else {
             return false;
         };
         if self.may_pause(now, &service) {
-            return self.servers.get_mut(id).is_some_and(|t| t.health.silent(now));
+            return self.servers.get_mut(id).is_some_and(|t| t.health.note_stall(now));
         }
-        self.bad(now, id);
+        self.note_failure(now, id);
         false
     }
 
@@ -40,14 +40,14 @@
     }
 
     /// Notes that a request that counted as waiting in vain at `id` was answered after all.
-    pub fn spoke(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.spoke(now));
+    pub fn clear_stall(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.clear_stall(now));
     }
 
     /// Returns the servers that nothing is sent to since they are silent, cannot be reached, or want no requests for
     /// a while, for the other instances; none where that is most of a service, as then it is rather this instance
     /// that is cut off.
-    pub fn own_silent(&self, now: Instant) -> Vec<Tag> {
+    pub fn own_unresponsive(&self, now: Instant) -> Vec<Tag> {
         let mut services: IndexMap<&ServiceName, (usize, Vec<Tag>)> = IndexMap::new();
         for tracked in self.servers.values() {
             let (count, paused) = services.entry(&tracked.server.service).or_default();
@@ -64,7 +64,7 @@
     }
 
     /// Takes the word of other instances that servers are silent.
-    pub fn told_silent(&mut self, now: Instant, silent: &[Tag]) {
+    pub fn note_reported_unresponsive(&mut self, now: Instant, silent: &[Tag]) {
         let told = |t: &&Tracked| silent.contains(&t.server.tag());
         let ids: Vec<Incarnation> =
             self.servers.values().filter(told).map(|t| t.server.id.clone()).collect();
@@ -72,13 +72,13 @@
             let Some(tracked) = self.servers.get(&id) else { continue };
             let known = tracked.health.is_paused(now);
             if known || self.may_pause(now, &tracked.server.service) {
-                self.with(&id, |t| t.health.told_silent(now));
+                self.with(&id, |t| t.health.note_reported_unresponsive(now));
             }
         }
     }
 
     /// Notes that a server could not be reached.
-    pub fn unreachable(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.unreachable(now));
+    pub fn note_unreachable(&mut self, now: Instant, id: &Incarnation) {
+        self.with(id, |t| t.health.note_unreachable(now));
     }
 }
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -11,7 +11,7 @@
 use super::Picker;
 use crate::{
     names::{ServiceName, SoftwareVersion, Tag},
-    routing::{BackendServer, Lane, Wanted},
+    routing::{BackendServer, PickRequest, VersionSplit},
 };
 
 /// Which servers a request may go to.
@@ -28,7 +28,7 @@
 /// The servers of a service whose version changes.
 #[derive(Debug)]
 pub(super) struct Versions {
-    lane: Lane,
+    lane: VersionSplit,
     /// Servers of the new version that are used.
     new: HashSet<Tag>,
     /// How many others there are.
@@ -37,9 +37,10 @@
 
 impl Picker {
     /// Sets which servers requests may go to, of services whose version changes.
-    pub fn set_lanes(&mut self, lanes: Vec<Lane>) {
-        let versions =
-            |lane: Lane| (lane.service.clone(), Versions { lane, new: HashSet::new(), others: 0 });
+    pub fn set_version_splits(&mut self, lanes: Vec<VersionSplit>) {
+        let versions = |lane: VersionSplit| {
+            (lane.service.clone(), Versions { lane, new: HashSet::new(), others: 0 })
+        };
         self.versions = lanes.into_iter().map(versions).collect();
         self.group_versions();
     }
@@ -62,7 +63,7 @@
     }
 
     /// Returns on which side a request is. One that has failed once goes to what is proven.
-    pub(super) fn side(&self, now: Instant, wanted: &Wanted<'_>) -> Side {
+    pub(super) fn side(&self, now: Instant, wanted: &PickRequest<'_>) -> Side {
         let Some(Versions { lane, others, .. }) = self.versions.get(wanted.service) else {
             return Side::Any;
         };
@@ -107,7 +108,7 @@
     }
 
     /// Returns how many requests of this instance are under way at servers of other versions than `to`.
-    pub fn under_way_beside(&self, service: &ServiceName, to: &SoftwareVersion) -> u32 {
+    pub fn in_flight_outside_version(&self, service: &ServiceName, to: &SoftwareVersion) -> u32 {
         let others = self.servers_of(service).filter(|t| t.server.version.as_ref() != Some(to));
         others.map(|t| t.load.own()).sum()
     }
@@ -138,7 +139,7 @@
 
 /// Returns a number in [0, 1) that is another one for each request, and says nothing of the one by which requests are
 /// refused beyond capacity.
-fn draw(wanted: &Wanted<'_>) -> f64 {
+fn draw(wanted: &PickRequest<'_>) -> f64 {
     let spread = xxh3_64(&wanted.spread.to_le_bytes());
     // 53 bits make a float in [0, 1).
     (spread >> 11) as f64 / (1u64 << 53) as f64
--- a/src/routing/rollout/judge.rs
+++ b/src/routing/rollout/evaluation.rs
@@ -12,7 +12,7 @@
 
 use indexmap::IndexMap;
 
-use super::{RolloutReport, TimeBin, ToldAnswers};
+use super::{ResponseCounts, RolloutReport, TimeBin};
 use crate::{
     names::{NodeName, SoftwareVersion, Tag},
     routing::RunId,
@@ -93,7 +93,7 @@
 
 /// The evidence of all instances on one roll-out.
 #[derive(Debug)]
-pub struct Judge {
+pub struct VersionEvaluation {
     to: SoftwareVersion,
     reporters: IndexMap<NodeName, Reporter>,
     sent: u64,
@@ -131,10 +131,10 @@
     }
 }
 
-impl Judge {
+impl VersionEvaluation {
     /// Returns the judge of a version of which nothing is known.
-    pub fn new(to: SoftwareVersion) -> Judge {
-        Judge {
+    pub fn new(to: SoftwareVersion) -> VersionEvaluation {
+        VersionEvaluation {
             to,
             reporters: IndexMap::new(),
             sent: 0,
@@ -169,7 +169,8 @@
             |count: u64, of: fn(&RolloutReport) -> u64| count.saturating_sub(before.map_or(0, of));
         self.sent += since(report.sent, |before| before.sent);
         self.sent_new += since(report.sent_new, |before| before.sent_new);
-        let news: Vec<ToldAnswers> = report.answers.iter().map(|told| told.since(before)).collect();
+        let news: Vec<ResponseCounts> =
+            report.answers.iter().map(|told| told.since(before)).collect();
         self.reporters.insert(node.clone(), Reporter { at: now, run, report });
         for told in &news {
             self.count(now, told);
@@ -177,7 +178,7 @@
         self.judge(now);
     }
 
-    fn count(&mut self, now: Instant, told: &ToldAnswers) {
+    fn count(&mut self, now: Instant, told: &ResponseCounts) {
         let Some(server) = told.server else {
             self.old.entry(told.route).or_insert_with(|| OldAnswers::new(now)).add(&told.bins);
             return;
@@ -212,14 +213,14 @@
 
     /// Returns how much speaks against the version on the route where most does. What speaks against the worst failure
     /// domain alone is left out: a server, machine or zone in trouble is no fault of the version.
-    pub fn doubt(&self) -> f64 {
+    pub fn regression_score(&self) -> f64 {
         let several = self.domains.count > 1;
-        let doubt = |(all, most): &(f64, f64)| if several { all - most } else { *all };
-        self.doubts().values().map(doubt).fold(0.0, f64::max)
+        let regression_score = |(all, most): &(f64, f64)| if several { all - most } else { *all };
+        self.doubts().values().map(regression_score).fold(0.0, f64::max)
     }
 
     /// Returns how much speaks against it on that route in all.
-    pub fn doubt_in_all(&self) -> f64 {
+    pub fn total_regression_score(&self) -> f64 {
         self.doubts().values().map(|(all, _)| *all).fold(0.0, f64::max)
     }
 
@@ -239,7 +240,7 @@
 
     /// Returns whether the version is bad.
     pub fn is_bad(&self) -> bool {
-        self.doubt() >= LIMIT
+        self.regression_score() >= LIMIT
     }
 
     /// Returns the requests sent to the service, and to the new version, since the order.
@@ -259,17 +260,17 @@
     }
 }
 
-impl ToldAnswers {
+impl ResponseCounts {
     /// Returns what has come since an earlier report.
-    fn since(&self, before: Option<&RolloutReport>) -> ToldAnswers {
-        let same = |told: &&ToldAnswers| told.route == self.route && told.server == self.server;
+    fn since(&self, before: Option<&RolloutReport>) -> ResponseCounts {
+        let same = |told: &&ResponseCounts| told.route == self.route && told.server == self.server;
         let known = before.and_then(|before| before.answers.iter().find(same));
         let count = |bin: TimeBin| {
             let bins = known.map_or(&[][..], |known| &known.bins);
             bins.iter().find(|(of, _)| *of == bin).map_or(0, |(_, count)| *count)
         };
         let bins = self.bins.iter().map(|&(bin, all)| (bin, all.saturating_sub(count(bin))));
-        ToldAnswers { bins: bins.filter(|(_, news)| *news > 0).collect(), ..*self }
+        ResponseCounts { bins: bins.filter(|(_, news)| *news > 0).collect(), ..*self }
     }
 }
 
--- a/tests/suite/backoff_drawn.rs
+++ b/tests/suite/backoff_drawn.rs
@@ -9,7 +9,9 @@
 
 use cartvane::{
     names::NodeName,
-    routing::{Aggregate, BackendServer, FleetPosition, Incarnation, Picker, Unpicked, Wanted},
+    routing::{
+        Aggregate, BackendServer, FleetPosition, Incarnation, PickError, PickRequest, Picker,
+    },
 };
 use fastrand::Rng;
 
@@ -121,8 +123,8 @@
     fn end_requests(&mut self, now: Instant) {
         while self.under_way.front().is_some_and(|(ends, ..)| *ends <= now) {
             let Some((_, instance, id)) = self.under_way.pop_front() else { return };
-            self.pickers[instance].end(&id);
-            self.pickers[instance].good(now, &id);
+            self.pickers[instance].finish_request(&id);
+            self.pickers[instance].note_success(now, &id);
         }
     }
 
@@ -137,10 +139,10 @@
             let picker = &mut self.pickers[instance];
             let own = picker.own_counts();
             self.aggregate.record_counts(now, node.clone(), own.clone());
-            self.aggregate.record_unresponsive(now, node, picker.own_silent(now));
+            self.aggregate.record_unresponsive(now, node, picker.own_unresponsive(now));
             let loads = self.aggregate.summary(now, self.servers.iter());
             picker.set_fleet_loads(now, &loads, &own);
-            picker.told_silent(now, &self.aggregate.unresponsive());
+            picker.note_reported_unresponsive(now, &self.aggregate.unresponsive());
         }
     }
 
@@ -162,15 +164,15 @@
         self.outcome.meanwhile += u32::from(refusing);
         let mut tried: Vec<Incarnation> = Vec::new();
         while tried.len() < TRIES {
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 affinity: Some(prompt.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
                 spread,
                 tried: &tried,
-                ..Wanted::of(&service)
+                ..PickRequest::new(&service)
             };
             let id = match self.pickers[instance].pick(now, &wanted) {
                 Ok(picked) => picked.server.id.clone(),
-                Err(Unpicked::Backoff { .. }) => break,
+                Err(PickError::Backoff { .. }) => break,
                 Err(why) => panic!("{why:?}"),
             };
             let at = self.servers.iter().position(|s| s.id == id).expect("a server");
@@ -182,12 +184,12 @@
                     self.outcome.afterwards += 1;
                     self.outcome.back += u32::from(self.is_in_question(at));
                 }
-                self.pickers[instance].begin(now, &id);
+                self.pickers[instance].start_request(now, &id);
                 self.under_way.push_back((now + TAKES, instance, id));
                 return;
             }
             self.asked[instance][at] = Some(now + BACKOFF);
-            self.pickers[instance].said_backoff(now, &id, BACKOFF);
+            self.pickers[instance].note_backoff(now, &id, BACKOFF);
             self.outcome.turned_away += 1;
             tried.push(id);
         }
--- a/tests/suite/intent_changes.rs
+++ b/tests/suite/intent_changes.rs
@@ -68,7 +68,7 @@
 /// Even numbers have home regions, odd ones none.
 fn homes(number: u8) -> HomeRegions {
     let region = |number: u8| format!("r{number}").parse().expect("a name");
-    HomeRegions::named((number.is_multiple_of(2)).then(|| region(number)))
+    HomeRegions::from_list((number.is_multiple_of(2)).then(|| region(number)))
 }
 
 fn build(version: u64, contents: &Contents) -> Intent {
@@ -81,7 +81,8 @@
     let spec = |number: &u8| ServiceSpec {
         max_connections: 10,
         engine: *number > 1,
-        cold: (*number > 2).then_some(ColdTerms { lasts: Duration::from_secs(3), rate: Rate(2.5) }),
+        cold: (*number > 2)
+            .then_some(ColdTerms { duration: Duration::from_secs(3), rate: Rate(2.5) }),
     };
     Intent {
         version,
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -2,7 +2,6 @@
 
 mod answers;
 mod backoff_drawn;
-mod blame;
 mod bodies;
 mod budget_fleet;
 mod budget_random;
@@ -10,8 +9,9 @@
 mod cold_drawn;
 mod cold_servers;
 mod config;
-mod deadly;
-mod deadly_drawn;
+mod crash_suspects;
+mod crashing_requests;
+mod crashing_requests_random;
 mod drain;
 mod evacuations;
 mod files;
@@ -38,7 +38,7 @@
 mod process;
 mod report;
 mod rollouts;
-mod rollouts_drawn;
+mod rollouts_random;
 mod roster_fleet;
 mod routing;
 mod scaling;
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -11,8 +11,8 @@
 use cartvane::{
     names::ServiceName,
     routing::{
-        Aggregate, AnswerTimes, BackendServer, FleetPosition, Overload, Picker, Unpicked, Wanted,
-        overload::FleetTotal,
+        AdmissionControl, Aggregate, BackendServer, FleetPosition, PickError, PickRequest, Picker,
+        ResponseTimes, admission::FleetTotal,
     },
 };
 use fastrand::Rng;
@@ -24,13 +24,13 @@
 const TARGET: Duration = Duration::from_millis(300);
 
 /// Returns what an instance has learnt of a service whose requests take a second.
-fn learnt(now: Instant) -> Overload {
-    let mut overload = Overload::default();
+fn learnt(now: Instant) -> AdmissionControl {
+    let mut overload = AdmissionControl::default();
     for priority in 0..3 {
         overload.note_request(now, priority, TARGET);
     }
-    let times = AnswerTimes { head: MS * 100, rest: MS * 900 };
-    (0..20).for_each(|_| overload.note_answer(times, false));
+    let times = ResponseTimes { head: MS * 100, body: MS * 900 };
+    (0..20).for_each(|_| overload.note_response(times, false));
     overload
 }
 
@@ -38,7 +38,8 @@
 fn the_admitted_share_falls_as_places_fill_and_the_urgent_keep_more() {
     let now = Instant::now();
     let mut overload = learnt(now);
-    let share = |overload: &Overload, rank, own| overload.admitted(now, rank, own, 400.0, 4);
+    let share =
+        |overload: &AdmissionControl, rank, own| overload.admitted(now, rank, own, 400.0, 4);
     assert_eq!(share(&overload, 2, 1000.0), 1.0, "before any exchange nothing is known");
     overload.set_fleet(FleetTotal { all: 200.0, own: 50.0, at: now });
     assert_eq!(share(&overload, 2, 1000.0), 1.0, "half of the places were free");
@@ -67,13 +68,13 @@
 #[test]
 fn the_wait_for_a_place_is_learnt_from_answers() {
     let now = Instant::now();
-    assert_eq!(Overload::default().wait(100.0, 10), Duration::ZERO, "nothing is known yet");
+    assert_eq!(AdmissionControl::default().wait(100.0, 10), Duration::ZERO, "nothing is known yet");
     let mut overload = learnt(now);
     assert_eq!(overload.wait(5.0, 10), MS * 500);
     // Time that was spent waiting is none that a request holds a place for.
-    let waited = AnswerTimes { head: MS * 700, rest: MS * 900 };
-    (0..100).for_each(|_| overload.note_answer(waited, true));
-    assert_eq!(overload.place_time(), Some(SECOND));
+    let waited = ResponseTimes { head: MS * 700, body: MS * 900 };
+    (0..100).for_each(|_| overload.note_response(waited, true));
+    assert_eq!(overload.slot_time(), Some(SECOND));
 }
 
 #[test]
@@ -82,18 +83,18 @@
     let mut overload = learnt(now);
     let most = SECOND * 3;
     let soon: Vec<Duration> =
-        [0.7, 0.8, 0.9].map(|draw| overload.refuse(now, 0.7, draw, TARGET, most)).into();
+        [0.7, 0.8, 0.9].map(|draw| overload.note_refusal(now, 0.7, draw, TARGET, most)).into();
     assert!(soon.iter().all(|&after| after >= MS * 40 && after <= MS * 150), "{soon:?}");
     assert!(soon.is_sorted_by(|a, b| a < b), "{soon:?}");
-    assert_eq!(overload.refuse(now, 0.7, 0.9, TARGET, MS * 20), MS * 20);
+    assert_eq!(overload.note_refusal(now, 0.7, 0.9, TARGET, MS * 20), MS * 20);
     // With hardly a chance they come back later, and the later the longer it has lasted.
     let mut last = Duration::ZERO;
     for tenths in 0..30 {
-        last = overload.refuse(now + MS * 100 * tenths, 0.1, 0.5, TARGET, most);
+        last = overload.note_refusal(now + MS * 100 * tenths, 0.1, 0.5, TARGET, most);
     }
     assert!(last > SECOND * 2, "{last:?}");
     let calm = now + SECOND * 10;
-    assert!(overload.refuse(calm, 0.1, 0.5, TARGET, most) < SECOND, "a new period");
+    assert!(overload.note_refusal(calm, 0.1, 0.5, TARGET, most) < SECOND, "a new period");
 }
 
 /// What happens next in a simulated fleet, in order of time.
@@ -183,7 +184,7 @@
                     self.exchange(instance);
                     self.events.push(Reverse((at + PERIOD, Next::Exchange(instance))));
                 }
-                Next::End { server, instance } => self.end(server, instance),
+                Next::End { server, instance } => self.finish_request(server, instance),
             }
         }
         self.now = until;
@@ -194,25 +195,25 @@
         let instance = self.rng.usize(0..self.pickers.len());
         let picker = &mut self.pickers[instance];
         picker.note_request(now, &self.service, rank as u8, TARGET);
-        let wanted = Wanted {
+        let wanted = PickRequest {
             service: &self.service,
             affinity: Some(self.rng.u64(0..60)),
             spread: self.rng.u64(..),
             tried: &[],
             admission: Some(rank as u8),
-            ..Wanted::of(&self.service)
+            ..PickRequest::new(&self.service)
         };
         self.asked[rank] += 1;
         match picker.pick(now, &wanted) {
             Ok(picked) => {
                 let at = self.servers.iter().position(|s| s.id == picked.server.id);
                 let at = at.expect("listed");
-                picker.begin(now, &picked.server.id);
+                picker.start_request(now, &picked.server.id);
                 self.waiting[at].push_back((now, instance));
                 self.run_next(at);
             }
-            Err(Unpicked::Overload { .. }) => self.refused[rank] += 1,
-            Err(Unpicked::NoServer | Unpicked::Backoff { .. }) => panic!("there are servers"),
+            Err(PickError::Overload { .. }) => self.refused[rank] += 1,
+            Err(PickError::NoServer | PickError::Backoff { .. }) => panic!("there are servers"),
         }
     }
 
@@ -227,12 +228,12 @@
         self.events.push(Reverse((self.now + takes, Next::End { server, instance })));
     }
 
-    fn end(&mut self, server: usize, instance: usize) {
+    fn finish_request(&mut self, server: usize, instance: usize) {
         self.running[server] -= 1;
         let picker = &mut self.pickers[instance];
-        picker.end(&self.servers[server].id);
-        let times = AnswerTimes { head: TAKES / 10, rest: TAKES * 9 / 10 };
-        picker.overload(&self.service).note_answer(times, false);
+        picker.finish_request(&self.servers[server].id);
+        let times = ResponseTimes { head: TAKES / 10, body: TAKES * 9 / 10 };
+        picker.admission(&self.service).note_response(times, false);
         self.run_next(server);
     }
 
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -251,9 +251,9 @@
         b"id: 5\ndata: x\n\nid: 6\ndata: y\n\n"
     );
     assert_eq!(splitter.last_id(), Some("6"));
-    splitter.drop_rest();
+    splitter.discard_partial();
     assert_eq!(splitter.push(b"id: 7\n\n"), b"id: 7\n\n");
-    assert_eq!(splitter.rest(), b"");
+    assert_eq!(splitter.take_remainder(), b"");
 }
 
 /// However the bytes are cut, the events come out whole, once, in order.
@@ -288,7 +288,7 @@
     let mut health = Health::default();
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        health.unreachable(now);
+        health.note_unreachable(now);
         let from = now;
         while health.is_paused(now) {
             now += Duration::from_millis(10);
@@ -298,8 +298,8 @@
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
     assert_eq!(pauses[0], Duration::from_millis(500));
     assert_eq!(pauses[5], Duration::from_secs(4));
-    health.good(now);
-    health.unreachable(now);
+    health.note_success(now);
+    health.note_unreachable(now);
     assert!(!health.is_paused(now + Duration::from_millis(500)), "a good answer starts anew");
 }
 
@@ -307,17 +307,17 @@
 fn a_report_ages_and_own_requests_count_at_once() {
     let now = Instant::now();
     let mut load = Load::default();
-    load.begin();
+    load.start_request();
     load.report(now, LoadReport { running: 20, waiting: 0, slots: 64 });
     let fresh = load.estimate(now, 5.0);
     assert!((fresh - 20.0).abs() < 0.01, "{fresh}");
-    load.begin();
+    load.start_request();
     assert!((load.estimate(now, 5.0) - 21.0).abs() < 0.01);
     let old = load.estimate(now + SECOND * 20, 5.0);
     assert!((old - 5.0).abs() < 0.1, "{old}");
-    load.end();
-    load.end();
-    load.end();
+    load.finish_request();
+    load.finish_request();
+    load.finish_request();
     assert_eq!(load.own(), 0);
 }
 
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -16,8 +16,9 @@
     gateway::{knowledge::Knowledge, list_read::ListRead},
     names::Tag,
     routing::{
-        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceListUpdate, Picker,
-        Roster, StoreEra, StoreRates, StoreShare, StoreVersion, Wanted, roster::RosterChange,
+        BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceListUpdate,
+        PickRequest, Picker, Roster, StoreEra, StoreRates, StoreShare, StoreVersion,
+        roster::RosterChange,
     },
     units::Rate,
     utils::recent::Recent,
@@ -48,7 +49,7 @@
 
 fn pick(picker: &Picker, affinity: Option<u64>, spread: u64) -> cartvane::routing::Picked {
     let service = "llm".parse().expect("a name");
-    let wanted = Wanted { affinity, spread, ..Wanted::of(&service) };
+    let wanted = PickRequest { affinity, spread, ..PickRequest::new(&service) };
     picker.pick(Instant::now(), &wanted).expect("a server")
 }
 
@@ -119,7 +120,7 @@
     for spread in 0..requests {
         let picked = pick(&picker, None, spread);
         near += u64::from(picked.server.zone.as_str() == "north");
-        picker.begin(now, &picked.server.id);
+        picker.start_request(now, &picked.server.id);
     }
     let most = picker.in_flight().map(|(_, count)| count).max().unwrap_or_default();
     assert!(most <= 2, "{most} at one server");
