--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -146,8 +146,8 @@
     (0..3).for_each(|_| picker.finish_request(&before.id));
     let counts: Vec<u32> = picker.own_counts().iter().map(|(_, count)| *count).collect();
     assert_eq!(counts, [1], "requests of the earlier incarnation do not count for the next");
-    picker.bad(now, &before.id);
-    picker.told_silent(now, &[before.tag()]);
+    picker.note_failure(now, &before.id);
+    picker.note_reported_unresponsive(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
     let wanted = PickRequest {
@@ -170,7 +170,7 @@
     let service = "llm".parse().expect("a name");
     let first_choices = |picker: &Picker| -> Vec<String> {
         let first_choice = |key: u64| {
-            let wanted = Wanted {
+            let wanted = PickRequest {
                 service: &service,
                 affinity: Some(key),
                 spread: 5,
