--- a/src/routing/incarnation.rs
+++ b/src/routing/incarnation.rs
@@ -19,7 +19,6 @@
     /// Id of the server.
     pub server: ServerId,
     /// When it started, if its entry says so.
-    #[serde(rename = "born")]
     pub started_at: Option<StartTime>,
 }
 
--- a/standins/src/measure/choices.rs
+++ b/standins/src/measure/choices.rs
@@ -81,7 +81,7 @@
 
 fn server(number: usize) -> BackendServer {
     let value = json!({
-        "id": {"server": format!("i-{number:08x}"), "born": null}, "service": "llm",
+        "id": {"server": format!("i-{number:08x}"), "started_at": null}, "service": "llm",
         "address": format!("10.{}.{}.{}:80", number >> 16, number >> 8 & 255, number & 255),
         "zone": format!("z{}", number % 6), "leaving": false, "slots": 16, "version": "v1",
         "cold_for": {"secs": 0, "nanos": 0}
