--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -150,7 +150,7 @@
     picker.note_reported_unresponsive(now, &[before.tag()]);
     let service = "llm".parse().expect("a name");
     let tried = [server("b@1000", 2).id];
-    let wanted = PickRequest {
+    let request = PickRequest {
         service: &service,
         affinity: None,
         spread: 5,
@@ -158,7 +158,7 @@
         admission: None,
         ..PickRequest::new(&service)
     };
-    assert_eq!(picker.pick(now, &wanted).expect("a server").server.id, after.id);
+    assert_eq!(picker.pick(now, &request).expect("a server").server.id, after.id);
 }
 
 #[test]
@@ -170,7 +170,7 @@
     let service = "llm".parse().expect("a name");
     let first_choices = |picker: &Picker| -> Vec<String> {
         let first_choice = |key: u64| {
-            let wanted = PickRequest {
+            let request = PickRequest {
                 service: &service,
                 affinity: Some(key),
                 spread: 5,
@@ -178,7 +178,7 @@
                 admission: None,
                 ..PickRequest::new(&service)
             };
-            picker.pick(now, &wanted).expect("a server").server.id.server.to_string()
+            picker.pick(now, &request).expect("a server").server.id.server.to_string()
         };
         (0..200).map(first_choice).collect()
     };
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -49,8 +49,8 @@
 
 fn pick(picker: &Picker, affinity: Option<u64>, spread: u64) -> cartvane::routing::Picked {
     let service = "llm".parse().expect("a name");
-    let wanted = PickRequest { affinity, spread, ..PickRequest::new(&service) };
-    picker.pick(Instant::now(), &wanted).expect("a server")
+    let request = PickRequest { affinity, spread, ..PickRequest::new(&service) };
+    picker.pick(Instant::now(), &request).expect("a server")
 }
 
 // Guards against a pick that scans and ranks every server of the service: 5.9 ms with 10,000 servers and 0.02 ms with
