--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -1,4 +1,4 @@
-//! Keeps the operator's intent up to date: does what `routing::intent_watch` says is next.
+//! Reads the operator's intent: carries out the steps that `routing::intent_watch` decides on.
 
 use std::{
     sync::Arc,
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use super::{Gateway, peers, rollout_controller, spread, start};
+use super::{Gateway, intent_relay, peers, rollout_controller, start};
 use crate::{
     adapter::{
         calls::{INTENT_KEY, INTENT_TABLE},
@@ -19,73 +19,75 @@
     },
 };
 
-/// Keeps the intent fresh until the process ends: follows it in the store where others rely on this
-/// instance, and looks there only when their news stop where it relies on others.
+/// Keeps the intent up to date until the process ends. The aggregator polls the store for changes; the other instances
+/// read it only if the updates from the aggregator stop.
 pub fn run(gateway: &Arc<Gateway>) {
-    let knowledge = &gateway.knowledge;
+    let cluster_state = &gateway.cluster_state;
     loop {
         let now = gateway.clock.now();
-        if start::waits(gateway, now) {
+        if start::is_waiting(gateway, now) {
             thread::sleep(STARTUP_POLL_INTERVAL);
             continue;
         }
-        tell_overdue(gateway, now);
+        log_overdue(gateway, now);
         gateway.refresh_orders();
         rollout_controller::spawn_if_needed(gateway);
         let role = gateway.peers.watch_role(now);
-        match knowledge.with_watch(|watch| watch.next(now, &role)) {
+        match cluster_state.with_watch(|watch| watch.next(now, &role)) {
             WatchStep::Pause(time) => thread::sleep(time),
-            WatchStep::Wait(longest) => knowledge.wait_told(longest),
-            WatchStep::Read => read_step(gateway, || read(gateway)),
+            WatchStep::Wait(longest) => cluster_state.wait_for_newer(longest),
+            WatchStep::Read => run_store_step(gateway, || read(gateway)),
             WatchStep::PollChanges { after, wait } => {
-                read_step(gateway, || follow(gateway, after, wait));
+                run_store_step(gateway, || poll_changes(gateway, after, wait));
             }
             WatchStep::AskPeers => {
                 peers::catch_up(gateway);
-                knowledge.with_watch(|watch| watch.peers_asked(gateway.clock.now(), &role));
+                cluster_state.with_watch(|watch| watch.peers_asked(gateway.clock.now(), &role));
             }
         }
     }
 }
 
-fn read_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreFault>) {
+/// Runs a step that reads the store, and reports its result to the watch.
+fn run_store_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreFault>) {
     let began = gateway.clock.now();
     match step() {
         Ok(()) => {
-            gateway.knowledge.with_watch(|watch| watch.store_read(gateway.clock.now()));
+            gateway.cluster_state.with_watch(|watch| watch.store_read(gateway.clock.now()));
         }
         Err(StoreFault::HistoryGone) => {
-            // Whatever was missed is read whole.
+            // The next step reads the whole intent.
             log::info!("event=history_gone table={INTENT_TABLE}");
-            gateway.knowledge.with_watch(|watch| watch.history_expired());
+            gateway.cluster_state.with_watch(|watch| watch.history_expired());
         }
         Err(fault) => {
             let took = gateway.clock.now().saturating_duration_since(began);
             log::warn!(
                 "event=intent_unread took_ms={} version={} reason={:?}",
                 took.as_millis(),
-                gateway.knowledge.version(),
+                gateway.cluster_state.version(),
                 fault.to_string()
             );
             gateway.store_failed("intent", &fault);
-            gateway.knowledge.with_watch(|watch| watch.store_failed());
+            gateway.cluster_state.with_watch(|watch| watch.store_failed());
         }
     }
 }
 
-fn tell_overdue(gateway: &Gateway, now: Instant) {
-    let (behind, newest) =
-        gateway.knowledge.with_watch(|watch| (watch.take_overdue(now), watch.newest()));
-    if let Some(behind) = behind {
+/// Logs that the active intent has been outdated for longer than the bound allows.
+fn log_overdue(gateway: &Gateway, now: Instant) {
+    let (overdue, newest) =
+        gateway.cluster_state.with_watch(|watch| (watch.take_overdue(now), watch.newest()));
+    if let Some(overdue) = overdue {
         log::warn!(
             "event=intent_out_of_date version={} newest={newest} for_ms={}",
-            gateway.knowledge.version(),
-            behind.as_millis()
+            gateway.cluster_state.version(),
+            overdue.as_millis()
         );
     }
 }
 
-/// Reads the intent whole.
+/// Reads the whole intent and all orders.
 ///
 /// # Errors
 ///
@@ -93,108 +95,113 @@
 fn read(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
     let at = gateway.clock.now();
     let rows = gateway.store.rows(INTENT_TABLE)?;
-    let told = OrdersSnapshot::from_changes(rows.version, orders::decode(&rows.rows));
-    gateway.knowledge.offer_orders(at, told);
-    take(gateway, &rows, at);
+    let snapshot = OrdersSnapshot::from_changes(rows.version, orders::decode(&rows.rows));
+    gateway.cluster_state.offer_orders(at, snapshot);
+    apply_rows(gateway, &rows, at);
     Ok(())
 }
 
-/// Looks once whether there is a newer intent, and takes it.
+/// Reads changes of the intent and of orders once, without waiting for them.
 ///
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn look(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
-    match gateway.knowledge.with_watch(|watch| watch.confirmed()) {
-        Some(confirmed) => follow(gateway, confirmed.store, Duration::ZERO),
+pub fn read_changes(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
+    match gateway.cluster_state.with_watch(|watch| watch.confirmed()) {
+        Some(confirmed) => poll_changes(gateway, confirmed.store, Duration::ZERO),
         None => read(gateway),
     }
 }
 
-/// Looks once for operators' orders, and puts them in force; the intent is left to the thread that follows it.
+/// Reads and applies changes of operators' orders once. The intent is left to the thread that polls it.
 ///
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn look_at_orders(gateway: &Gateway) -> Result<(), StoreFault> {
-    let Some(confirmed) = gateway.knowledge.with_watch(|watch| watch.confirmed()) else {
-        // One that knows nothing yet serves nobody.
+pub fn read_orders(gateway: &Gateway) -> Result<(), StoreFault> {
+    let Some(confirmed) = gateway.cluster_state.with_watch(|watch| watch.confirmed()) else {
+        // Without an intent, this instance serves no requests yet.
         return Ok(());
     };
     let rows = gateway.store.changes(INTENT_TABLE, confirmed.store, Duration::ZERO)?;
     let changes = orders::decode(&rows.rows);
-    gateway.knowledge.follow_orders(gateway.clock.now(), rows.version, changes);
+    gateway.cluster_state.apply_order_changes(gateway.clock.now(), rows.version, changes);
     gateway.refresh_orders();
     Ok(())
 }
 
-fn follow(gateway: &Arc<Gateway>, after: StoreVersion, wait: Duration) -> Result<(), StoreFault> {
+/// Polls the store for changes of the intent and of orders after a version, for up to `wait`.
+fn poll_changes(
+    gateway: &Arc<Gateway>,
+    after: StoreVersion,
+    wait: Duration,
+) -> Result<(), StoreFault> {
     let began = gateway.clock.now();
     let rows = gateway.store.changes(INTENT_TABLE, after, wait)?;
-    // A reply without changes came when the wait was over, so nothing had changed until then.
+    // A reply without changes arrives when the wait is over: nothing had changed until then.
     let changes = orders::decode(&rows.rows);
-    gateway.knowledge.follow_orders(began, rows.version, changes);
+    gateway.cluster_state.apply_order_changes(began, rows.version, changes);
     let unchanged = rows.rows.is_empty() && gateway.clock.now() >= began + wait;
-    take(gateway, &rows, if unchanged { began + wait } else { began });
+    apply_rows(gateway, &rows, if unchanged { began + wait } else { began });
     Ok(())
 }
 
-/// Takes the intent among rows that were current at `at`, and hands on what is new of it and of operators' orders.
-fn take(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
-    let before = gateway.knowledge.version();
+/// Applies the intent among rows that were current at `at`, and relays it if it or operators' orders have changed.
+fn apply_rows(gateway: &Arc<Gateway>, rows: &StoreRows, at: Instant) {
+    let before = gateway.cluster_state.version();
     let orders_changed = gateway.refresh_orders();
     let confirmed = Confirmation { at, store: rows.version };
     let is_intent = |row: &&StoreRow| row.key == INTENT_KEY && !row.removed;
     let is_newer = match rows.rows.iter().rev().find(is_intent) {
         None => {
-            gateway.knowledge.confirm(gateway.knowledge.version(), confirmed);
+            gateway.cluster_state.confirm(gateway.cluster_state.version(), confirmed);
             false
         }
-        Some(row) => take_row(gateway, row, confirmed),
+        Some(row) => apply_row(gateway, row, confirmed),
     };
-    // At a start all instances read; there is nothing to tell.
+    // At their start all instances read the intent, and there is nothing to relay.
     if before > 0 && (orders_changed || is_newer) {
-        spread::publish(gateway);
+        intent_relay::publish(gateway);
     }
 }
 
-/// Decodes an intent that was the newest; returns whether it is newer than the one in force, which it then replaces.
-fn take_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmation) -> bool {
+/// Decodes an intent that was the newest, and activates it if it is newer than the active one; returns whether it is.
+fn apply_row(gateway: &Arc<Gateway>, row: &StoreRow, confirmed: Confirmation) -> bool {
     let began = gateway.clock.now();
     match intent::decode(&row.value) {
         Ok(decoded) => {
-            let is_newer = gateway.knowledge.offer_intent(decoded, confirmed);
+            let is_newer = gateway.cluster_state.offer_intent(decoded, confirmed);
             if is_newer {
-                log_in_force(gateway, "store", row.value.len(), began);
+                log_activation(gateway, "store", row.value.len(), began);
             }
             is_newer
         }
         Err(fault) => {
             log::error!("event=intent_skipped source=store reason={fault}");
-            gateway.knowledge.with_watch(|watch| watch.note_store_version(confirmed.store));
+            gateway.cluster_state.with_watch(|watch| watch.note_store_version(confirmed.store));
             false
         }
     }
 }
 
-/// Puts changes that another instance tells in force.
-pub fn take_changes(gateway: &Gateway, changes: &[Arc<PackedChange>]) {
+/// Applies changes of the intent received from another instance.
+pub fn apply_changes(gateway: &Gateway, changes: &[Arc<PackedChange>]) {
     if changes.is_empty() {
         return;
     }
     let began = gateway.clock.now();
-    match gateway.knowledge.offer_changes(changes) {
+    match gateway.cluster_state.offer_changes(changes) {
         Ok(true) => {
             let bytes = changes.iter().map(|change| change.len()).sum();
-            log_in_force(gateway, "peer", bytes, began);
+            log_activation(gateway, "peer", bytes, began);
         }
         Ok(false) => {}
         Err(fault) => log::info!("event=intent_skipped source=peer reason={:?}", fault.to_string()),
     }
 }
 
-fn log_in_force(gateway: &Gateway, source: &str, bytes: usize, began: Instant) {
-    let Some(intent) = gateway.knowledge.intent() else { return };
+fn log_activation(gateway: &Gateway, source: &str, bytes: usize, began: Instant) {
+    let Some(intent) = gateway.cluster_state.intent() else { return };
     gateway.metrics.revision(intent.version);
     let took = gateway.clock.now().saturating_duration_since(began);
     log::warn!(
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -24,7 +24,7 @@
 use crate::{
     routing::{list, picker, server},
     support::eventually,
-    world::{World, call, start},
+    testbed::{Testbed, call, start},
 };
 
 /// Returns the entry of an incarnation that started at `born`, in Unix milliseconds.
@@ -34,18 +34,18 @@
     entry
 }
 
-fn put(world: &World, server: &Listed, state: &str, born: u64) {
-    world.store.put("servers", &server.id, &entry(server, state, born));
+fn put(testbed: &Testbed, server: &Listed, state: &str, born: u64) {
+    testbed.store.put("servers", &server.id, &entry(server, state, born));
 }
 
-fn own_in_flight(world: &World) -> u32 {
-    let picker = world.instance.gateway().picker.lock().expect("the picker");
+fn own_in_flight(testbed: &Testbed) -> u32 {
+    let picker = testbed.instance.gateway().picker.lock().expect("the picker");
     picker.own_counts().iter().map(|(_, count)| count).sum()
 }
 
 fn send_until_served(world: &World, what: &str) {
     eventually(what, || {
-        world.send(&call("/idem/", &format!("{what}-{}", fastrand::u64(..)))).status == 200
+        testbed.send(&call("/idem/", &format!("{what}-{}", fastrand::u64(..)))).status == 200
     });
 }
 
@@ -103,15 +103,15 @@
         let before = invalid_server.arrivals().len();
         (0..4).for_each(|i| {
             let id = format!("{number}-{i}");
-            assert_eq!(world.send(&call("/idem/", &id)).status, 200);
+            assert_eq!(testbed.send(&call("/idem/", &id)).status, 200);
         });
         assert_eq!(invalid_server.arrivals().len(), before);
         assert!(good.total_runs() > 0);
     }
 }
 
-fn servers_in_use(world: &World) -> usize {
-    world.instance.gateway().knowledge.with_servers(|roster| roster.servers().count())
+fn servers_in_use(testbed: &Testbed) -> usize {
+    testbed.instance.gateway().cluster_state.with_servers(|roster| roster.servers().count())
 }
 
 #[test]
@@ -254,9 +254,9 @@
     let mut log = SkippedLog::default();
     let first = skipped(&[row("a", 1), row("b", 2)]);
     assert!(first.iter().all(|entry| entry.reason.len() < 1000));
-    assert_eq!(log.news(&first).len(), 2);
-    assert_eq!(log.news(&first).len(), 0);
-    assert_eq!(log.news(&skipped(&[row("a", 1), row("b", 3)])).len(), 1);
+    assert_eq!(log.take_unlogged(&first).len(), 2);
+    assert_eq!(log.take_unlogged(&first).len(), 0);
+    assert_eq!(log.take_unlogged(&skipped(&[row("a", 1), row("b", 3)])).len(), 1);
 }
 
 fn random_value() -> impl Strategy<Value = Value> {
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -8,7 +8,7 @@
 };
 
 use cartvane::{
-    gateway::knowledge::Knowledge,
+    gateway::cluster_state::ClusterState,
     routing::{
         BackendServer, Candidates, FallbackReader, InstanceInfo, RosterRole, RosterStep,
         RosterWatch, ServerListUpdate, StoreEra, fallback_reader,
@@ -399,12 +399,12 @@
             .cloned(),
         _ => None,
     };
-    knowledge.observe_servers(start, as_of(1), StoreEra(0), list(1));
+    cluster_state.apply_server_list(start, as_of(1), StoreEra(0), list(1));
     let end = as_of(READS);
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for read in 2..=READS {
-                knowledge.observe_servers(end, as_of(read), StoreEra(0), list(read));
+                cluster_state.apply_server_list(end, as_of(read), StoreEra(0), list(read));
             }
         });
         for _ in 0..3 {
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -13,7 +13,7 @@
         store::{StoreRow, StoreRows},
     },
     configs::fleet::chunks::encode,
-    gateway::{knowledge::Knowledge, list_read::ListRead},
+    gateway::{cluster_state::ClusterState, server_list_cache::ServerListCache},
     names::Tag,
     routing::{
         BackendServer, CallKind, Candidates, Incarnation, InstanceInfo, InstanceListUpdate,
@@ -28,7 +28,7 @@
 use crate::{
     routing::{list, picker, server},
     support::eventually,
-    world::{intent, spawn},
+    testbed::{intent, spawn},
 };
 
 const SMALL: usize = 1_000;
@@ -132,12 +132,12 @@
 #[test]
 fn an_unchanged_list_is_confirmed_without_a_scan_of_its_servers() {
     for count in [SMALL, LARGE] {
-        let knowledge = Knowledge::new(Duration::from_secs(1));
+        let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
         let era = StoreEra::default();
-        let first = knowledge.observe_servers(now, now, era, servers(count));
+        let first = cluster_state.apply_server_list(now, now, era, servers(count));
         assert_eq!(first.added.len(), count);
-        let version = knowledge.list_version();
+        let version = cluster_state.list_version();
         let later = now + Duration::from_millis(900);
         assert!(knowledge.confirm_list(later, version, later, era), "{count} servers");
         assert_eq!(knowledge.servers_age(later), Some(Duration::ZERO));
@@ -210,7 +210,7 @@
         let count_of = |wanted: &dyn Fn(&BackendServer) -> bool| {
             instance
                 .gateway()
-                .knowledge
+                .cluster_state
                 .with_servers(|roster| roster.servers().filter(|server| wanted(server)).count())
         };
         eventually("the list is read", || count_of(&|_| true) == count);
@@ -253,7 +253,7 @@
             now_ms: 0,
             rows: (0..count).map(|number| row(number, beat, "ready")).collect(),
         };
-        let knowledge = Knowledge::new(Duration::from_secs(1));
+        let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
         let mut list = ListRead::new(now, version(1));
         list.take(rows(1));
