--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -43,7 +43,7 @@
     picker.own_counts().iter().map(|(_, count)| count).sum()
 }
 
-fn send_until_served(world: &World, what: &str) {
+fn send_until_served(testbed: &Testbed, what: &str) {
     eventually(what, || {
         testbed.send(&call("/idem/", &format!("{what}-{}", fastrand::u64(..)))).status == 200
     });
@@ -53,22 +53,22 @@
 // detected as a change, so the picker skipped the server for as long as it ran.
 #[test]
 fn a_server_that_left_is_used_again_after_a_restart() {
-    let world = start(1);
-    let server = &world.servers[0];
-    put(&world, server, "ready", 1000);
-    send_until_served(&world, "first");
-    put(&world, server, "draining", 1000);
-    eventually("nothing is sent to it", || world.send(&call("/idem/", "leaving")).status == 503);
-    put(&world, server, "ready", 2000);
-    send_until_served(&world, "again");
+    let testbed = start(1);
+    let server = &testbed.servers[0];
+    put(&testbed, server, "ready", 1000);
+    send_until_served(&testbed, "first");
+    put(&testbed, server, "draining", 1000);
+    eventually("nothing is sent to it", || testbed.send(&call("/idem/", "leaving")).status == 503);
+    put(&testbed, server, "ready", 2000);
+    send_until_served(&testbed, "again");
 }
 
 // Entries come from many writers: a field may be missing or of another type, a state may be unknown. Guards against
 // requests to a server whose state cannot be determined: an unknown state counted as ready.
 #[test]
 fn a_server_with_an_invalid_entry_is_not_used() {
-    let world = start(2);
-    let (good, invalid_server) = (&world.servers[0], &world.servers[1]);
+    let testbed = start(2);
+    let (good, invalid_server) = (&testbed.servers[0], &testbed.servers[1]);
     let whole = invalid_server.entry("app", "ready");
     let with = |name: &str, value: Value| {
         let mut entry = whole.clone();
@@ -96,10 +96,12 @@
         with("version", json!(3)),
     ];
     for (number, entry) in invalid.into_iter().enumerate() {
-        world.store.put("servers", &invalid_server.id, &whole);
-        eventually("both are used", || servers_in_use(&world) == 2);
-        world.store.put("servers", &invalid_server.id, &entry);
-        eventually(&format!("entry {number} is not used: {entry}"), || servers_in_use(&world) == 1);
+        testbed.store.put("servers", &invalid_server.id, &whole);
+        eventually("both are used", || servers_in_use(&testbed) == 2);
+        testbed.store.put("servers", &invalid_server.id, &entry);
+        eventually(&format!("entry {number} is not used: {entry}"), || {
+            servers_in_use(&testbed) == 1
+        });
         let before = invalid_server.arrivals().len();
         (0..4).for_each(|i| {
             let id = format!("{number}-{i}");
@@ -116,14 +118,14 @@
 
 #[test]
 fn an_overwritten_entry_interrupts_no_request_in_flight() {
-    let world = start(1);
-    let server = &world.servers[0];
-    world.fault(Fault::Late(Duration::from_millis(900)));
-    let callers: SocketAddr = world.instance.callers();
+    let testbed = start(1);
+    let server = &testbed.servers[0];
+    testbed.fault(Fault::Late(Duration::from_millis(900)));
+    let callers: SocketAddr = testbed.instance.callers();
     let in_flight = std::thread::spawn(move || call("/once/", "slow").send(callers));
-    eventually("the request is in flight", || own_in_flight(&world) == 1);
-    world.store.put_raw("servers", &server.id, b"\xff{".to_vec());
-    eventually("the server is not used", || servers_in_use(&world) == 0);
+    eventually("the request is in flight", || own_in_flight(&testbed) == 1);
+    testbed.store.put_raw("servers", &server.id, b"\xff{".to_vec());
+    eventually("the server is not used", || servers_in_use(&testbed) == 0);
     assert_eq!(in_flight.join().expect("a response").status, 200);
 }
 
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -67,7 +67,7 @@
     }
 }
 
-fn reply(list: ServerListUpdate) -> News {
+fn reply(list: ServerListUpdate) -> ExchangeReply {
     let service = "llm".parse().expect("a name");
     ExchangeReply {
         loads: vec![ServiceLoad {
@@ -171,10 +171,10 @@
     let [report_bytes, reply_bytes, permit, orders_bytes] =
         EARLIER_BUILDS.map(|(_, hex)| bytes_of(hex));
     let same = |read: Vec<u8>, now: Vec<u8>| assert_eq!(read, now);
-    same(encode(&decode::<Report>(&report_bytes).expect("a report")), encode(&report()));
+    same(encode(&decode::<ExchangeReport>(&report_bytes).expect("a report")), encode(&report()));
     let orders_before = OrdersSnapshot { unparsed: IndexSet::new(), ..orders() };
-    let decoded = decode::<News>(&reply_bytes).expect("a reply");
-    assert_eq!((decoded.version, &decoded.orders), (12, &orders_before));
+    let decoded = decode::<ExchangeReply>(&reply_bytes).expect("a reply");
+    assert_eq!((decoded.intent_version, &decoded.orders), (12, &orders_before));
     assert!(decode::<PermitAsk>(&permit).is_ok_and(|request| request.server == Tag(7)));
     assert_eq!(decode::<OrdersSnapshot>(&orders_bytes).expect("orders"), orders_before);
 }
--- a/tests/suite/roster_fleet.rs
+++ b/tests/suite/roster_fleet.rs
@@ -384,7 +384,7 @@
     const READS: u16 = 1500;
     let start = Instant::now();
     let as_of = |read: u16| start + Duration::from_millis(u64::from(read));
-    let knowledge = Knowledge::new(BOUND);
+    let cluster_state = ClusterState::new(BOUND);
     // The port of the first server identifies the read that the list comes from.
     let list = |read: u16| -> Vec<BackendServer> {
         let others = (0..150).map(|number| server(&format!("s{number}"), 1));
@@ -410,8 +410,8 @@
         for _ in 0..3 {
             scope.spawn(|| {
                 loop {
-                    let list = knowledge.list_told(end, None);
-                    let read = marker_of(list.news).expect("a whole list").address.port();
+                    let list = cluster_state.server_list_reply(end, None);
+                    let read = marker_of(list.update).expect("a whole list").address.port();
                     let age = list.age.expect("a list has an age");
                     assert_eq!(end - age, as_of(read), "the age is of another list");
                     if read == READS {
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -139,10 +139,10 @@
         assert_eq!(first.added.len(), count);
         let version = cluster_state.list_version();
         let later = now + Duration::from_millis(900);
-        assert!(knowledge.confirm_list(later, version, later, era), "{count} servers");
-        assert_eq!(knowledge.servers_age(later), Some(Duration::ZERO));
-        let reply = knowledge.list_told(later, version);
-        assert!(encode(&reply.news).len() < 16, "{count} servers");
+        assert!(cluster_state.confirm_list(later, version, later, era), "{count} servers");
+        assert_eq!(cluster_state.servers_age(later), Some(Duration::ZERO));
+        let reply = cluster_state.server_list_reply(later, version);
+        assert!(encode(&reply.update).len() < 16, "{count} servers");
     }
 }
 
@@ -255,17 +255,25 @@
         };
         let cluster_state = ClusterState::new(Duration::from_secs(1));
         let now = Instant::now();
-        let mut list = ListRead::new(now, version(1));
-        list.take(rows(1));
-        assert_eq!(list.told(), None, "all servers are new");
-        knowledge.observe_servers(now, now, StoreEra::default(), list.servers());
-        list.set_told(knowledge.list_version());
-        list.take(rows(2));
-        assert_eq!(list.told(), knowledge.list_version(), "{count} heartbeats change nothing");
-        list.take(StoreRows { version: version(3), now_ms: 0, rows: vec![row(7, 3, "draining")] });
-        assert_eq!(list.told(), None, "a leaving server is a change");
-        list.take(rows(4));
-        assert_eq!(list.told(), None, "the change is not applied yet");
+        let mut list = ServerListCache::new(now, version(1));
+        list.apply_rows(rows(1));
+        assert_eq!(list.unchanged_version(), None, "all servers are new");
+        cluster_state.apply_server_list(now, now, StoreEra::default(), list.servers());
+        list.mark_applied(cluster_state.list_version());
+        list.apply_rows(rows(2));
+        assert_eq!(
+            list.unchanged_version(),
+            cluster_state.list_version(),
+            "{count} heartbeats change nothing"
+        );
+        list.apply_rows(StoreRows {
+            version: version(3),
+            now_ms: 0,
+            rows: vec![row(7, 3, "draining")],
+        });
+        assert_eq!(list.unchanged_version(), None, "a leaving server is a change");
+        list.apply_rows(rows(4));
+        assert_eq!(list.unchanged_version(), None, "the change is not applied yet");
     }
 }
 
