--- a/src/routing/roster.rs
+++ b/src/routing/roster.rs
@@ -22,7 +22,7 @@
 /// while any instance can read them.
 const OUTAGE_AGE: Duration = Duration::from_millis(2500);
 
-/// How long a removed server is remembered: the store may be restored from a backup some seconds old that still lists
+/// How long a removed server is remembered: the store may be restored from a copy some seconds old that still lists
 /// it.
 const REMOVED_TTL: Duration = Duration::from_secs(30);
 
--- a/src/routing/store_version.rs
+++ b/src/routing/store_version.rs
@@ -1,4 +1,4 @@
-//! Versions of the platform's store, which may be restored from a backup some seconds old.
+//! Versions of the platform's store, which may be restored from a copy some seconds old.
 
 use std::{fmt, time::Duration};
 
@@ -9,7 +9,7 @@
 /// sites); an entry that is not written expires after three heartbeats.
 pub const SETTLING_TIME: Duration = Duration::from_secs(5);
 
-/// Number of times that the store has been restored from a backup.
+/// Number of times that the store has been restored from a copy.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -17,7 +17,7 @@
 pub struct StoreEra(pub u64);
 
 /// A version of the store. Its one counter increases with each change of any table and decreases when the store is
-/// restored from a backup; versions of a later era are therefore later whatever their counter.
+/// restored from a copy; versions of a later era are therefore later whatever their counter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreVersion {
     /// Era of the counter.
