--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -13,7 +13,7 @@
 
 use indexmap::IndexMap;
 
-use super::load::FLEET_LIFE;
+use super::load::FLEET_COUNT_MAX_AGE;
 
 /// Part of the shortest target latency beyond which nothing waits for a place, whatever the admitted share:
 /// what would wait longer is late, with the time that its prompt is read in.
@@ -164,24 +164,24 @@
     }
 
     /// Takes what all instances had in flight at the last exchange.
-    pub fn set_fleet(&mut self, total: FleetTotal) {
+    pub fn set_fleet_total(&mut self, total: FleetTotal) {
         self.fleet = Some(total);
     }
 
     /// Returns what all had in flight, unless that is older than a request takes: then it has been replaced
     /// by other requests since.
     fn fleet(&self, now: Instant) -> Option<FleetTotal> {
-        let life = self.slot_time()?.min(FLEET_LIFE);
+        let life = self.slot_time()?.min(FLEET_COUNT_MAX_AGE);
         self.fleet.filter(|f| now.saturating_duration_since(f.at) < life)
     }
 
     /// Returns whether the other instances' requests are known as they are now.
-    pub fn is_current(&self, now: Instant) -> bool {
+    pub fn has_recent_counts(&self, now: Instant) -> bool {
         self.fleet(now).is_some()
     }
 
     /// Returns whether few of a service's `places` were free at the last exchange.
-    pub fn is_filled(&self, now: Instant, places: f64) -> bool {
+    pub fn is_nearly_full(&self, now: Instant, places: f64) -> bool {
         places > 0.0 && self.fleet(now).is_some_and(|fleet| fleet.all >= FILLED * places)
     }
 
@@ -190,8 +190,8 @@
     ///
     /// It is what the instance had, grown or shrunk as all must; one that had little gets at least an
     /// equal part of what is free.
-    fn own_places(&self, now: Instant, places: f64, instances: usize) -> Option<f64> {
-        if !self.is_filled(now, places) {
+    fn own_slots(&self, now: Instant, places: f64, instances: usize) -> Option<f64> {
+        if !self.is_nearly_full(now, places) {
             return None;
         }
         let fleet = self.fleet(now)?;
@@ -202,7 +202,7 @@
 
     /// Returns the share of the requests of a rank that is admitted by an instance that has `own` requests
     /// in flight at servers with `places` together, shared by `instances`.
-    pub fn admitted(
+    pub fn admitted_share(
         &self,
         now: Instant,
         priority: u8,
@@ -210,15 +210,15 @@
         places: f64,
         instances: usize,
     ) -> f64 {
-        let Some(own_places) = self.own_places(now, places, instances) else { return 1.0 };
-        let share = ((TAKEN.1 - own / own_places) / (TAKEN.1 - TAKEN.0)).clamp(0.0, 1.0);
+        let Some(own_slots) = self.own_slots(now, places, instances) else { return 1.0 };
+        let share = ((TAKEN.1 - own / own_slots) / (TAKEN.1 - TAKEN.0)).clamp(0.0, 1.0);
         let others = self.recent(now).count().saturating_sub(1).max(1) as f64;
         let ahead = self.recent(now).filter(|(other, _)| **other < priority).count() as f64;
         share.powf(1.0 + URGENCY * (ahead / others - 0.5))
     }
 
     /// Returns how long a request may be expected to wait for a place and still be sent.
-    pub fn admissible_wait(&self, now: Instant) -> Duration {
+    pub fn max_wait(&self, now: Instant) -> Duration {
         self.shortest_target(now).map_or(Duration::ZERO, |target| target.mul_f64(WAIT_MOST))
     }
 
@@ -234,12 +234,12 @@
 
     /// Notes a refusal and returns when its caller should come back.
     ///
-    /// `admitted` is the share of requests of its rank that is admitted, `draw` in [0, 1) another one for
+    /// `admitted_share` is the share of requests of its rank that is admitted, `draw` in [0, 1) another one for
     /// each caller, and `most` the longest time that makes sense for this one.
     pub fn note_refusal(
         &mut self,
         now: Instant,
-        admitted: f64,
+        admitted_share: f64,
         draw: f64,
         target: Duration,
         most: Duration,
@@ -250,9 +250,10 @@
         };
         self.period = Some((since, now));
         // Only draws from the admitted share upwards are refused.
-        let draw = ((draw - admitted) / (1.0 - admitted).max(f64::EPSILON)).clamp(0.0, 1.0);
+        let draw =
+            ((draw - admitted_share) / (1.0 - admitted_share).max(f64::EPSILON)).clamp(0.0, 1.0);
         let between = |(least, most): (f64, f64)| least + draw * (most - least);
-        let after = if admitted >= SOON_FROM {
+        let after = if admitted_share >= SOON_FROM {
             target.mul_f64(between(SOON))
         } else {
             let lasted = now.saturating_duration_since(since);
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -10,7 +10,7 @@
 const QUEUE_LIFE: Duration = Duration::from_millis(300);
 
 /// Age up to which the counts of all instances are believed: a few exchanges.
-pub(super) const FLEET_LIFE: Duration = Duration::from_millis(2000);
+pub(super) const FLEET_COUNT_MAX_AGE: Duration = Duration::from_millis(2000);
 
 /// How long a server counts as crowded after it was beyond its limit: many exchanges, as all instances
 /// learn late that it has room again, and at the same time.
@@ -91,7 +91,13 @@
 
     /// Takes what all instances have in flight, of which `own` is what this one told; returns whether the
     /// server has become crowded.
-    pub fn set_fleet(&mut self, now: Instant, all: f64, own: u32, bounds: LoadBounds) -> bool {
+    pub fn set_fleet_count(
+        &mut self,
+        now: Instant,
+        all: f64,
+        own: u32,
+        bounds: LoadBounds,
+    ) -> bool {
         let was_crowded = self.is_crowded(now);
         let number = self.fleet.map_or(0, |fleet| fleet.number.wrapping_add(1));
         self.fleet = Some(FleetCount { number, all, own, at: now });
@@ -110,7 +116,7 @@
     }
 
     fn fleet(&self, now: Instant) -> Option<FleetCount> {
-        self.fleet.filter(|fleet| now.saturating_duration_since(fleet.at) < FLEET_LIFE)
+        self.fleet.filter(|fleet| now.saturating_duration_since(fleet.at) < FLEET_COUNT_MAX_AGE)
     }
 
     /// Returns the other instances' requests in flight, while that is known.
@@ -119,7 +125,7 @@
     }
 
     /// Returns by how many requests the server is under `bound`, as far as is known.
-    pub fn room(&self, now: Instant, bound: f64, usual: f64) -> f64 {
+    pub fn headroom(&self, now: Instant, bound: f64, usual: f64) -> f64 {
         bound - self.estimate(now, usual)
     }
 
@@ -130,24 +136,24 @@
     /// An instance has what it had at the last exchange, and of the room that there was its part, or it
     /// gives up in proportion to the excess (additive increase, multiplicative decrease). If all went by
     /// the sum alone, they would leave a server together, find it empty together, and come back together.
-    /// `turn` in [0, 1) is another one at each instance, so that a part of a request is a whole one at
+    /// `phase` in [0, 1) is another one at each instance, so that a part of a request is a whole one at
     /// that part of them.
-    pub fn allotted(
+    pub fn allotment(
         &self,
         now: Instant,
         aim: f64,
         position: FleetPosition,
-        turn: f64,
+        phase: f64,
     ) -> Option<f64> {
         let fleet = self.fleet(now)?;
         let own = f64::from(fleet.own);
         if fleet.all <= aim {
-            let allotted = own + (aim - fleet.all) / position.instances.max(1) as f64;
-            return Some(allotted - turn - f64::from(self.own));
+            let allotment = own + (aim - fleet.all) / position.instances.max(1) as f64;
+            return Some(allotment - phase - f64::from(self.own));
         }
         // Where many have one request each, those whose turn is low would keep it however far the server is beyond its bound.
-        let turn = (turn + f64::from(fleet.number) * TURN_STEP).fract();
-        Some(own * aim / fleet.all - turn - f64::from(self.own))
+        let phase = (phase + f64::from(fleet.number) * TURN_STEP).fract();
+        Some(own * aim / fleet.all - phase - f64::from(self.own))
     }
 
     /// Returns this instance's own requests in flight.
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -61,20 +61,20 @@
         let aim = aim(bound).max(scarce_aim);
         let home_crowded = is_scarce || rank.first().is_some_and(|&i| pool[i].load.is_crowded(now));
         let room = |&i: &usize| {
-            let (load, turn) = (&pool[i].load, self.turn(pool[i].server.place()));
+            let (load, phase) = (&pool[i].load, self.phase(pool[i].server.place()));
             let crowded = home_crowded || load.is_crowded(now);
             let allotted =
-                if crowded { load.allotted(now, aim, self.position, turn) } else { None };
-            allotted.unwrap_or_else(|| load.room(now, bound, usual))
+                if crowded { load.allotment(now, aim, self.position, phase) } else { None };
+            allotted.unwrap_or_else(|| load.headroom(now, bound, usual))
         };
         let rooms: Vec<f64> = rank.iter().map(room).collect();
         let waits: Vec<Duration> =
             rank.iter().map(|&i| self.wait(now, pool[i], loads[i])).collect();
         let admission = self.admission.get(wanted.service);
-        let admissible = admission.map_or(Duration::ZERO, |o| o.admissible_wait(now));
+        let admissible = admission.map_or(Duration::ZERO, |o| o.max_wait(now));
         let ranked = || rank.iter().enumerate();
         let filled =
-            admission.is_some_and(|o| o.is_filled(now, self.places_of(now, wanted.service)));
+            admission.is_some_and(|o| o.is_nearly_full(now, self.places_of(now, wanted.service)));
         let free = |&(at, &i): &(usize, &usize)| {
             let own_place = !filled || self.has_own_place(now, pool[i]);
             rooms[at] > 0.0 && waits[at].is_zero() && own_place && !is_full(now, pool[i])
--- a/src/routing/picker/members.rs
+++ b/src/routing/picker/members.rs
@@ -13,7 +13,7 @@
 use super::{Picker, Tracked};
 use crate::{
     names::ServiceName,
-    routing::{BackendServer, PickRequest, load::FLEET_LIFE},
+    routing::{BackendServer, PickRequest, load::FLEET_COUNT_MAX_AGE},
 };
 
 /// Servers of a service up to which a request looks at all.
@@ -81,7 +81,7 @@
     /// Returns what all instances have in flight at each on the mean, while that is known.
     pub(super) fn mean(&self, now: Instant) -> Option<f64> {
         let (others, at) = self.others?;
-        let is_young = now.saturating_duration_since(at) < FLEET_LIFE;
+        let is_young = now.saturating_duration_since(at) < FLEET_COUNT_MAX_AGE;
         is_young.then(|| (others + f64::from(self.own)) / self.all.len().max(1) as f64)
     }
 
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -212,11 +212,11 @@
         };
         let admitted = match self.places(now, wanted.service) {
             Some((own, places)) => {
-                admission.admitted(now, priority, own, places, self.position.instances)
+                admission.admitted_share(now, priority, own, places, self.position.instances)
             }
             None => 1.0,
         };
-        if wanted.draw() >= admitted || picked.wait > admission.admissible_wait(now) {
+        if wanted.draw() >= admitted || picked.wait > admission.max_wait(now) {
             return Err(PickError::Overload { admitted, wait: picked.wait });
         }
         Ok(picked)
@@ -308,12 +308,12 @@
                 let all = all.max(f64::from(own));
                 total.all += all;
                 total.own += f64::from(own);
-                if tracked.load.set_fleet(now, all, own, bounds) {
+                if tracked.load.set_fleet_count(now, all, own, bounds) {
                     let server = tracked.server.id.clone();
                     crowded.push(Crowded { server, load: all, limit: bounds.limit });
                 }
             }
-            self.admission.entry(load.service.clone()).or_default().set_fleet(total);
+            self.admission.entry(load.service.clone()).or_default().set_fleet_total(total);
             self.set_others(now, &load.service, (total.all - total.own).max(0.0));
         }
         self.sum_up(now);
@@ -360,7 +360,7 @@
 
     /// Returns this instance's turn at a server, in [0, 1): each instance has another one, and another
     /// at each server.
-    fn turn(&self, server: Tag) -> f64 {
+    fn phase(&self, server: Tag) -> f64 {
         let FleetPosition { number, instances } = self.position;
         ((number + server.0 as usize) % instances.max(1)) as f64 / instances.max(1) as f64
     }
--- a/src/routing/picker/places.rs
+++ b/src/routing/picker/places.rs
@@ -15,9 +15,9 @@
     /// saw the same free place, all would take it.
     pub(super) fn has_own_place(&self, now: Instant, tracked: &Tracked) -> bool {
         let Some(slots) = tracked.server.slots else { return true };
-        let turn = self.turn(tracked.server.place());
-        let allotted = tracked.load.allotted(now, f64::from(slots), self.position, turn);
-        allotted.is_none_or(|more| more > 0.0)
+        let phase = self.phase(tracked.server.place());
+        let allotment = tracked.load.allotment(now, f64::from(slots), self.position, phase);
+        allotment.is_none_or(|more| more > 0.0)
     }
 
     /// Returns how long a request waits for a place at a server with `load` in flight.
@@ -28,7 +28,7 @@
             return Duration::ZERO;
         };
         // By counts that are older than a request takes, all would leave a server and flood another.
-        if !admission.is_current(now) {
+        if !admission.has_recent_counts(now) {
             return Duration::ZERO;
         }
         admission.wait(tracked.load.queued(now, load, slots), slots)
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -39,11 +39,11 @@
     let now = Instant::now();
     let mut overload = learnt(now);
     let share =
-        |overload: &AdmissionControl, rank, own| overload.admitted(now, rank, own, 400.0, 4);
+        |overload: &AdmissionControl, rank, own| overload.admitted_share(now, rank, own, 400.0, 4);
     assert_eq!(share(&overload, 2, 1000.0), 1.0, "before any exchange nothing is known");
-    overload.set_fleet(FleetTotal { all: 200.0, own: 50.0, at: now });
+    overload.set_fleet_total(FleetTotal { all: 200.0, own: 50.0, at: now });
     assert_eq!(share(&overload, 2, 1000.0), 1.0, "half of the places were free");
-    overload.set_fleet(FleetTotal { all: 400.0, own: 100.0, at: now });
+    overload.set_fleet_total(FleetTotal { all: 400.0, own: 100.0, at: now });
     assert_eq!(share(&overload, 2, 80.0), 1.0);
     let shares: Vec<f64> = (80..=110).map(|own| share(&overload, 1, f64::from(own))).collect();
     assert!(shares.is_sorted_by(|a, b| a >= b), "{shares:?}");
@@ -51,7 +51,7 @@
     let ranks: Vec<f64> = (0..3).map(|rank| share(&overload, rank, 95.0)).collect();
     assert!(ranks[0] > ranks[1] && ranks[1] > ranks[2], "{ranks:?}");
     // An instance that had more than its part gives up in proportion.
-    overload.set_fleet(FleetTotal { all: 800.0, own: 100.0, at: now });
+    overload.set_fleet_total(FleetTotal { all: 800.0, own: 100.0, at: now });
     assert_eq!(share(&overload, 0, 60.0), 0.0);
     assert_eq!(share(&overload, 0, 40.0), 1.0);
 }
@@ -60,9 +60,9 @@
 fn counts_older_than_a_request_takes_refuse_nothing() {
     let now = Instant::now();
     let mut overload = learnt(now);
-    overload.set_fleet(FleetTotal { all: 400.0, own: 100.0, at: now });
-    assert_eq!(overload.admitted(now + MS * 900, 0, 200.0, 400.0, 4), 0.0);
-    assert_eq!(overload.admitted(now + MS * 1100, 0, 200.0, 400.0, 4), 1.0);
+    overload.set_fleet_total(FleetTotal { all: 400.0, own: 100.0, at: now });
+    assert_eq!(overload.admitted_share(now + MS * 900, 0, 200.0, 400.0, 4), 0.0);
+    assert_eq!(overload.admitted_share(now + MS * 1100, 0, 200.0, 400.0, 4), 1.0);
 }
 
 #[test]
