--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -49,7 +49,7 @@
     ) -> Option<Picked> {
         let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, usual)).collect();
         let bound = self.bounds(self.mean_load(now, wanted.service, &loads)).spill;
-        let rank = if self.has_few(wanted.service) {
+        let rank = if self.is_small(wanted.service) {
             rendezvous::ranked(key, pool.iter().map(|t| (t.server.place(), 1.0)))
         } else {
             // They come in their rank.
@@ -74,9 +74,9 @@
         let admissible = admission.map_or(Duration::ZERO, |o| o.max_wait(now));
         let ranked = || rank.iter().enumerate();
         let filled =
-            admission.is_some_and(|o| o.is_nearly_full(now, self.places_of(now, wanted.service)));
+            admission.is_some_and(|o| o.is_nearly_full(now, self.slots_of(now, wanted.service)));
         let free = |&(at, &i): &(usize, &usize)| {
-            let own_place = !filled || self.has_own_place(now, pool[i]);
+            let own_place = !filled || self.has_allotted_slot(now, pool[i]);
             rooms[at] > 0.0 && waits[at].is_zero() && own_place && !is_full(now, pool[i])
         };
         let soon = |&(at, _): &(usize, &usize)| rooms[at] > 0.0 && waits[at] <= admissible;
@@ -99,7 +99,7 @@
 
     /// Returns the mean load of a service's servers, of which those that a request looks at have `loads`.
     fn mean_load(&self, now: Instant, service: &ServiceName, loads: &[f64]) -> f64 {
-        if !self.has_few(service)
+        if !self.is_small(service)
             && let Some(mean) = self.members.get(service).and_then(|of| of.mean(now))
         {
             return mean;
@@ -137,7 +137,7 @@
         };
         let looked_at = self.looked_at(wanted, 0);
         let mut possible = looked_at.into_iter().filter(reachable);
-        if !self.has_few(&picked.service) {
+        if !self.is_small(&picked.service) {
             return possible.next().map(|t| Arc::clone(&t.server));
         }
         let score = |t: &Tracked| rendezvous::score(key, t.server.place(), 1.0);
--- a/src/routing/picker/members.rs
+++ b/src/routing/picker/members.rs
@@ -37,7 +37,7 @@
     /// What the others had in flight there at the last exchange, and when that was.
     others: Option<(f64, Instant)>,
     /// Requests that they run at once, as of the last exchange; `None` where some do not say.
-    places: Option<f64>,
+    slots: Option<f64>,
     /// Those in emptied zones.
     evacuated: usize,
 }
@@ -74,7 +74,7 @@
 
 impl Members {
     /// Returns whether a request looks at all of them.
-    pub(super) fn are_few(&self) -> bool {
+    pub(super) fn is_small(&self) -> bool {
         self.all.len() <= LOOKED_AT_ALL
     }
 
@@ -87,7 +87,7 @@
 
     /// Returns the servers that a request looks at, those first that it should go to.
     fn near(&self, wanted: &PickRequest<'_>, probes: usize) -> Vec<usize> {
-        if self.are_few() || probes >= self.all.len() {
+        if self.is_small() || probes >= self.all.len() {
             return self.all.clone();
         }
         let Some(key) = wanted.affinity else {
@@ -109,7 +109,7 @@
             of.all.push(at);
             of.own += tracked.load.own();
         }
-        for (service, of) in members.iter_mut().filter(|(_, of)| !of.are_few()) {
+        for (service, of) in members.iter_mut().filter(|(_, of)| !of.is_small()) {
             for &at in &of.all {
                 let server = &self.servers[at].server;
                 of.ring.push(server, at);
@@ -127,12 +127,12 @@
     /// Sums up what is known of the servers of each large service, after the list or the counts of all instances have changed.
     pub(super) fn sum_up(&mut self, now: Instant) {
         let mut members = std::mem::take(&mut self.members);
-        for of in members.values_mut().filter(|of| !of.are_few()) {
+        for of in members.values_mut().filter(|of| !of.is_small()) {
             let tracked = || of.all.iter().map(|&at| &self.servers[at]);
             let in_use = || {
                 tracked().filter(|t| self.takes_requests(now, t) && self.is_in_use(now, &t.server))
             };
-            of.places = in_use().map(|t| t.server.slots.map(f64::from)).sum();
+            of.slots = in_use().map(|t| t.server.slots.map(f64::from)).sum();
             of.evacuated = tracked().filter(|t| self.is_evacuated(t)).count();
         }
         self.members = members;
@@ -161,18 +161,18 @@
 
     /// Returns in how many steps a request to a service looks at all its servers.
     pub(super) fn steps(&self, service: &ServiceName) -> usize {
-        if self.has_few(service) { 1 } else { 3 }
+        if self.is_small(service) { 1 } else { 3 }
     }
 
     /// Returns whether a request to a service looks at all its servers.
-    pub(super) fn has_few(&self, service: &ServiceName) -> bool {
-        self.members.get(service).is_none_or(Members::are_few)
+    pub(super) fn is_small(&self, service: &ServiceName) -> bool {
+        self.members.get(service).is_none_or(Members::is_small)
     }
 
     /// Returns how many servers of a service are in emptied zones. They count in the mean: the others' bound is one of all.
     pub(super) fn evacuated_of(&self, service: &ServiceName) -> usize {
         let Some(of) = self.members.get(service) else { return 0 };
-        if !of.are_few() {
+        if !of.is_small() {
             return of.evacuated;
         }
         self.servers_of(service).filter(|tracked| self.is_evacuated(tracked)).count()
@@ -184,18 +184,18 @@
 
     /// Returns this instance's requests in flight at the servers of a service, and how many these run at once; `None` where
     /// some do not say.
-    pub(super) fn places(&self, now: Instant, service: &ServiceName) -> Option<(f64, f64)> {
-        if let Some(of) = self.members.get(service).filter(|of| !of.are_few()) {
-            return of.places.map(|places| (f64::from(of.own), places));
+    pub(super) fn slots(&self, now: Instant, service: &ServiceName) -> Option<(f64, f64)> {
+        if let Some(of) = self.members.get(service).filter(|of| !of.is_small()) {
+            return of.slots.map(|slots| (f64::from(of.own), slots));
         }
-        let (mut own, mut places) = (0.0, 0.0);
+        let (mut own, mut slots) = (0.0, 0.0);
         for tracked in self.servers_of(service) {
             if !self.takes_requests(now, tracked) || !self.is_in_use(now, &tracked.server) {
                 continue;
             }
             own += f64::from(tracked.load.own());
-            places += f64::from(tracked.server.slots?);
+            slots += f64::from(tracked.server.slots?);
         }
-        Some((own, places))
+        Some((own, slots))
     }
 }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -8,7 +8,7 @@
 mod least_loaded;
 mod members;
 mod notices;
-mod places;
+mod slots;
 mod unresponsive;
 mod versions;
 
@@ -210,9 +210,9 @@
         else {
             return Ok(picked);
         };
-        let admitted = match self.places(now, wanted.service) {
-            Some((own, places)) => {
-                admission.admitted_share(now, priority, own, places, self.position.instances)
+        let admitted = match self.slots(now, wanted.service) {
+            Some((own, slots)) => {
+                admission.admitted_share(now, priority, own, slots, self.position.instances)
             }
             None => 1.0,
         };
--- a/src/routing/picker/places.rs
+++ b/src/routing/picker/slots.rs
@@ -7,13 +7,13 @@
 
 impl Picker {
     /// Returns how many requests the servers of a service run at once; 0 where some do not say.
-    pub(super) fn places_of(&self, now: Instant, service: &ServiceName) -> f64 {
-        self.places(now, service).map_or(0.0, |(_, places)| places)
+    pub(super) fn slots_of(&self, now: Instant, service: &ServiceName) -> f64 {
+        self.slots(now, service).map_or(0.0, |(_, slots)| slots)
     }
 
     /// Returns whether this instance has a part of the free places of a server, where few are free: if all
     /// saw the same free place, all would take it.
-    pub(super) fn has_own_place(&self, now: Instant, tracked: &Tracked) -> bool {
+    pub(super) fn has_allotted_slot(&self, now: Instant, tracked: &Tracked) -> bool {
         let Some(slots) = tracked.server.slots else { return true };
         let phase = self.phase(tracked.server.place());
         let allotment = tracked.load.allotment(now, f64::from(slots), self.position, phase);
