--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -43,13 +43,13 @@
         &self,
         now: Instant,
         key: u64,
-        wanted: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         pool: &[&Tracked],
         usual: f64,
     ) -> Option<Picked> {
         let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, usual)).collect();
-        let bound = self.bounds(self.mean_load(now, wanted.service, &loads)).spill;
-        let rank = if self.is_small(wanted.service) {
+        let bound = self.bounds(self.mean_load(now, request.service, &loads)).spill;
+        let rank = if self.is_small(request.service) {
             rendezvous::ranked(key, pool.iter().map(|t| (t.server.place(), 1.0)))
         } else {
             // They come in their rank.
@@ -70,11 +70,11 @@
         let rooms: Vec<f64> = rank.iter().map(room).collect();
         let waits: Vec<Duration> =
             rank.iter().map(|&i| self.wait(now, pool[i], loads[i])).collect();
-        let admission = self.admission.get(wanted.service);
+        let admission = self.admission.get(request.service);
         let admissible = admission.map_or(Duration::ZERO, |o| o.max_wait(now));
         let ranked = || rank.iter().enumerate();
         let filled =
-            admission.is_some_and(|o| o.is_nearly_full(now, self.slots_of(now, wanted.service)));
+            admission.is_some_and(|o| o.is_nearly_full(now, self.slots_of(now, request.service)));
         let free = |&(at, &i): &(usize, &usize)| {
             let own_place = !filled || self.has_allotted_slot(now, pool[i]);
             rooms[at] > 0.0 && waits[at].is_zero() && own_place && !is_full(now, pool[i])
@@ -82,7 +82,7 @@
         let soon = |&(at, _): &(usize, &usize)| rooms[at] > 0.0 && waits[at] <= admissible;
         let most = || {
             if is_scarce {
-                let from = usize::try_from(wanted.spread % rank.len().max(1) as u64).unwrap_or(0);
+                let from = usize::try_from(request.spread % rank.len().max(1) as u64).unwrap_or(0);
                 let some = ranked().cycle().skip(from).take(SCARCE_CHOICES.min(rank.len()));
                 return some.min_by(|a, b| loads[*a.1].total_cmp(&loads[*b.1]));
             }
@@ -90,7 +90,7 @@
         };
         let (at, &i) = ranked().find(free).or_else(|| ranked().find(soon)).or_else(most)?;
         let server = Arc::clone(&pool[i].server);
-        let holder = self.holder(now, key, wanted, &server);
+        let holder = self.holder(now, key, request, &server);
         let cold = pool[i].is_cold(now);
         let considered = pool.len();
         let (load, wait) = (loads[i], waits[at]);
@@ -100,7 +100,7 @@
     /// Returns the mean load of a service's servers, of which those that a request looks at have `loads`.
     fn mean_load(&self, now: Instant, service: &ServiceName, loads: &[f64]) -> f64 {
         if !self.is_small(service)
-            && let Some(mean) = self.members.get(service).and_then(|of| of.mean(now))
+            && let Some(mean) = self.by_service.get(service).and_then(|of| of.mean(now))
         {
             return mean;
         }
@@ -121,7 +121,7 @@
         &self,
         now: Instant,
         key: u64,
-        wanted: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         picked: &BackendServer,
     ) -> Option<Arc<BackendServer>> {
         // A server at which this request has failed may be gone, and would be waited for; one that wants no requests is
@@ -129,14 +129,14 @@
         let reachable = |t: &&Tracked| {
             t.server.service == picked.service
                 && t.notice.backoff_left(now).is_none()
-                && !wanted.tried.contains(&t.server.id)
+                && !request.tried.contains(&t.server.id)
                 && t.server.id != picked.id
-                && self.is_home(&t.server, wanted)
+                && self.is_in_home_region(&t.server, request)
                 && self.shares_memory(&t.server, picked)
                 && !t.health.is_paused(now)
         };
-        let looked_at = self.looked_at(wanted, 0);
-        let mut possible = looked_at.into_iter().filter(reachable);
+        let candidates = self.candidates(request, 0);
+        let mut possible = candidates.into_iter().filter(reachable);
         if !self.is_small(&picked.service) {
             return possible.next().map(|t| Arc::clone(&t.server));
         }
--- a/src/routing/picker/least_loaded.rs
+++ b/src/routing/picker/least_loaded.rs
@@ -29,7 +29,7 @@
     pub(super) fn by_load(
         &self,
         now: Instant,
-        wanted: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         pool: &[&Tracked],
     ) -> Option<Picked> {
         let others: Vec<f64> = pool.iter().map(|t| t.load.others(now).unwrap_or(0.0)).collect();
@@ -45,7 +45,7 @@
             let weight = if server.zone == self.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
             // Of its own requests an instance knows for sure.
             let own = f64::from(pool[at].load.own());
-            rendezvous::score(wanted.spread, server.place(), weight / (1.0 + own))
+            rendezvous::score(request.spread, server.place(), weight / (1.0 + own))
         };
         let near = (0..pool.len()).filter(|&at| cost(at) <= least + strays);
         let at = near.max_by(|a, b| score(a).total_cmp(&score(b)))?;
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -6,8 +6,8 @@
 
 mod affinity;
 mod least_loaded;
-mod members;
 mod notices;
+mod service_servers;
 mod slots;
 mod unresponsive;
 mod versions;
@@ -21,8 +21,8 @@
 use indexmap::{IndexMap, IndexSet};
 
 use self::{
-    members::Members,
-    versions::{Side, Versions},
+    service_servers::ServiceServers,
+    versions::{RolloutServers, VersionGroup},
 };
 use super::{
     AdmissionControl, BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load,
@@ -67,9 +67,9 @@
     evacuated: IndexSet<ZoneName>,
     unlisted: UnlistedNotices,
     /// Services whose version changes.
-    versions: IndexMap<ServiceName, Versions>,
+    versions: IndexMap<ServiceName, RolloutServers>,
     /// The servers of each service.
-    members: IndexMap<ServiceName, Members>,
+    by_service: IndexMap<ServiceName, ServiceServers>,
 }
 
 impl Picker {
@@ -86,7 +86,7 @@
             evacuated: IndexSet::new(),
             unlisted: UnlistedNotices::default(),
             versions: IndexMap::new(),
-            members: IndexMap::new(),
+            by_service: IndexMap::new(),
         }
     }
 
@@ -96,8 +96,8 @@
     }
 
     /// Returns whether a server is where a request may be served.
-    fn is_home(&self, server: &BackendServer, wanted: &PickRequest<'_>) -> bool {
-        wanted.homes.allows(self.regions.get(&server.zone))
+    fn is_in_home_region(&self, server: &BackendServer, request: &PickRequest<'_>) -> bool {
+        request.homes.allows(self.regions.get(&server.zone))
     }
 
     /// Sets which of all instances this one is.
@@ -116,14 +116,14 @@
     }
 
     /// Returns whether a server may get new requests, but for a backoff that it has asked for.
-    fn stays(&self, tracked: &Tracked) -> bool {
+    fn is_available(&self, tracked: &Tracked) -> bool {
         let leaving = tracked.server.leaving || tracked.notice.is_leaving();
         !leaving && !self.evacuated.contains(&tracked.server.zone)
     }
 
     /// Returns whether a server takes new requests now.
-    fn takes_requests(&self, now: Instant, tracked: &Tracked) -> bool {
-        self.stays(tracked) && !tracked.notice.forbids_requests(now)
+    fn accepts_requests(&self, now: Instant, tracked: &Tracked) -> bool {
+        self.is_available(tracked) && !tracked.notice.forbids_requests(now)
     }
 
     /// Takes the list of servers in force; what is known of those that stay is kept, and nothing of those that
@@ -153,7 +153,7 @@
         self.unlisted.forget_old(now);
         self.group_by_service();
         self.group_versions();
-        self.sum_up(now);
+        self.update_totals(now);
     }
 
     /// Sets until when servers are cold.
@@ -190,33 +190,33 @@
     /// # Errors
     ///
     /// No server of the service may be used, or all have too long a queue.
-    pub fn pick(&self, now: Instant, wanted: &PickRequest<'_>) -> Result<Picked, PickError> {
-        let usable = self.usable(now, wanted);
+    pub fn pick(&self, now: Instant, request: &PickRequest<'_>) -> Result<Picked, PickError> {
+        let usable = self.usable(now, request);
         if usable.is_empty()
-            && let Some(left) = self.backoff_left(now, wanted)
+            && let Some(left) = self.backoff_left(now, request)
         {
             return Err(PickError::Backoff { left });
         }
         let healthy = self.healthy(now, &usable);
         let pool = if healthy.is_empty() { usable } else { healthy };
         let usual = usual_load(&pool);
-        let picked = match wanted.affinity {
-            Some(key) => self.by_affinity(now, key, wanted, &pool, usual),
-            None => self.by_load(now, wanted, &pool),
+        let picked = match request.affinity {
+            Some(key) => self.by_affinity(now, key, request, &pool, usual),
+            None => self.by_load(now, request, &pool),
         };
         let picked = picked.ok_or(PickError::NoServer)?;
         let (Some(admission), Some(priority)) =
-            (self.admission.get(wanted.service), wanted.admission)
+            (self.admission.get(request.service), request.admission)
         else {
             return Ok(picked);
         };
-        let admitted = match self.slots(now, wanted.service) {
+        let admitted = match self.slots(now, request.service) {
             Some((own, slots)) => {
                 admission.admitted_share(now, priority, own, slots, self.position.instances)
             }
             None => 1.0,
         };
-        if wanted.draw() >= admitted || picked.wait > admission.max_wait(now) {
+        if request.draw() >= admitted || picked.wait > admission.max_wait(now) {
             return Err(PickError::Overload { admitted, wait: picked.wait });
         }
         Ok(picked)
@@ -224,12 +224,16 @@
 
     /// Returns the servers that a request may go to; where those of a new version are its turn and none of them may be
     /// used, those of the others.
-    fn usable(&self, now: Instant, wanted: &PickRequest<'_>) -> Vec<&Tracked> {
-        let side = self.side(now, wanted);
-        let sides: &[Side] = if side == Side::New { &[Side::New, Side::Old] } else { &[side] };
-        for &side in sides {
-            for step in 0..self.steps(wanted.service) {
-                let usable = self.usable_of(now, wanted, side, step);
+    fn usable(&self, now: Instant, request: &PickRequest<'_>) -> Vec<&Tracked> {
+        let version_group = self.version_group(now, request);
+        let sides: &[VersionGroup] = if version_group == VersionGroup::New {
+            &[VersionGroup::New, VersionGroup::Old]
+        } else {
+            &[version_group]
+        };
+        for &version_group in sides {
+            for step in 0..self.steps(request.service) {
+                let usable = self.usable_of(now, request, version_group, step);
                 if !usable.is_empty() {
                     return usable;
                 }
@@ -242,19 +246,19 @@
     fn usable_of(
         &self,
         now: Instant,
-        wanted: &PickRequest<'_>,
-        side: Side,
+        request: &PickRequest<'_>,
+        version_group: VersionGroup,
         step: usize,
     ) -> Vec<&Tracked> {
-        let refused = |id| wanted.tried.contains(id) || wanted.denied.contains(id);
+        let refused = |id| request.tried.contains(id) || request.denied.contains(id);
         let usable: Vec<&Tracked> = self
-            .looked_at(wanted, step)
+            .candidates(request, step)
             .into_iter()
-            .filter(|t| self.takes_requests(now, t))
-            .filter(|t| !refused(&t.server.id) && self.is_home(&t.server, wanted))
-            .filter(|t| self.is_on(side, &t.server))
+            .filter(|t| self.accepts_requests(now, t))
+            .filter(|t| !refused(&t.server.id) && self.is_in_home_region(&t.server, request))
+            .filter(|t| self.is_in_group(version_group, &t.server))
             .collect();
-        if wanted.denied.is_empty() || usable.iter().all(|t| t.is_cold(now)) {
+        if request.denied.is_empty() || usable.iter().all(|t| t.is_cold(now)) {
             return usable;
         }
         usable.into_iter().filter(|t| !t.is_cold(now)).collect()
@@ -265,7 +269,7 @@
         if let Some(tracked) = self.servers.get_mut(id) {
             tracked.load.start_request();
             tracked.health.start_request(now);
-            if let Some(of) = self.members.get_mut(&tracked.server.service) {
+            if let Some(of) = self.by_service.get_mut(&tracked.server.service) {
                 of.own += 1;
             }
         }
@@ -275,7 +279,7 @@
     pub fn finish_request(&mut self, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
             tracked.load.finish_request();
-            if let Some(of) = self.members.get_mut(&tracked.server.service) {
+            if let Some(of) = self.by_service.get_mut(&tracked.server.service) {
                 of.own = of.own.saturating_sub(1);
             }
         }
@@ -316,7 +320,7 @@
             self.admission.entry(load.service.clone()).or_default().set_fleet_total(total);
             self.set_others(now, &load.service, (total.all - total.own).max(0.0));
         }
-        self.sum_up(now);
+        self.update_totals(now);
         crowded
     }
 
--- a/src/routing/picker/notices.rs
+++ b/src/routing/picker/notices.rs
@@ -41,13 +41,13 @@
     }
 
     /// Returns when the first server takes requests again, where all that a request may go to want none for a while.
-    pub(super) fn backoff_left(&self, now: Instant, wanted: &PickRequest<'_>) -> Option<Duration> {
-        if !wanted.denied.is_empty() {
+    pub(super) fn backoff_left(&self, now: Instant, request: &PickRequest<'_>) -> Option<Duration> {
+        if !request.denied.is_empty() {
             return None;
         }
         let possible = self
-            .servers_of(wanted.service)
-            .filter(|t| self.stays(t) && self.is_home(&t.server, wanted));
+            .servers_of(request.service)
+            .filter(|t| self.is_available(t) && self.is_in_home_region(&t.server, request));
         possible.filter_map(|t| t.notice.backoff_left(now)).min()
     }
 }
--- a/src/routing/picker/members.rs
+++ b/src/routing/picker/service_servers.rs
@@ -26,7 +26,7 @@
 
 /// The servers of one service.
 #[derive(Debug, Default)]
-pub(super) struct Members {
+pub(super) struct ServiceServers {
     /// Places in the list of all servers.
     all: Vec<usize>,
     ring: Ring,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Members {
+impl ServiceServers {
     /// Returns whether a request looks at all of them.
     pub(super) fn is_small(&self) -> bool {
         self.all.len() <= LOOKED_AT_ALL
@@ -86,15 +86,16 @@
     }
 
     /// Returns the servers that a request looks at, those first that it should go to.
-    fn near(&self, wanted: &PickRequest<'_>, probes: usize) -> Vec<usize> {
+    fn candidates(&self, request: &PickRequest<'_>, probes: usize) -> Vec<usize> {
         if self.is_small() || probes >= self.all.len() {
             return self.all.clone();
         }
-        let Some(key) = wanted.affinity else {
-            let mut near = self.near_ring.find(wanted.spread, probes / 2);
-            let all = self.ring.find(wanted.spread, probes);
-            near.extend(all.into_iter().filter(|at| !near.contains(at)).collect::<Vec<_>>());
-            return near;
+        let Some(key) = request.affinity else {
+            let mut candidates = self.near_ring.find(request.spread, probes / 2);
+            let all = self.ring.find(request.spread, probes);
+            candidates
+                .extend(all.into_iter().filter(|at| !candidates.contains(at)).collect::<Vec<_>>());
+            return candidates;
         };
         self.ring.find(key, probes)
     }
@@ -103,13 +104,13 @@
 impl Picker {
     /// Groups the servers by service, after the list has changed.
     pub(super) fn group_by_service(&mut self) {
-        let mut members: IndexMap<ServiceName, Members> = IndexMap::new();
+        let mut by_service: IndexMap<ServiceName, ServiceServers> = IndexMap::new();
         for (at, tracked) in self.servers.values().enumerate() {
-            let of = members.entry(tracked.server.service.clone()).or_default();
+            let of = by_service.entry(tracked.server.service.clone()).or_default();
             of.all.push(at);
             of.own += tracked.load.own();
         }
-        for (service, of) in members.iter_mut().filter(|(_, of)| !of.is_small()) {
+        for (service, of) in by_service.iter_mut().filter(|(_, of)| !of.is_small()) {
             for &at in &of.all {
                 let server = &self.servers[at].server;
                 of.ring.push(server, at);
@@ -119,44 +120,45 @@
             }
             of.ring.0.sort_unstable();
             of.near_ring.0.sort_unstable();
-            of.others = self.members.get(service).and_then(|former| former.others);
+            of.others = self.by_service.get(service).and_then(|former| former.others);
         }
-        self.members = members;
+        self.by_service = by_service;
     }
 
     /// Sums up what is known of the servers of each large service, after the list or the counts of all instances have changed.
-    pub(super) fn sum_up(&mut self, now: Instant) {
-        let mut members = std::mem::take(&mut self.members);
-        for of in members.values_mut().filter(|of| !of.is_small()) {
+    pub(super) fn update_totals(&mut self, now: Instant) {
+        let mut by_service = std::mem::take(&mut self.by_service);
+        for of in by_service.values_mut().filter(|of| !of.is_small()) {
             let tracked = || of.all.iter().map(|&at| &self.servers[at]);
             let in_use = || {
-                tracked().filter(|t| self.takes_requests(now, t) && self.is_in_use(now, &t.server))
+                tracked()
+                    .filter(|t| self.accepts_requests(now, t) && self.is_in_use(now, &t.server))
             };
             of.slots = in_use().map(|t| t.server.slots.map(f64::from)).sum();
             of.evacuated = tracked().filter(|t| self.is_evacuated(t)).count();
         }
-        self.members = members;
+        self.by_service = by_service;
     }
 
     /// Takes what the other instances have in flight at the servers of a service.
     pub(super) fn set_others(&mut self, now: Instant, service: &ServiceName, others: f64) {
-        if let Some(of) = self.members.get_mut(service) {
+        if let Some(of) = self.by_service.get_mut(service) {
             of.others = Some((others, now));
         }
     }
 
     /// Returns the servers of a service.
     pub(super) fn servers_of(&self, service: &ServiceName) -> impl Iterator<Item = &Tracked> {
-        let of = self.members.get(service).into_iter().flat_map(|of| &of.all);
+        let of = self.by_service.get(service).into_iter().flat_map(|of| &of.all);
         of.map(|&at| &self.servers[at])
     }
 
     /// Returns the servers that a request looks at, in its rank where they are not all; of a large service in steps, each of
     /// which finds more.
-    pub(super) fn looked_at(&self, wanted: &PickRequest<'_>, step: usize) -> Vec<&Tracked> {
-        let Some(of) = self.members.get(wanted.service) else { return Vec::new() };
+    pub(super) fn candidates(&self, request: &PickRequest<'_>, step: usize) -> Vec<&Tracked> {
+        let Some(of) = self.by_service.get(request.service) else { return Vec::new() };
         let probes = [PROBES, PROBES * MORE_PROBES, usize::MAX][step.min(2)];
-        of.near(wanted, probes).into_iter().map(|at| &self.servers[at]).collect()
+        of.candidates(request, probes).into_iter().map(|at| &self.servers[at]).collect()
     }
 
     /// Returns in how many steps a request to a service looks at all its servers.
@@ -166,12 +168,12 @@
 
     /// Returns whether a request to a service looks at all its servers.
     pub(super) fn is_small(&self, service: &ServiceName) -> bool {
-        self.members.get(service).is_none_or(Members::is_small)
+        self.by_service.get(service).is_none_or(ServiceServers::is_small)
     }
 
     /// Returns how many servers of a service are in emptied zones. They count in the mean: the others' bound is one of all.
     pub(super) fn evacuated_of(&self, service: &ServiceName) -> usize {
-        let Some(of) = self.members.get(service) else { return 0 };
+        let Some(of) = self.by_service.get(service) else { return 0 };
         if !of.is_small() {
             return of.evacuated;
         }
@@ -185,12 +187,12 @@
     /// Returns this instance's requests in flight at the servers of a service, and how many these run at once; `None` where
     /// some do not say.
     pub(super) fn slots(&self, now: Instant, service: &ServiceName) -> Option<(f64, f64)> {
-        if let Some(of) = self.members.get(service).filter(|of| !of.is_small()) {
+        if let Some(of) = self.by_service.get(service).filter(|of| !of.is_small()) {
             return of.slots.map(|slots| (f64::from(of.own), slots));
         }
         let (mut own, mut slots) = (0.0, 0.0);
         for tracked in self.servers_of(service) {
-            if !self.takes_requests(now, tracked) || !self.is_in_use(now, &tracked.server) {
+            if !self.accepts_requests(now, tracked) || !self.is_in_use(now, &tracked.server) {
                 continue;
             }
             own += f64::from(tracked.load.own());
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -16,7 +16,7 @@
 
 /// Which servers a request may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Side {
+pub(super) enum VersionGroup {
     /// Those of the new version.
     New,
     /// Those of other versions.
@@ -27,7 +27,7 @@
 
 /// The servers of a service whose version changes.
 #[derive(Debug)]
-pub(super) struct Versions {
+pub(super) struct RolloutServers {
     lane: Lane,
     /// Servers of the new version that are used.
     new: HashSet<Tag>,
@@ -38,8 +38,9 @@
 impl Picker {
     /// Sets which servers requests may go to, of services whose version changes.
     pub fn set_version_splits(&mut self, lanes: Vec<Lane>) {
-        let versions =
-            |lane: Lane| (lane.service.clone(), Versions { lane, new: HashSet::new(), others: 0 });
+        let versions = |lane: Lane| {
+            (lane.service.clone(), RolloutServers { lane, new: HashSet::new(), others: 0 })
+        };
         self.versions = lanes.into_iter().map(versions).collect();
         self.group_versions();
     }
@@ -62,42 +63,43 @@
     }
 
     /// Returns on which side a request is. One that has failed once goes to what is proven.
-    pub(super) fn side(&self, now: Instant, wanted: &PickRequest<'_>) -> Side {
-        let Some(Versions { lane, others, .. }) = self.versions.get(wanted.service) else {
-            return Side::Any;
+    pub(super) fn version_group(&self, now: Instant, request: &PickRequest<'_>) -> VersionGroup {
+        let Some(RolloutServers { lane, others, .. }) = self.versions.get(request.service) else {
+            return VersionGroup::Any;
         };
         if lane.to.is_none() || *others == 0 {
-            return Side::Any;
+            return VersionGroup::Any;
         }
         let share = lane.share(now);
-        let is_turn = draw(wanted) < share && (wanted.tried.is_empty() || share >= 1.0);
-        if is_turn { Side::New } else { Side::Old }
+        let is_turn = draw(request) < share && (request.tried.is_empty() || share >= 1.0);
+        if is_turn { VersionGroup::New } else { VersionGroup::Old }
     }
 
     /// Returns whether a server is on that side.
-    pub(super) fn is_on(&self, side: Side, server: &BackendServer) -> bool {
-        let Some(Versions { lane, new, .. }) = self.versions.get(&server.service) else {
+    pub(super) fn is_in_group(&self, version_group: VersionGroup, server: &BackendServer) -> bool {
+        let Some(RolloutServers { lane, new, .. }) = self.versions.get(&server.service) else {
             return true;
         };
         let version = server.version.as_ref();
         !lane.bars(version)
-            && match side {
-                Side::New => new.contains(&server.tag()),
-                Side::Old => !lane.is_new(version),
-                Side::Any => true,
+            && match version_group {
+                VersionGroup::New => new.contains(&server.tag()),
+                VersionGroup::Old => !lane.is_new(version),
+                VersionGroup::Any => true,
             }
     }
 
     /// Returns whether a server gets any of its service's requests, as far as its version goes.
     pub(super) fn is_in_use(&self, now: Instant, server: &BackendServer) -> bool {
-        let Some(Versions { lane, others, .. }) = self.versions.get(&server.service) else {
+        let Some(RolloutServers { lane, others, .. }) = self.versions.get(&server.service) else {
             return true;
         };
         let share = lane.share(now);
         if lane.to.is_none() || *others == 0 {
-            return self.is_on(Side::Any, server);
+            return self.is_in_group(VersionGroup::Any, server);
         }
-        share > 0.0 && self.is_on(Side::New, server) || share < 1.0 && self.is_on(Side::Old, server)
+        share > 0.0 && self.is_in_group(VersionGroup::New, server)
+            || share < 1.0 && self.is_in_group(VersionGroup::Old, server)
     }
 
     /// Returns whether what `keeper` remembers of prompts is of use to `server`: not across versions, which may have other
@@ -138,8 +140,8 @@
 
 /// Returns a number in [0, 1) that is another one for each request, and says nothing of the one by which requests are
 /// refused beyond capacity.
-fn draw(wanted: &PickRequest<'_>) -> f64 {
-    let spread = xxh3_64(&wanted.spread.to_le_bytes());
+fn draw(request: &PickRequest<'_>) -> f64 {
+    let spread = xxh3_64(&request.spread.to_le_bytes());
     // 53 bits make a float in [0, 1).
     (spread >> 11) as f64 / (1u64 << 53) as f64
 }
