--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -1,96 +1,96 @@
-//! What is known of a backend server's load: this instance's own requests, exactly; the other
-//! instances' requests, as they count them; and the server's own reports. The last two age.
+//! Load of a backend server, from three sources: this instance's own requests in flight, which are exact; the counts
+//! of the other instances; and the server's own reports. The last two become outdated.
 
 use std::time::{Duration, Instant};
 
-/// Age at which a report counts for half: a few requests' worth of time at the users' rates.
-const HALF_LIFE: Duration = Duration::from_millis(1500);
+/// Age at which a server's report has half of its weight: the duration of a few requests at usual request rates.
+const REPORT_HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// Age up to which a report's queue is believed: it may be gone after an answer's time or two.
-const QUEUE_LIFE: Duration = Duration::from_millis(300);
+/// Age up to which the queue length of a report is used: the queue may have drained after one or two responses.
+const QUEUE_MAX_AGE: Duration = Duration::from_millis(300);
 
-/// Age up to which the counts of all instances are believed: a few exchanges.
+/// Age up to which the counts of all instances are used: a few exchanges.
 pub(super) const FLEET_COUNT_MAX_AGE: Duration = Duration::from_millis(2000);
 
-/// How long a server counts as crowded after it was beyond its limit: many exchanges, as all instances
-/// learn late that it has room again, and at the same time.
-const CROWDED_LIFE: Duration = Duration::from_millis(3000);
+/// How long a server counts as crowded after its load was over the limit: many exchanges, because the instances learn
+/// late, and all at the same time, that it has headroom again.
+const CROWDED_DURATION: Duration = Duration::from_millis(3000);
 
-/// Part of the load at which prompts spill, from which a crowded server stays so: what is sought
-/// goes on being sought, and one exchange may happen to count little.
-const CROWDED_STAYS: f64 = 0.7;
+/// Share of the spill load from which a crowded server stays crowded: demand for a popular prompt persists, while a
+/// single exchange may count few requests by chance.
+const STAYS_CROWDED_SHARE: f64 = 0.7;
 
-/// What a backend server says of itself with an answer.
+/// Load that a backend server reports in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it runs.
+    /// Requests that the server is running.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
-/// By how much an instance's turn moves on with each exchange: the golden ratio, whose multiples fall evenly into [0, 1).
-const TURN_STEP: f64 = 0.618_033_988_75;
+/// Change of an instance's phase per exchange: the golden ratio, whose multiples are distributed evenly over [0, 1).
+const PHASE_STEP: f64 = 0.618_033_988_75;
 
-/// What all instances had in flight at a server at the last exchange.
+/// Requests that all instances had in flight at a server at the last exchange.
 #[derive(Debug, Clone, Copy)]
 struct FleetCount {
-    /// Counts exchanges.
-    number: u32,
+    /// Number of the exchange.
+    exchange: u32,
     all: f64,
-    /// This instance's part of it.
+    /// Requests of this instance among them.
     own: u32,
     at: Instant,
 }
 
-/// This instance among all that send requests.
+/// Position of this instance among all that send requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// Its number, from 0, in an order that is the same everywhere.
+    /// Index from 0, in an order that is the same at all instances.
     pub number: usize,
-    /// All instances, this one included.
+    /// Number of instances, including this one.
     pub instances: usize,
 }
 
-/// How much load a backend server should have, in requests.
+/// Bounds on the load of a backend server, in requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadBounds {
-    /// Load at which prompts go elsewhere.
+    /// Load at which requests with prompts spill to other servers.
     pub spill: f64,
-    /// Load beyond the operator's bound.
+    /// Load that exceeds the operator's bound.
     pub limit: f64,
 }
 
-/// A backend server's load as this instance sees it.
+/// Load of a backend server as observed by this instance.
 #[derive(Debug, Clone, Default)]
 pub struct Load {
     own: u32,
     report: Option<(LoadReport, Instant, u32)>,
     fleet: Option<FleetCount>,
-    /// When the server was last seen beyond its limit.
+    /// Last time when the load was over the limit.
     crowded_at: Option<Instant>,
 }
 
 impl Load {
-    /// Notes a request sent.
+    /// Counts a request that is sent.
     pub fn start_request(&mut self) {
         self.own += 1;
     }
 
-    /// Notes a request ended.
+    /// Counts a request that has ended.
     pub fn finish_request(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes a report; the request that it came with counts as running.
+    /// Records a report. The request whose response carried it counts as running.
     pub fn report(&mut self, now: Instant, report: LoadReport) {
         self.report = Some((report, now, self.own));
     }
 
-    /// Takes what all instances have in flight, of which `own` is what this one told; returns whether the
-    /// server has become crowded.
+    /// Sets the requests in flight of all instances, of which this instance reported `own`; returns whether the server
+    /// has become crowded.
     pub fn set_fleet_count(
         &mut self,
         now: Instant,
@@ -99,61 +99,62 @@
         bounds: LoadBounds,
     ) -> bool {
         let was_crowded = self.is_crowded(now);
-        let number = self.fleet.map_or(0, |fleet| fleet.number.wrapping_add(1));
-        self.fleet = Some(FleetCount { number, all, own, at: now });
-        let stays = was_crowded && all >= CROWDED_STAYS * bounds.spill;
-        // With few requests, chance alone goes beyond the limit.
-        let beyond = all > bounds.limit.max(bounds.spill + bounds.spill.sqrt());
-        if beyond || stays {
+        let exchange = self.fleet.map_or(0, |fleet| fleet.exchange.wrapping_add(1));
+        self.fleet = Some(FleetCount { exchange, all, own, at: now });
+        let stays_crowded = was_crowded && all >= STAYS_CROWDED_SHARE * bounds.spill;
+        // With few requests, random variation alone exceeds the limit.
+        let over_limit = all > bounds.limit.max(bounds.spill + bounds.spill.sqrt());
+        if over_limit || stays_crowded {
             self.crowded_at = Some(now);
         }
-        beyond && !was_crowded
+        over_limit && !was_crowded
     }
 
-    /// Returns whether the server was beyond its limit lately.
+    /// Returns whether the load was over the limit recently.
     pub fn is_crowded(&self, now: Instant) -> bool {
-        self.crowded_at.is_some_and(|at| now.saturating_duration_since(at) < CROWDED_LIFE)
+        self.crowded_at.is_some_and(|at| now.saturating_duration_since(at) < CROWDED_DURATION)
     }
 
     fn fleet(&self, now: Instant) -> Option<FleetCount> {
         self.fleet.filter(|fleet| now.saturating_duration_since(fleet.at) < FLEET_COUNT_MAX_AGE)
     }
 
-    /// Returns the other instances' requests in flight, while that is known.
+    /// Returns the other instances' requests in flight, unless the last count is too old.
     pub fn others(&self, now: Instant) -> Option<f64> {
         self.fleet(now).map(|fleet| (fleet.all - f64::from(fleet.own)).max(0.0))
     }
 
-    /// Returns by how many requests the server is under `bound`, as far as is known.
-    pub fn headroom(&self, now: Instant, bound: f64, usual: f64) -> f64 {
-        bound - self.estimate(now, usual)
+    /// Returns by how many requests the estimated load is under `bound`.
+    pub fn headroom(&self, now: Instant, bound: f64, fallback: f64) -> f64 {
+        bound - self.estimate(now, fallback)
     }
 
-    /// Returns how many more requests this instance may send where all send at once, so that they have
-    /// `aim` there together: to a crowded server, with prompts that spill from one, or where few places
-    /// are free. Nothing may be sent where that is not above zero.
+    /// Returns how many more requests this instance may send if all instances do the same, so that together they have
+    /// `target` in flight at the server. Used for a crowded server, for prompts that spill from one, and where few
+    /// slots are free. The instance may send nothing if the result is not above zero.
     ///
-    /// An instance has what it had at the last exchange, and of the room that there was its part, or it
-    /// gives up in proportion to the excess (additive increase, multiplicative decrease). If all went by
-    /// the sum alone, they would leave a server together, find it empty together, and come back together.
-    /// `phase` in [0, 1) is another one at each instance, so that a part of a request is a whole one at
-    /// that part of them.
+    /// The allotment is what the instance had in flight at the last exchange, plus its part of the headroom at that
+    /// time, or, over the target, reduced in proportion to the excess (additive increase, multiplicative decrease). If
+    /// the instances decided by the sum alone, all would leave a server together, find it empty together, and return
+    /// together. `phase`, in [0, 1), differs between the instances, so that a fraction of a request becomes a whole
+    /// request at that fraction of them.
     pub fn allotment(
         &self,
         now: Instant,
-        aim: f64,
+        target: f64,
         position: FleetPosition,
         phase: f64,
     ) -> Option<f64> {
         let fleet = self.fleet(now)?;
         let own = f64::from(fleet.own);
-        if fleet.all <= aim {
-            let allotment = own + (aim - fleet.all) / position.instances.max(1) as f64;
+        if fleet.all <= target {
+            let allotment = own + (target - fleet.all) / position.instances.max(1) as f64;
             return Some(allotment - phase - f64::from(self.own));
         }
-        // Where many have one request each, those whose turn is low would keep it however far the server is beyond its bound.
-        let phase = (phase + f64::from(fleet.number) * TURN_STEP).fract();
-        Some(own * aim / fleet.all - phase - f64::from(self.own))
+        // If many instances have one request each, those with a low phase would otherwise keep it, however far the load is
+        // over the bound.
+        let phase = (phase + f64::from(fleet.exchange) * PHASE_STEP).fract();
+        Some(own * target / fleet.all - phase - f64::from(self.own))
     }
 
     /// Returns this instance's own requests in flight.
@@ -161,48 +162,49 @@
         self.own
     }
 
-    /// Returns how many requests wait at the server, by a report that is still fresh.
+    /// Returns the queue length of the server by its last report, or 0 if that is too old.
     pub fn waiting(&self, now: Instant) -> u32 {
         match self.report {
-            Some((report, at, _)) if now.saturating_duration_since(at) < HALF_LIFE => {
+            Some((report, at, _)) if now.saturating_duration_since(at) < REPORT_HALF_LIFE => {
                 report.waiting
             }
             _ => 0,
         }
     }
 
-    /// Estimates how many requests wait for a place at a server that runs `slots` at once, where all have
-    /// `load` in flight there. A server may have them wait for want of memory too, which only it knows.
+    /// Estimates how many requests are queued at a server with `slots` slots where all instances have `load` in flight.
+    /// A server may also queue requests for lack of memory, which only its own report shows.
     pub fn queued(&self, now: Instant, load: f64, slots: u32) -> f64 {
         let counted = (load - f64::from(slots)).max(0.0);
         let reported =
-            self.report.filter(|(_, at, _)| now.saturating_duration_since(*at) < QUEUE_LIFE);
+            self.report.filter(|(_, at, _)| now.saturating_duration_since(*at) < QUEUE_MAX_AGE);
         reported.map_or(counted, |(report, _, _)| counted.max(f64::from(report.waiting)))
     }
 
-    /// Estimates requests in flight from all instances; an old report gives way to `usual`.
-    pub fn estimate(&self, now: Instant, usual: f64) -> f64 {
+    /// Estimates the requests in flight of all instances. With the age of the server's report, the estimate moves to
+    /// `fallback`.
+    pub fn estimate(&self, now: Instant, fallback: f64) -> f64 {
         let own = f64::from(self.own);
         if let Some(others) = self.others(now) {
             return own + others;
         }
-        let Some((report, at, own_then)) = self.report else { return own.max(usual) };
-        let then = f64::from(report.running + report.waiting);
-        let since = own - f64::from(own_then);
+        let Some((report, at, own_at_report)) = self.report else { return own.max(fallback) };
+        let at_report = f64::from(report.running + report.waiting);
+        let since = own - f64::from(own_at_report);
         let age = now.saturating_duration_since(at).as_secs_f64();
-        let trust = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
-        let reported = (then + since).max(own);
-        (trust * reported + (1.0 - trust) * usual).max(own)
+        let trust = 0.5_f64.powf(age / REPORT_HALF_LIFE.as_secs_f64());
+        let reported = (at_report + since).max(own);
+        (trust * reported + (1.0 - trust) * fallback).max(own)
     }
 
-    /// Returns the last report's count with its age, for the mean over a service.
+    /// Returns the load of the last report, for the mean over a service.
     pub fn last_reported(&self) -> Option<f64> {
         self.report.map(|(report, _, _)| f64::from(report.running + report.waiting))
     }
 }
 
-/// Returns the load that instances aim at together, so that it stays under `bound`: the counts that they
-/// know are of different moments, and their sum strays by about its root.
-pub(super) fn aim(bound: f64) -> f64 {
+/// Returns the load that the instances target together so that it stays under `bound`: their counts are from different
+/// times, and the sum deviates by about its square root.
+pub(super) fn target_load(bound: f64) -> f64 {
     bound - bound.sqrt()
 }
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -13,7 +13,7 @@
     names::ServiceName,
     routing::{
         BackendServer, PickRequest, Picked,
-        load::{LoadBounds, aim},
+        load::{LoadBounds, target_load},
     },
     zone::rendezvous,
 };
@@ -58,7 +58,7 @@
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
         let is_scarce = mean > SCARCE * bound;
         let scarce_aim = if is_scarce { mean + (bound - mean) * SCARCE_AIM } else { 0.0 };
-        let aim = aim(bound).max(scarce_aim);
+        let aim = target_load(bound).max(scarce_aim);
         let home_crowded = is_scarce || rank.first().is_some_and(|&i| pool[i].load.is_crowded(now));
         let room = |&i: &usize| {
             let (load, phase) = (&pool[i].load, self.phase(pool[i].server.place()));
