--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -151,8 +151,8 @@
             let allotment = own + (target - fleet.all) / position.instances.max(1) as f64;
             return Some(allotment - phase - f64::from(self.own));
         }
-        // If many instances have one request each, those with a low phase would otherwise keep it, however far the load is
-        // over the bound.
+        // If many instances have one request each, those with a low phase would otherwise keep it however far the load
+        // exceeds the bound.
         let phase = (phase + f64::from(fleet.exchange) * PHASE_STEP).fract();
         Some(own * target / fleet.all - phase - f64::from(self.own))
     }
