--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -2,12 +2,12 @@
 //! rejected ones should retry.
 //!
 //! A queue longer than callers wait makes every response late: the servers serve as many requests as without it, but
-//! none in time. Therefore, as the slots of a service's servers fill up, a decreasing share of its requests is admitted,
-//! slightly more of those with an urgent priority than of the others.
+//! none in time. Therefore, as the slots of a service's servers fill up, a decreasing share of its requests is
+//! admitted, slightly more of those with an urgent priority than of the others.
 //!
-//! Instances know each other's requests only as of the last exchange. If each decided by the sum, all would fill the same
-//! free slots, find them overfull, and stop together. Each instance therefore compares its own requests, which it knows
-//! exactly, with its part of the slots, which is derived from what it had in flight at the last exchange.
+//! Instances know each other's requests only as of the last exchange. If each decided by the sum, all would fill the
+//! same free slots, find them overfull, and stop together. Each instance therefore compares its own requests, which it
+//! knows exactly, with its part of the slots, which is derived from what it had in flight at the last exchange.
 
 use std::time::{Duration, Instant};
 
@@ -30,8 +30,8 @@
 /// requests of one instance mean little, and the requests that arrive until the next exchange find free slots.
 const NEARLY_FULL_SHARE: f64 = 0.75;
 
-/// Difference between the most and the least urgent priority in the exponent of the admitted share, half of it above and
-/// half below one.
+/// Difference between the most and the least urgent priority in the exponent of the admitted share, half of it above
+/// and half below one.
 const URGENCY: f64 = 0.4;
 
 /// Time after which a priority without requests is ignored: several times the duration of a request.
@@ -154,8 +154,8 @@
         Some(Duration::from_secs_f64(self.head.mean? + self.body.mean?))
     }
 
-    /// Returns the time without a response head after which a request that was expected to wait `wait` for a slot counts
-    /// as stalled; `None` until enough responses were observed.
+    /// Returns the time without a response head after which a request that was expected to wait `wait` for a slot
+    /// counts as stalled; `None` until enough responses were observed.
     pub fn stall_timeout(&self, wait: Duration) -> Option<Duration> {
         let MovingMean { mean: Some(mean), deviation } = self.head else { return None };
         if self.responses < RESPONSES_MIN {
@@ -177,8 +177,8 @@
         self.fleet = Some(total);
     }
 
-    /// Returns the requests in flight of all instances, unless the count is older than the duration of a request: by then
-    /// other requests have replaced them.
+    /// Returns the requests in flight of all instances, unless the count is older than the duration of a request: by
+    /// then other requests have replaced them.
     fn fleet(&self, now: Instant) -> Option<FleetTotal> {
         let max_age = self.slot_time()?.min(FLEET_COUNT_MAX_AGE);
         self.fleet.filter(|f| now.saturating_duration_since(f.at) < max_age)
@@ -208,8 +208,8 @@
         Some(if fleet.all > slots { in_proportion } else { in_proportion.max(equal) }.max(1.0))
     }
 
-    /// Returns the share of the requests of a priority that is admitted by an instance that has `own` requests in flight
-    /// at servers with `slots` slots in total, shared by `instances`.
+    /// Returns the share of the requests of a priority that is admitted by an instance that has `own` requests in
+    /// flight at servers with `slots` slots in total, shared by `instances`.
     pub fn admitted_share(
         &self,
         now: Instant,
@@ -244,8 +244,8 @@
 
     /// Records a rejection and returns the delay after which its caller should retry.
     ///
-    /// `admitted` is the admitted share of the requests of its priority, `draw` a random number in [0, 1) of this caller,
-    /// and `max_delay` the longest delay that is useful to it.
+    /// `admitted` is the admitted share of the requests of its priority, `draw` a random number in [0, 1) of this
+    /// caller, and `max_delay` the longest delay that is useful to it.
     pub fn note_refusal(
         &mut self,
         now: Instant,
