--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -1,128 +1,128 @@
-//! Evidence from requests on whether a backend server works.
+//! Health of a backend server, as inferred from the results of requests.
 
 use std::time::{Duration, Instant};
 
-/// First pause after a server could not be reached; doubled at each further time.
+/// First pause after a failed connection; doubled with each further failure.
 const PAUSE_FIRST: Duration = Duration::from_millis(500);
 
-/// Longest pause: a server that is back is used again soon.
+/// Longest pause, so that a server that has recovered is used again soon.
 const PAUSE_MAX: Duration = Duration::from_secs(4);
 
-/// Time in which evidence loses half of its weight.
+/// Time in which the recorded results lose half of their weight.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Requests without an answer, each of them silent for longer than nearly all others are, after which a
-/// server counts as silent unless it has answered meanwhile: one may be a long prompt.
-const SILENT_MIN: f64 = 1.5;
+/// Weight of stalled requests, without a response in between, from which a server counts as unresponsive. A single one
+/// may have a long prompt.
+const STALLS_MIN: f64 = 1.5;
 
-/// Time after an answer within which others' word that a server is silent is not taken.
-const HEARD_LATELY: Duration = Duration::from_millis(500);
+/// Time after a response within which reports of other instances that the server is unresponsive are ignored.
+const RECENT_RESPONSE: Duration = Duration::from_millis(500);
 
-/// How long others' word holds: two exchanges, so that one that is lost changes nothing.
-const TOLD_LIFE: Duration = Duration::from_millis(600);
+/// How long a report of other instances is valid: two exchanges, so that a lost one has no effect.
+const REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// Weight of failures below which a server is not judged by its share of failures.
+/// Weight of failures below which the failure share is not reliable.
 const FAILURES_MIN: f64 = 1.5;
 
-/// Decaying counts of good and bad answers, and pauses after failed connections.
+/// Decaying counts of successes and failures, and pauses after failed connections and stalls.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     successes: f64,
     failures: f64,
-    at: Option<Instant>,
-    /// Weight of requests that wait in vain.
+    decayed_at: Option<Instant>,
+    /// Weight of stalled requests.
     stalls: f64,
-    heard: Option<Instant>,
+    last_response: Option<Instant>,
     pause: Duration,
     paused_until: Option<Instant>,
-    /// Until when others' word that the server is silent holds.
-    told_until: Option<Instant>,
+    /// End of the validity of other instances' reports that the server is unresponsive.
+    reported_until: Option<Instant>,
 }
 
 impl Health {
-    /// Notes an answer, or an event of a stream.
+    /// Records a response, or an event of a stream.
     pub fn note_success(&mut self, now: Instant) {
         self.decay(now);
         self.successes += 1.0;
         self.stalls = 0.0;
-        self.heard = Some(now);
+        self.last_response = Some(now);
         self.pause = Duration::ZERO;
         self.paused_until = None;
-        self.told_until = None;
+        self.reported_until = None;
     }
 
-    /// Notes a failure of a request that reached the server.
+    /// Records a failure of a request that reached the server.
     pub fn note_failure(&mut self, now: Instant) {
         self.decay(now);
         self.failures += 1.0;
     }
 
-    /// Notes that no connection could be made, or that it went silent.
+    /// Records that no connection could be made, or that it became unresponsive.
     pub fn note_unreachable(&mut self, now: Instant) {
         self.note_failure(now);
-        self.pause_from(now);
+        self.start_pause(now);
     }
 
-    /// Pauses the server, longer each time.
-    fn pause_from(&mut self, now: Instant) {
-        // Failures of requests sent before the pause began say nothing new.
-        if self.is_found_silent(now) {
+    /// Pauses the server for twice as long as the last time.
+    fn start_pause(&mut self, now: Instant) {
+        // Failures of requests that were sent before the current pause are not new evidence.
+        if self.is_paused_locally(now) {
             return;
         }
         self.pause = (self.pause * 2).clamp(PAUSE_FIRST, PAUSE_MAX);
         self.paused_until = Some(now + self.pause);
     }
 
-    /// Notes a request that has waited for a byte for longer than nearly all do; returns whether the server
-    /// has come to count as silent.
+    /// Records a request that has received no byte for longer than nearly all requests do; returns whether the server
+    /// counts as unresponsive from now on.
     pub fn note_stall(&mut self, now: Instant) -> bool {
         self.note_failure(now);
         self.stalls += 1.0;
-        let was_found = self.is_found_silent(now);
-        if self.stalls >= SILENT_MIN {
-            self.pause_from(now);
+        let was_paused = self.is_paused_locally(now);
+        if self.stalls >= STALLS_MIN {
+            self.start_pause(now);
         }
-        !was_found && self.is_found_silent(now)
+        !was_paused && self.is_paused_locally(now)
     }
 
-    /// Notes that a request that counted as waiting in vain was answered after all.
+    /// Records that a request that counted as stalled has received a response after all.
     pub fn clear_stall(&mut self, now: Instant) {
         self.note_success(now);
         self.failures = (self.failures - 1.0).max(0.0);
     }
 
-    /// Takes the word of other instances that the server is silent.
+    /// Records the report of other instances that the server is unresponsive.
     pub fn note_reported_unresponsive(&mut self, now: Instant) {
-        let heard = |at: Instant| now.saturating_duration_since(at) < HEARD_LATELY;
-        if !self.heard.is_some_and(heard) {
-            self.told_until = Some(now + TOLD_LIFE);
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < RECENT_RESPONSE;
+        if !self.last_response.is_some_and(is_recent) {
+            self.reported_until = Some(now + REPORT_TTL);
         }
     }
 
-    /// Notes a request sent: the first one after a pause is a trial, and no other goes out until it is
-    /// answered or the next pause is over.
+    /// Records a request sent. The first one after a pause is a trial: no other is sent until it succeeds or the next
+    /// pause is over.
     pub fn start_request(&mut self, now: Instant) {
         if self.is_on_trial(now) {
             self.paused_until = Some(now + self.pause);
         }
     }
 
-    /// Returns whether the server was paused and has not answered since.
+    /// Returns whether the server was paused and has not responded since.
     fn is_on_trial(&self, now: Instant) -> bool {
-        !self.pause.is_zero() && !self.is_found_silent(now)
+        !self.pause.is_zero() && !self.is_paused_locally(now)
     }
 
-    /// Returns whether this instance itself found the server silent or unreachable, and has it paused.
-    pub fn is_found_silent(&self, now: Instant) -> bool {
+    /// Returns whether the server is paused because this instance itself found it unresponsive or unreachable.
+    pub fn is_paused_locally(&self, now: Instant) -> bool {
         self.paused_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether nothing is sent for now.
+    /// Returns whether no requests are sent to the server for now.
     pub fn is_paused(&self, now: Instant) -> bool {
-        self.is_found_silent(now) || self.told_until.is_some_and(|until| now < until)
+        self.is_paused_locally(now) || self.reported_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the share of failures, and whether there are enough to judge by.
+    /// Returns the failure share, and whether there are enough failures for it to be reliable.
     pub fn failure_share(&self, now: Instant) -> (f64, bool) {
         let weight = self.weight(now);
         let (successes, failures) = (self.successes * weight, self.failures * weight);
@@ -130,7 +130,7 @@
     }
 
     fn weight(&self, now: Instant) -> f64 {
-        let Some(at) = self.at else { return 1.0 };
+        let Some(at) = self.decayed_at else { return 1.0 };
         let age = now.saturating_duration_since(at).as_secs_f64();
         0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
@@ -140,6 +140,6 @@
         self.successes *= weight;
         self.failures *= weight;
         self.stalls *= weight;
-        self.at = Some(now);
+        self.decayed_at = Some(now);
     }
 }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -150,7 +150,7 @@
         for (id, gone) in former {
             self.unlisted.keep(now, id, gone.notice);
         }
-        self.unlisted.forget_old(now);
+        self.unlisted.prune(now);
         self.group_by_service();
         self.group_versions();
         self.update_totals(now);
--- a/src/routing/picker/notices.rs
+++ b/src/routing/picker/notices.rs
@@ -37,7 +37,7 @@
     /// Returns whether a server that has been picked is not to be sent to after all, since it has said so meanwhile.
     pub fn forbids_requests(&self, now: Instant, id: &Incarnation) -> bool {
         let listed = self.servers.get(id).map(|tracked| tracked.notice);
-        listed.unwrap_or_else(|| self.unlisted.of(id)).forbids_requests(now)
+        listed.unwrap_or_else(|| self.unlisted.get(id)).forbids_requests(now)
     }
 
     /// Returns when the first server takes requests again, where all that a request may go to want none for a while.
--- a/src/routing/picker/unresponsive.rs
+++ b/src/routing/picker/unresponsive.rs
@@ -54,7 +54,7 @@
             *count += 1;
             // Else each instance would be turned away by each of them, and spend a repeat.
             let backs_off = tracked.notice.backoff_left(now).is_some();
-            if backs_off || tracked.health.is_found_silent(now) {
+            if backs_off || tracked.health.is_paused_locally(now) {
                 paused.push(tracked.server.tag());
             }
         }
--- a/src/routing/unlisted.rs
+++ b/src/routing/unlisted.rs
@@ -1,6 +1,7 @@
-//! What backend servers that are not in the list have said of themselves.
+//! Notices of backend servers that are not in the list.
 //!
-//! A server's entry may lapse while its store is away, and an answer may come after the list has dropped its server.
+//! The entry of a server may expire during an outage of its store, and a response may arrive after the server was
+//! removed from the list.
 
 use std::time::{Duration, Instant};
 
@@ -8,23 +9,23 @@
 
 use super::{Incarnation, Notice};
 
-/// How long a server that is not listed is remembered: entries that lapse in an outage are back within seconds of its
+/// How long the notice of an unlisted server is kept: entries that expire in an outage are back within seconds of its
 /// end, and outages last minutes at most.
-const KEPT: Duration = Duration::from_secs(600);
+const UNLISTED_TTL: Duration = Duration::from_secs(600);
 
-/// Notices of servers that are not listed, and since when.
+/// Notices of servers that are not listed, with the time of the last change.
 #[derive(Debug, Default)]
 pub struct UnlistedNotices(IndexMap<Incarnation, (Instant, Notice)>);
 
 impl UnlistedNotices {
-    /// Keeps what a server said that has left the list.
+    /// Keeps the notice of a server that is no longer listed, unless it is empty.
     pub fn keep(&mut self, now: Instant, id: Incarnation, notice: Notice) {
         if notice != Notice::default() {
             self.0.insert(id, (now, notice));
         }
     }
 
-    /// Returns the notice of a server that is not listed, to add to it.
+    /// Returns the notice of a server that is not listed, to update it.
     pub fn entry(&mut self, now: Instant, id: &Incarnation) -> &mut Notice {
         let (at, notice) = self.0.entry(id.clone()).or_insert((now, Notice::default()));
         *at = now;
@@ -32,17 +33,17 @@
     }
 
     /// Returns the notice of a server that is not listed.
-    pub fn of(&self, id: &Incarnation) -> Notice {
+    pub fn get(&self, id: &Incarnation) -> Notice {
         self.0.get(id).map_or_else(Notice::default, |(_, notice)| *notice)
     }
 
-    /// Takes out what a server said that is listed now.
+    /// Removes and returns the notice of a server that is listed again.
     pub fn take(&mut self, id: &Incarnation) -> Notice {
         self.0.swap_remove(id).map_or_else(Notice::default, |(_, notice)| notice)
     }
 
-    /// Forgets what is too old.
-    pub fn forget_old(&mut self, now: Instant) {
-        self.0.retain(|_, (at, _)| now.saturating_duration_since(*at) < KEPT);
+    /// Removes notices of servers that have been unlisted for too long.
+    pub fn prune(&mut self, now: Instant) {
+        self.0.retain(|_, (at, _)| now.saturating_duration_since(*at) < UNLISTED_TTL);
     }
 }
