--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -1,31 +1,31 @@
-//! What is asked of the picker, and what it says.
+//! Parameters and results of a pick.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{BackendServer, HomeRegions, Incarnation};
 use crate::names::ServiceName;
 
-/// What the caller's request wants.
+/// Parameters of one pick of a server.
 #[derive(Debug)]
 pub struct PickRequest<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Hash of the shared prompt, if the request has one.
     pub affinity: Option<u64>,
-    /// Hash by which requests without a shared prompt are spread among servers that are as good.
+    /// Hash that spreads requests without a shared prompt over equally suitable servers.
     pub spread: u64,
     /// Servers that must not be used again.
     pub tried: &'a [Incarnation],
-    /// Where it may be served.
+    /// Regions in which the request may be served.
     pub homes: &'a HomeRegions,
-    /// Cold servers that do not take it; with one, those that are warm go first.
+    /// Cold servers for which no grant was obtained. If there are any, warm servers are preferred.
     pub denied: &'a [Incarnation],
-    /// Rank of a request that may be refused beyond capacity; `None` for one that has gone out already.
+    /// Priority of a request that may be rejected beyond capacity; `None` for one that has been sent already.
     pub admission: Option<u8>,
 }
 
 impl<'a> PickRequest<'a> {
-    /// Returns what a request wants that asks for a service only.
+    /// Returns a pick of any server of `service`.
     pub fn new(service: &'a ServiceName) -> PickRequest<'a> {
         PickRequest {
             service,
@@ -38,60 +38,60 @@
         }
     }
 
-    /// Returns a number in [0, 1) that is another one for each request.
+    /// Returns a number in [0, 1) derived from the spread hash, which differs between requests.
     pub fn draw(&self) -> f64 {
-        // 53 bits make a float in [0, 1).
+        // A float in [0, 1) has 53 significant bits.
         (self.spread >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// Why no server was picked.
+/// Reasons why no server was picked.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PickError {
-    /// None may be used.
+    /// No server may be used.
     NoServer,
-    /// All that could be used want no requests for a while.
+    /// All servers that could be used have requested a backoff.
     Backoff {
-        /// Until the first of them takes requests again.
+        /// Time until the first of the backoffs ends.
         left: Duration,
     },
-    /// More requests come than can be served in time, and this one is not among those admitted.
+    /// More requests arrive than can be served in time, and this one is not admitted.
     Overload {
-        /// Share of the requests of its rank that is admitted.
+        /// Admitted share of the requests of its priority.
         admitted: f64,
-        /// How long it would have waited for a place.
+        /// How long it would have waited for a slot.
         wait: Duration,
     },
 }
 
-/// A server that was picked, with what decided it.
+/// A picked server, with the values that decided the pick.
 #[derive(Debug, Clone)]
 pub struct Picked {
     /// The server.
     pub server: Arc<BackendServer>,
-    /// Its place in the request's rank, from 0; servers passed over count.
+    /// Index of the server in the rendezvous order of the request, from 0; skipped servers count.
     pub rank: usize,
-    /// Its estimated load, in requests.
+    /// Estimated load of the server, in requests.
     pub load: f64,
-    /// The bound that it was held against, in requests.
+    /// Bound with which the load was compared, in requests.
     pub bound: f64,
-    /// How long the request is expected to wait for a place there.
+    /// How long the request is expected to wait for a slot there.
     pub wait: Duration,
-    /// Whether it is cold.
+    /// Whether the server is cold.
     pub cold: bool,
-    /// Servers that were considered: they set what the choice costs.
+    /// Number of servers that were considered, which determines the cost of the pick.
     pub considered: usize,
-    /// Server that most likely keeps the shared prompt, if this one does not.
+    /// Server that most likely holds the KV cache of the shared prompt, if the picked one does not.
     pub holder: Option<Arc<BackendServer>>,
 }
 
-/// A server that was seen beyond its limit.
+/// A server whose load was found over its limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Crowded {
     /// The server.
     pub server: Incarnation,
-    /// Its load at the last exchange, in requests.
+    /// Load at the last exchange, in requests.
     pub load: f64,
-    /// The limit, in requests.
+    /// Limit, in requests.
     pub limit: f64,
 }
--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -1,7 +1,7 @@
-//! Requests that share a prompt: which server in their rank, and from where the prompt's memory is fetched.
+//! Picks servers for requests that share a prompt, and the server from which the prompt's KV cache is fetched.
 //!
-//! Answers the load of one prompt that many ask for at once: it goes to one engine until that has its part of the mean,
-//! and then on in its own rank, so that it is read by few.
+//! A prompt that many requests share goes to one engine until that has its part of the mean load, then to the next in
+//! the rendezvous order of the prompt, so that few engines have to process it.
 
 use std::{
     sync::Arc,
@@ -18,89 +18,100 @@
     zone::rendezvous,
 };
 
-/// Requests in flight beyond the scaled mean that an engine may have before a chat spills: small
-/// fleets' means move by as much from one moment to the next.
+/// Requests in flight above the scaled mean that an engine may have before prompts spill: the mean of a small fleet
+/// changes by as much from one moment to the next.
 const BOUND_SLACK: f64 = 3.0;
 
-/// Part of the way from the mean to the operator's bound at which chats spill; the rest is for
-/// requests of other instances that are on their way.
-const BOUND_SHARE: f64 = 0.6;
+/// Position of the spill load between the mean and the operator's bound; the rest is headroom for requests of other
+/// instances that are on their way.
+const SPILL_SHARE: f64 = 0.6;
 
-/// Part of the load at which prompts spill, from which servers have so much on the mean that all keep to their part of each:
-/// where the servers of emptied zones count in the bound, chance alone takes the others beyond it.
-const SCARCE: f64 = 0.7;
+/// Mean load, as a share of the spill load, above which capacity is scarce and all instances keep to their allotments
+/// at every server: where servers of evacuated zones count in the bound, random variation alone would take the load of
+/// the others over it.
+const SCARCE_SHARE: f64 = 0.7;
 
-/// Part of the way from that mean to the load at which prompts spill, which all instances aim at together then.
-const SCARCE_AIM: f64 = 0.5;
+/// Position between the mean and the spill load of the load that all instances target together while capacity is
+/// scarce.
+const SCARCE_TARGET_SHARE: f64 = 0.5;
 
-/// Servers, drawn for each request, of which the least loaded takes it then where this instance has no part left: few enough
-/// that not all instances turn to the same one, and others for each request of a prompt that many ask for.
+/// Number of servers, drawn per request, from which the least loaded is picked if capacity is scarce and this instance
+/// has no allotment left: few enough that the instances do not all pick the same server, and different ones for each
+/// request of a popular prompt.
 const SCARCE_CHOICES: usize = 8;
 
 impl Picker {
-    /// Picks the first server in the rank of a prompt that has room, else the one where it waits least beyond its bound.
+    /// Picks the first server in the rendezvous order of a prompt that has headroom and a free slot, or else headroom
+    /// and an acceptable wait. If there is none, picks the one with the most headroom, or a lightly loaded one while
+    /// capacity is scarce.
     pub(super) fn by_affinity(
         &self,
         now: Instant,
         key: u64,
         request: &PickRequest<'_>,
         pool: &[&Tracked],
-        usual: f64,
+        fallback_load: f64,
     ) -> Option<Picked> {
-        let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, usual)).collect();
+        let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, fallback_load)).collect();
         let bound = self.bounds(self.mean_load(now, request.service, &loads)).spill;
-        let rank = if self.is_small(request.service) {
+        let order = if self.is_small(request.service) {
             rendezvous::ranked(key, pool.iter().map(|t| (t.server.place(), 1.0)))
         } else {
-            // They come in their rank.
+            // The candidates of a large service are ordered already.
             (0..pool.len()).collect()
         };
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-        let is_scarce = mean > SCARCE * bound;
-        let scarce_aim = if is_scarce { mean + (bound - mean) * SCARCE_AIM } else { 0.0 };
-        let aim = target_load(bound).max(scarce_aim);
-        let home_crowded = is_scarce || rank.first().is_some_and(|&i| pool[i].load.is_crowded(now));
-        let room = |&i: &usize| {
+        let is_scarce = mean > SCARCE_SHARE * bound;
+        let scarce_target =
+            if is_scarce { mean + (bound - mean) * SCARCE_TARGET_SHARE } else { 0.0 };
+        let target = target_load(bound).max(scarce_target);
+        let first_crowded =
+            is_scarce || order.first().is_some_and(|&i| pool[i].load.is_crowded(now));
+        let headroom = |&i: &usize| {
             let (load, phase) = (&pool[i].load, self.phase(pool[i].server.place()));
-            let crowded = home_crowded || load.is_crowded(now);
-            let allotted =
-                if crowded { load.allotment(now, aim, self.position, phase) } else { None };
-            allotted.unwrap_or_else(|| load.headroom(now, bound, usual))
+            let crowded = first_crowded || load.is_crowded(now);
+            let allotment =
+                if crowded { load.allotment(now, target, self.position, phase) } else { None };
+            allotment.unwrap_or_else(|| load.headroom(now, bound, fallback_load))
         };
-        let rooms: Vec<f64> = rank.iter().map(room).collect();
+        let headrooms: Vec<f64> = order.iter().map(headroom).collect();
         let waits: Vec<Duration> =
-            rank.iter().map(|&i| self.wait(now, pool[i], loads[i])).collect();
+            order.iter().map(|&i| self.wait(now, pool[i], loads[i])).collect();
         let admission = self.admission.get(request.service);
-        let admissible = admission.map_or(Duration::ZERO, |o| o.max_wait(now));
-        let ranked = || rank.iter().enumerate();
-        let filled =
-            admission.is_some_and(|o| o.is_nearly_full(now, self.slots_of(now, request.service)));
-        let free = |&(at, &i): &(usize, &usize)| {
-            let own_place = !filled || self.has_allotted_slot(now, pool[i]);
-            rooms[at] > 0.0 && waits[at].is_zero() && own_place && !is_full(now, pool[i])
+        let max_wait = admission.map_or(Duration::ZERO, |a| a.max_wait(now));
+        let ordered = || order.iter().enumerate();
+        let nearly_full =
+            admission.is_some_and(|a| a.is_nearly_full(now, self.slots_of(now, request.service)));
+        let is_free = |&(at, &i): &(usize, &usize)| {
+            let has_slot = !nearly_full || self.has_allotted_slot(now, pool[i]);
+            headrooms[at] > 0.0 && waits[at].is_zero() && has_slot && !has_queue(now, pool[i])
         };
-        let soon = |&(at, _): &(usize, &usize)| rooms[at] > 0.0 && waits[at] <= admissible;
-        let most = || {
+        let is_free_in_time =
+            |&(at, _): &(usize, &usize)| headrooms[at] > 0.0 && waits[at] <= max_wait;
+        let overflow = || {
             if is_scarce {
-                let from = usize::try_from(request.spread % rank.len().max(1) as u64).unwrap_or(0);
-                let some = ranked().cycle().skip(from).take(SCARCE_CHOICES.min(rank.len()));
-                return some.min_by(|a, b| loads[*a.1].total_cmp(&loads[*b.1]));
+                let from = usize::try_from(request.spread % order.len().max(1) as u64).unwrap_or(0);
+                let choices = ordered().cycle().skip(from).take(SCARCE_CHOICES.min(order.len()));
+                return choices.min_by(|a, b| loads[*a.1].total_cmp(&loads[*b.1]));
             }
-            ranked().max_by(|a, b| rooms[a.0].total_cmp(&rooms[b.0]))
+            ordered().max_by(|a, b| headrooms[a.0].total_cmp(&headrooms[b.0]))
         };
-        let (at, &i) = ranked().find(free).or_else(|| ranked().find(soon)).or_else(most)?;
+        let (at, &i) = ordered()
+            .find(is_free)
+            .or_else(|| ordered().find(is_free_in_time))
+            .or_else(overflow)?;
         let server = Arc::clone(&pool[i].server);
-        let holder = self.holder(now, key, request, &server);
+        let holder = self.cache_holder(now, key, request, &server);
         let cold = pool[i].is_cold(now);
         let considered = pool.len();
         let (load, wait) = (loads[i], waits[at]);
         Some(Picked { server, rank: at, load, bound, wait, cold, considered, holder })
     }
 
-    /// Returns the mean load of a service's servers, of which those that a request looks at have `loads`.
+    /// Returns the mean load of a service's servers; `loads` are the loads of the candidates among them.
     fn mean_load(&self, now: Instant, service: &ServiceName, loads: &[f64]) -> f64 {
         if !self.is_small(service)
-            && let Some(mean) = self.by_service.get(service).and_then(|of| of.mean(now))
+            && let Some(mean) = self.by_service.get(service).and_then(|servers| servers.mean(now))
         {
             return mean;
         }
@@ -108,45 +119,45 @@
         loads.iter().sum::<f64>() / counted.max(1) as f64
     }
 
-    /// Returns how much load a server should have, where those of its service have `mean`.
+    /// Returns the load bounds of a server of a service with a mean load of `mean`.
     pub(super) fn bounds(&self, mean: f64) -> LoadBounds {
-        let spill = (1.0 + (self.load_bound - 1.0) * BOUND_SHARE) * mean + BOUND_SLACK;
+        let spill = (1.0 + (self.load_bound - 1.0) * SPILL_SHARE) * mean + BOUND_SLACK;
         LoadBounds { spill, limit: self.load_bound * mean + BOUND_SLACK }
     }
 
-    /// Returns the server that keeps the prompt `key` if `picked` does not: the best of the key's
-    /// rank beside it, leaving ones included. That is the server before a newer one took its place,
-    /// before it began to leave, or from which the request spilled.
-    fn holder(
+    /// Returns the server that holds the KV cache of the prompt `key` if `picked` does not: the first other one in the
+    /// rendezvous order, including leaving servers. It is the server that got the prompt before a newer one was added,
+    /// before it started to leave, or from which the request spilled.
+    fn cache_holder(
         &self,
         now: Instant,
         key: u64,
         request: &PickRequest<'_>,
         picked: &BackendServer,
     ) -> Option<Arc<BackendServer>> {
-        // A server at which this request has failed may be gone, and would be waited for; one that wants no requests is
-        // not to be asked for memory either.
-        let reachable = |t: &&Tracked| {
+        // A server at which this request has failed may have stopped, and fetching from it would time out; a server
+        // that requests a backoff must not be asked for its cache either.
+        let is_usable = |t: &&Tracked| {
             t.server.service == picked.service
                 && t.notice.backoff_left(now).is_none()
                 && !request.tried.contains(&t.server.id)
                 && t.server.id != picked.id
                 && self.is_in_home_region(&t.server, request)
-                && self.shares_memory(&t.server, picked)
+                && self.shares_cache(&t.server, picked)
                 && !t.health.is_paused(now)
         };
         let candidates = self.candidates(request, 0);
-        let mut possible = candidates.into_iter().filter(reachable);
+        let mut usable = candidates.into_iter().filter(is_usable);
         if !self.is_small(&picked.service) {
-            return possible.next().map(|t| Arc::clone(&t.server));
+            return usable.next().map(|t| Arc::clone(&t.server));
         }
         let score = |t: &Tracked| rendezvous::score(key, t.server.place(), 1.0);
-        let best = possible.max_by(|a, b| score(a).total_cmp(&score(b)));
+        let best = usable.max_by(|a, b| score(a).total_cmp(&score(b)));
         best.map(|t| Arc::clone(&t.server))
     }
 }
 
-/// Returns whether requests wait at a server that does not say how many it runs at once.
-fn is_full(now: Instant, tracked: &Tracked) -> bool {
+/// Returns whether a server that does not report its number of slots has queued requests.
+fn has_queue(now: Instant, tracked: &Tracked) -> bool {
     tracked.server.slots.is_none() && tracked.load.waiting(now) > 0
 }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -1,8 +1,8 @@
-//! Chooses a backend server for each request, from what this instance sees.
+//! Picks a backend server for each request, from the state that this instance observes.
 //!
-//! Requests that share a prompt go to the same engine by rendezvous hashing, as long as its load
-//! stays under a bound; beyond that they go to the next in their own rank. Other requests go to
-//! the least loaded server, those of the own availability zone first.
+//! Requests that share a prompt go to the same engine by rendezvous hashing while its load is under a bound, and to the
+//! next in their rendezvous order above it. Other requests go to the least loaded server, with a preference for the own
+//! availability zone.
 
 mod affinity;
 mod least_loaded;
@@ -31,7 +31,7 @@
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
 
-/// How much worse than the service's mean a server's share of failures may be.
+/// How far a server's failure share may exceed the mean of its service.
 const FAILURES_BEYOND_MEAN: f64 = 0.2;
 
 #[derive(Debug)]
@@ -39,9 +39,8 @@
     server: Arc<BackendServer>,
     load: Load,
     health: Health,
-    /// What the server has said of itself in its answers.
+    /// Notices that the server sent in its responses.
     notice: Notice,
-    /// Until when the server is cold.
     cold_until: Option<Instant>,
 }
 
@@ -51,24 +50,22 @@
     }
 }
 
-/// Loads and health of all backend servers, as this instance sees them.
+/// Load and health of all backend servers as observed by this instance.
 #[derive(Debug)]
 pub struct Picker {
     servers: IndexMap<Incarnation, Tracked>,
     zone: ZoneName,
-    /// Regions of the availability zones.
     regions: IndexMap<ZoneName, RegionName>,
     /// The operator's bound on an engine's load, as a multiple of the mean.
     load_bound: f64,
-    /// This instance among all.
+    /// Position of this instance in the fleet.
     position: FleetPosition,
     admission: IndexMap<ServiceName, AdmissionControl>,
-    /// Availability zones that get nothing new.
+    /// Availability zones that get no new requests.
     evacuated: IndexSet<ZoneName>,
     unlisted: UnlistedNotices,
-    /// Services whose version changes.
-    versions: IndexMap<ServiceName, RolloutServers>,
-    /// The servers of each service.
+    /// Services with a roll-out of another version.
+    rollouts: IndexMap<ServiceName, RolloutServers>,
     by_service: IndexMap<ServiceName, ServiceServers>,
 }
 
@@ -85,7 +82,7 @@
             admission: IndexMap::new(),
             evacuated: IndexSet::new(),
             unlisted: UnlistedNotices::default(),
-            versions: IndexMap::new(),
+            rollouts: IndexMap::new(),
             by_service: IndexMap::new(),
         }
     }
@@ -95,47 +92,47 @@
         self.regions = regions;
     }
 
-    /// Returns whether a server is where a request may be served.
+    /// Returns whether a server is in a region in which a request may be served.
     fn is_in_home_region(&self, server: &BackendServer, request: &PickRequest<'_>) -> bool {
         request.homes.allows(self.regions.get(&server.zone))
     }
 
-    /// Sets which of all instances this one is.
+    /// Sets the position of this instance in the fleet.
     pub fn set_position(&mut self, position: FleetPosition) {
         self.position = position;
     }
 
-    /// Returns which of all instances this one is.
+    /// Returns the position of this instance in the fleet.
     pub fn position(&self) -> FleetPosition {
         self.position
     }
 
-    /// Sets the zones whose servers get nothing new; returns those before.
+    /// Sets the zones whose servers get no new requests; returns the previous ones.
     pub fn set_evacuated(&mut self, zones: IndexSet<ZoneName>) -> IndexSet<ZoneName> {
         std::mem::replace(&mut self.evacuated, zones)
     }
 
-    /// Returns whether a server may get new requests, but for a backoff that it has asked for.
+    /// Returns whether a server may get new requests, except during a backoff.
     fn is_available(&self, tracked: &Tracked) -> bool {
         let leaving = tracked.server.leaving || tracked.notice.is_leaving();
         !leaving && !self.evacuated.contains(&tracked.server.zone)
     }
 
-    /// Returns whether a server takes new requests now.
+    /// Returns whether a server may get new requests now.
     fn accepts_requests(&self, now: Instant, tracked: &Tracked) -> bool {
         self.is_available(tracked) && !tracked.notice.forbids_requests(now)
     }
 
-    /// Takes the list of servers in force; what is known of those that stay is kept, and nothing of those that
-    /// started again. What a server has said of itself is kept also while it is not listed.
+    /// Sets the current list of servers. The state of servers that are still listed is kept, but not that of servers
+    /// that have restarted. Notices are also kept while a server is not listed.
     pub fn set_servers<'a>(
         &mut self,
         now: Instant,
         list: impl Iterator<Item = &'a Arc<BackendServer>>,
     ) {
-        let mut former = std::mem::take(&mut self.servers);
+        let mut previous = std::mem::take(&mut self.servers);
         for server in list {
-            let tracked = match former.swap_remove(&server.id) {
+            let tracked = match previous.swap_remove(&server.id) {
                 Some(known) => Tracked { server: Arc::clone(server), ..known },
                 None => Tracked {
                     server: Arc::clone(server),
@@ -147,29 +144,29 @@
             };
             self.servers.insert(server.id.clone(), tracked);
         }
-        for (id, gone) in former {
-            self.unlisted.keep(now, id, gone.notice);
+        for (id, removed) in previous {
+            self.unlisted.keep(now, id, removed.notice);
         }
         self.unlisted.prune(now);
         self.group_by_service();
-        self.group_versions();
+        self.group_by_version();
         self.update_totals(now);
     }
 
-    /// Sets until when servers are cold.
+    /// Sets which servers are cold, and until when.
     pub fn set_cold<'a>(&mut self, cold: impl Iterator<Item = (&'a Incarnation, Instant)>) {
         self.servers.values_mut().for_each(|tracked| tracked.cold_until = None);
         for (id, until) in cold {
-            self.with(id, |tracked| tracked.cold_until = Some(until));
+            self.update(id, |tracked| tracked.cold_until = Some(until));
         }
     }
 
-    /// Returns how many servers are cold.
+    /// Returns the number of cold servers.
     pub fn cold_count(&self, now: Instant) -> usize {
         self.servers.values().filter(|tracked| tracked.is_cold(now)).count()
     }
 
-    /// Notes a caller's request to a service, with its rank and target latency.
+    /// Records a caller's request to a service, with its priority and target latency.
     pub fn note_request(
         &mut self,
         now: Instant,
@@ -180,7 +177,7 @@
         self.admission(service).note_request(now, priority, target);
     }
 
-    /// Returns what is learnt of a service's load, to learn more.
+    /// Returns the admission control of a service.
     pub fn admission(&mut self, service: &ServiceName) -> &mut AdmissionControl {
         self.admission.entry(service.clone()).or_default()
     }
@@ -189,7 +186,7 @@
     ///
     /// # Errors
     ///
-    /// No server of the service may be used, or all have too long a queue.
+    /// No server of the service may be used, or the request is rejected because of overload.
     pub fn pick(&self, now: Instant, request: &PickRequest<'_>) -> Result<Picked, PickError> {
         let usable = self.usable(now, request);
         if usable.is_empty()
@@ -199,9 +196,9 @@
         }
         let healthy = self.healthy(now, &usable);
         let pool = if healthy.is_empty() { usable } else { healthy };
-        let usual = usual_load(&pool);
+        let fallback_load = mean_reported_load(&pool);
         let picked = match request.affinity {
-            Some(key) => self.by_affinity(now, key, request, &pool, usual),
+            Some(key) => self.by_affinity(now, key, request, &pool, fallback_load),
             None => self.by_load(now, request, &pool),
         };
         let picked = picked.ok_or(PickError::NoServer)?;
@@ -222,18 +219,18 @@
         Ok(picked)
     }
 
-    /// Returns the servers that a request may go to; where those of a new version are its turn and none of them may be
-    /// used, those of the others.
+    /// Returns the servers that a request may use. If it should use a new version and no server of that may be used,
+    /// returns servers of the other versions.
     fn usable(&self, now: Instant, request: &PickRequest<'_>) -> Vec<&Tracked> {
-        let version_group = self.version_group(now, request);
-        let sides: &[VersionGroup] = if version_group == VersionGroup::New {
+        let group = self.version_group(now, request);
+        let groups: &[VersionGroup] = if group == VersionGroup::New {
             &[VersionGroup::New, VersionGroup::Old]
         } else {
-            &[version_group]
+            &[group]
         };
-        for &version_group in sides {
-            for step in 0..self.steps(request.service) {
-                let usable = self.usable_of(now, request, version_group, step);
+        for &group in groups {
+            for step in 0..self.candidate_steps(request.service) {
+                let usable = self.usable_of(now, request, group, step);
                 if !usable.is_empty() {
                     return usable;
                 }
@@ -242,21 +239,21 @@
         Vec::new()
     }
 
-    /// Returns the servers of one side that a request may go to, the warm ones only where a cold one did not take it.
+    /// Returns the servers of one group that a request may use; only the warm ones if a cold one was denied.
     fn usable_of(
         &self,
         now: Instant,
         request: &PickRequest<'_>,
-        version_group: VersionGroup,
+        group: VersionGroup,
         step: usize,
     ) -> Vec<&Tracked> {
-        let refused = |id| request.tried.contains(id) || request.denied.contains(id);
+        let excluded = |id| request.tried.contains(id) || request.denied.contains(id);
         let usable: Vec<&Tracked> = self
             .candidates(request, step)
             .into_iter()
             .filter(|t| self.accepts_requests(now, t))
-            .filter(|t| !refused(&t.server.id) && self.is_in_home_region(&t.server, request))
-            .filter(|t| self.is_in_group(version_group, &t.server))
+            .filter(|t| !excluded(&t.server.id) && self.is_in_home_region(&t.server, request))
+            .filter(|t| self.is_in_group(group, &t.server))
             .collect();
         if request.denied.is_empty() || usable.iter().all(|t| t.is_cold(now)) {
             return usable;
@@ -264,34 +261,34 @@
         usable.into_iter().filter(|t| !t.is_cold(now)).collect()
     }
 
-    /// Notes that a request goes to `id`.
+    /// Records that a request is sent to `id`.
     pub fn start_request(&mut self, now: Instant, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
             tracked.load.start_request();
             tracked.health.start_request(now);
-            if let Some(of) = self.by_service.get_mut(&tracked.server.service) {
-                of.own += 1;
+            if let Some(servers) = self.by_service.get_mut(&tracked.server.service) {
+                servers.own += 1;
             }
         }
     }
 
-    /// Notes that a request at `id` ended.
+    /// Records that a request at `id` has ended.
     pub fn finish_request(&mut self, id: &Incarnation) {
         if let Some(tracked) = self.servers.get_mut(id) {
             tracked.load.finish_request();
-            if let Some(of) = self.by_service.get_mut(&tracked.server.service) {
-                of.own = of.own.saturating_sub(1);
+            if let Some(servers) = self.by_service.get_mut(&tracked.server.service) {
+                servers.own = servers.own.saturating_sub(1);
             }
         }
     }
 
-    /// Takes what a server says of its load.
+    /// Records a load report of a server.
     pub fn report(&mut self, now: Instant, id: &Incarnation, report: LoadReport) {
-        self.with(id, |t| t.load.report(now, report));
+        self.update(id, |t| t.load.report(now, report));
     }
 
-    /// Takes what all instances have in flight, of which `own` is what this one told; returns the servers
-    /// that have become crowded.
+    /// Sets the requests in flight of all instances, of which this instance reported `own`; returns the servers that
+    /// have become crowded.
     pub fn set_fleet_loads(
         &mut self,
         now: Instant,
@@ -303,11 +300,11 @@
         for load in loads {
             let counts: HashMap<Tag, u32> = load.counts.iter().copied().collect();
             let bounds = self.bounds(f64::from(load.mean));
-            let unlisted = if load.whole { 0.0 } else { f64::from(load.mean) };
+            let uncounted = if load.whole { 0.0 } else { f64::from(load.mean) };
             let mut total = FleetTotal { all: 0.0, own: 0.0, at: now };
             for tracked in self.servers.values_mut().filter(|t| t.server.service == load.service) {
                 let tag = tracked.server.tag();
-                let all = counts.get(&tag).map_or(unlisted, |&count| f64::from(count));
+                let all = counts.get(&tag).map_or(uncounted, |&count| f64::from(count));
                 let own = own.get(&tag).copied().unwrap_or(0);
                 let all = all.max(f64::from(own));
                 total.all += all;
@@ -324,20 +321,20 @@
         crowded
     }
 
-    /// Returns this instance's requests in flight, by server, for the other instances.
+    /// Returns this instance's requests in flight, by server, to report them to the other instances.
     pub fn own_counts(&self) -> Vec<Count> {
         let busy = self.servers.values().filter(|t| t.load.own() > 0);
         busy.map(|t| (t.server.tag(), t.load.own())).collect()
     }
 
-    /// Notes a good answer.
+    /// Records a successful response.
     pub fn note_success(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.note_success(now));
+        self.update(id, |t| t.health.note_success(now));
     }
 
-    /// Notes a failed answer.
+    /// Records a failed request.
     pub fn note_failure(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.note_failure(now));
+        self.update(id, |t| t.health.note_failure(now));
     }
 
     /// Returns this instance's requests in flight, by server.
@@ -345,33 +342,33 @@
         self.servers.iter().map(|(id, t)| (id, t.load.own()))
     }
 
-    fn with(&mut self, id: &Incarnation, change: impl FnOnce(&mut Tracked)) {
+    fn update(&mut self, id: &Incarnation, change: impl FnOnce(&mut Tracked)) {
         if let Some(tracked) = self.servers.get_mut(id) {
             change(tracked);
         }
     }
 
+    /// Returns the usable servers that are not paused and do not fail much more often than the others.
     fn healthy<'t>(&self, now: Instant, usable: &[&'t Tracked]) -> Vec<&'t Tracked> {
         let shares = usable.iter().map(|t| t.health.failure_share(now).0);
         let mean = shares.sum::<f64>() / usable.len().max(1) as f64;
-        let works = |t: &&&Tracked| {
-            let (share, enough) = t.health.failure_share(now);
-            let fails_more = enough && share > mean + FAILURES_BEYOND_MEAN;
+        let is_healthy = |t: &&&Tracked| {
+            let (share, is_reliable) = t.health.failure_share(now);
+            let fails_more = is_reliable && share > mean + FAILURES_BEYOND_MEAN;
             !t.health.is_paused(now) && !fails_more
         };
-        usable.iter().filter(works).copied().collect()
+        usable.iter().filter(is_healthy).copied().collect()
     }
 
-    /// Returns this instance's turn at a server, in [0, 1): each instance has another one, and another
-    /// at each server.
+    /// Returns this instance's phase at a server, in [0, 1), which differs between instances and between servers.
     fn phase(&self, server: Tag) -> f64 {
         let FleetPosition { number, instances } = self.position;
         ((number + server.0 as usize) % instances.max(1)) as f64 / instances.max(1) as f64
     }
 }
 
-/// Returns the mean of the last reports, in requests.
-fn usual_load(pool: &[&Tracked]) -> f64 {
+/// Returns the mean load of the servers by their last reports, in requests.
+fn mean_reported_load(pool: &[&Tracked]) -> f64 {
     let reported: Vec<f64> = pool.iter().filter_map(|t| t.load.last_reported()).collect();
     reported.iter().sum::<f64>() / reported.len().max(1) as f64
 }
--- a/src/routing/picker/notices.rs
+++ b/src/routing/picker/notices.rs
@@ -1,7 +1,7 @@
-//! Heeds what servers say of themselves in their answers, also while they are not listed.
+//! Applies the notices that servers send in their responses, also while the servers are not listed.
 //!
-//! Answers the load on a server that leaves, or that turns requests away and says for how long: each further request there
-//! is lost, or spends a repeat.
+//! Every further request to a server that is leaving, or that rejects requests and states a backoff, is lost or costs a
+//! retry.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::routing::{Incarnation, Notice, PickRequest};
 
 impl Picker {
-    /// Returns what a server has said of itself, to add to it.
+    /// Returns the notice of a server, to update it.
     fn notice_of(&mut self, now: Instant, id: &Incarnation) -> &mut Notice {
         match self.servers.get_mut(id) {
             Some(tracked) => &mut tracked.notice,
@@ -17,30 +17,29 @@
         }
     }
 
-    /// Notes that a server said in an answer that it leaves; returns whether that is new.
+    /// Records the notice of a server that it is leaving; returns whether that is new.
     pub fn note_leaving(&mut self, now: Instant, id: &Incarnation) -> bool {
         let notice = self.notice_of(now, id);
-        let known = notice.is_leaving();
+        let was_leaving = notice.is_leaving();
         notice.set_leaving();
-        !known
+        !was_leaving
     }
 
-    /// Notes that a server said in an answer that it wants no requests for `time`; returns whether it wanted some
-    /// until now.
+    /// Records the notice of a server that it requests a backoff of `time`; returns whether it had no backoff before.
     pub fn note_backoff(&mut self, now: Instant, id: &Incarnation, time: Duration) -> bool {
         let notice = self.notice_of(now, id);
-        let known = notice.backoff_left(now).is_some();
+        let had_backoff = notice.backoff_left(now).is_some();
         notice.extend_backoff(now, time);
-        !known
+        !had_backoff
     }
 
-    /// Returns whether a server that has been picked is not to be sent to after all, since it has said so meanwhile.
+    /// Returns whether a server that has been picked must not be sent requests, because of a notice received since.
     pub fn forbids_requests(&self, now: Instant, id: &Incarnation) -> bool {
         let listed = self.servers.get(id).map(|tracked| tracked.notice);
         listed.unwrap_or_else(|| self.unlisted.get(id)).forbids_requests(now)
     }
 
-    /// Returns when the first server takes requests again, where all that a request may go to want none for a while.
+    /// Returns the time until the first backoff ends, if all servers that a request could use have requested one.
     pub(super) fn backoff_left(&self, now: Instant, request: &PickRequest<'_>) -> Option<Duration> {
         if !request.denied.is_empty() {
             return None;
--- a/src/routing/picker/service_servers.rs
+++ b/src/routing/picker/service_servers.rs
@@ -1,9 +1,10 @@
-//! The servers of each service, found without looking at all of them.
+//! Indexes the servers of each service, so that a pick does not have to scan all of them.
 //!
-//! Answers the load of services with thousands of servers: a choice that looks at each takes milliseconds, more on a weak
-//! processor than the request itself. Of a large service a request looks at few servers, drawn by consistent hashing with
-//! many probes: each probe finds the next server on a ring, and the closest comes first. So the same prompt finds the same
-//! servers in the same order at all instances, also where some have come or gone, and each server is found equally often.
+//! For a service with thousands of servers, a pick that scans all of them takes milliseconds, on a slow processor
+//! longer than the request itself. For a large service, a pick considers a few candidates only, drawn by multi-probe
+//! consistent hashing: each probe finds the next server on a ring, and candidates are ordered by their distance to the
+//! probe. All instances thus find the same servers in the same order for a prompt, even while servers are added or
+//! removed, and each server is found equally often.
 
 use std::time::Instant;
 
@@ -16,42 +17,43 @@
     routing::{BackendServer, PickRequest, load::FLEET_COUNT_MAX_AGE},
 };
 
-/// Servers of a service up to which a request looks at all.
-const LOOKED_AT_ALL: usize = 512;
+/// Number of servers up to which a service is small, so that each pick scans all of them.
+const SMALL_SERVICE_MAX: usize = 512;
 
-/// Probes for one request to a larger service, and how often there are so many more where none of the servers found may be
-/// used; then all are looked at.
+/// Probes for one pick of a large service.
 const PROBES: usize = 32;
-const MORE_PROBES: usize = 8;
+
+/// Factor by which the number of probes grows if none of the servers found may be used; after that, all are scanned.
+const PROBES_GROWTH: usize = 8;
 
 /// The servers of one service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceServers {
-    /// Places in the list of all servers.
+    /// Indexes into the list of all servers.
     all: Vec<usize>,
     ring: Ring,
-    /// Those of the own availability zone, for requests without a prompt.
-    near_ring: Ring,
-    /// This instance's requests in flight there.
+    /// Servers of the own availability zone, for requests without a prompt.
+    zone_ring: Ring,
+    /// Requests in flight of this instance.
     pub(super) own: u32,
-    /// What the others had in flight there at the last exchange, and when that was.
+    /// Requests in flight of the other instances at the last exchange, and the time of that.
     others: Option<(f64, Instant)>,
-    /// Requests that they run at once, as of the last exchange; `None` where some do not say.
+    /// Total number of slots as of the last exchange; `None` if some servers do not report it.
     slots: Option<f64>,
-    /// Those in emptied zones.
+    /// Number of servers in evacuated zones.
     evacuated: usize,
 }
 
-/// Servers by the hash of their place.
+/// Servers sorted by the hash of their place.
 #[derive(Debug, Default)]
 struct Ring(Vec<(u64, usize)>);
 
 impl Ring {
-    fn push(&mut self, server: &BackendServer, at: usize) {
-        self.0.push((xxh3_64(&server.place().0.to_le_bytes()), at));
+    fn push(&mut self, server: &BackendServer, index: usize) {
+        self.0.push((xxh3_64(&server.place().0.to_le_bytes()), index));
     }
 
-    /// Returns the servers that so many probes find, the closest first.
+    /// Returns the servers that `probes` probes find, the closest one first.
     fn find(&self, key: u64, probes: usize) -> Vec<usize> {
         let mut found: Vec<(u64, usize)> = Vec::with_capacity(probes);
         for probe in 0..probes as u64 {
@@ -73,25 +75,25 @@
 }
 
 impl ServiceServers {
-    /// Returns whether a request looks at all of them.
+    /// Returns whether a pick scans all servers.
     pub(super) fn is_small(&self) -> bool {
-        self.all.len() <= LOOKED_AT_ALL
+        self.all.len() <= SMALL_SERVICE_MAX
     }
 
-    /// Returns what all instances have in flight at each on the mean, while that is known.
+    /// Returns the mean number of requests in flight per server, unless the counts of the other instances are too old.
     pub(super) fn mean(&self, now: Instant) -> Option<f64> {
         let (others, at) = self.others?;
-        let is_young = now.saturating_duration_since(at) < FLEET_COUNT_MAX_AGE;
-        is_young.then(|| (others + f64::from(self.own)) / self.all.len().max(1) as f64)
+        let is_recent = now.saturating_duration_since(at) < FLEET_COUNT_MAX_AGE;
+        is_recent.then(|| (others + f64::from(self.own)) / self.all.len().max(1) as f64)
     }
 
-    /// Returns the servers that a request looks at, those first that it should go to.
+    /// Returns the candidates for a request, those of a large service in order of preference.
     fn candidates(&self, request: &PickRequest<'_>, probes: usize) -> Vec<usize> {
         if self.is_small() || probes >= self.all.len() {
             return self.all.clone();
         }
         let Some(key) = request.affinity else {
-            let mut candidates = self.near_ring.find(request.spread, probes / 2);
+            let mut candidates = self.zone_ring.find(request.spread, probes / 2);
             let all = self.ring.find(request.spread, probes);
             candidates
                 .extend(all.into_iter().filter(|at| !candidates.contains(at)).collect::<Vec<_>>());
@@ -102,80 +104,82 @@
 }
 
 impl Picker {
-    /// Groups the servers by service, after the list has changed.
+    /// Groups the servers by service, after a change of the list.
     pub(super) fn group_by_service(&mut self) {
         let mut by_service: IndexMap<ServiceName, ServiceServers> = IndexMap::new();
-        for (at, tracked) in self.servers.values().enumerate() {
-            let of = by_service.entry(tracked.server.service.clone()).or_default();
-            of.all.push(at);
-            of.own += tracked.load.own();
+        for (index, tracked) in self.servers.values().enumerate() {
+            let servers = by_service.entry(tracked.server.service.clone()).or_default();
+            servers.all.push(index);
+            servers.own += tracked.load.own();
         }
-        for (service, of) in by_service.iter_mut().filter(|(_, of)| !of.is_small()) {
-            for &at in &of.all {
-                let server = &self.servers[at].server;
-                of.ring.push(server, at);
+        for (service, servers) in by_service.iter_mut().filter(|(_, servers)| !servers.is_small()) {
+            for &index in &servers.all {
+                let server = &self.servers[index].server;
+                servers.ring.push(server, index);
                 if server.zone == self.zone {
-                    of.near_ring.push(server, at);
+                    servers.zone_ring.push(server, index);
                 }
             }
-            of.ring.0.sort_unstable();
-            of.near_ring.0.sort_unstable();
-            of.others = self.by_service.get(service).and_then(|former| former.others);
+            servers.ring.0.sort_unstable();
+            servers.zone_ring.0.sort_unstable();
+            servers.others = self.by_service.get(service).and_then(|previous| previous.others);
         }
         self.by_service = by_service;
     }
 
-    /// Sums up what is known of the servers of each large service, after the list or the counts of all instances have changed.
+    /// Updates the totals of each large service, after a change of the list or of the counts of all instances.
     pub(super) fn update_totals(&mut self, now: Instant) {
         let mut by_service = std::mem::take(&mut self.by_service);
-        for of in by_service.values_mut().filter(|of| !of.is_small()) {
-            let tracked = || of.all.iter().map(|&at| &self.servers[at]);
+        for servers in by_service.values_mut().filter(|servers| !servers.is_small()) {
+            let tracked = || servers.all.iter().map(|&index| &self.servers[index]);
             let in_use = || {
                 tracked()
                     .filter(|t| self.accepts_requests(now, t) && self.is_in_use(now, &t.server))
             };
-            of.slots = in_use().map(|t| t.server.slots.map(f64::from)).sum();
-            of.evacuated = tracked().filter(|t| self.is_evacuated(t)).count();
+            servers.slots = in_use().map(|t| t.server.slots.map(f64::from)).sum();
+            servers.evacuated = tracked().filter(|t| self.is_evacuated(t)).count();
         }
         self.by_service = by_service;
     }
 
-    /// Takes what the other instances have in flight at the servers of a service.
+    /// Sets the requests in flight of the other instances at the servers of a service.
     pub(super) fn set_others(&mut self, now: Instant, service: &ServiceName, others: f64) {
-        if let Some(of) = self.by_service.get_mut(service) {
-            of.others = Some((others, now));
+        if let Some(servers) = self.by_service.get_mut(service) {
+            servers.others = Some((others, now));
         }
     }
 
     /// Returns the servers of a service.
     pub(super) fn servers_of(&self, service: &ServiceName) -> impl Iterator<Item = &Tracked> {
-        let of = self.by_service.get(service).into_iter().flat_map(|of| &of.all);
-        of.map(|&at| &self.servers[at])
+        let indexes = self.by_service.get(service).into_iter().flat_map(|servers| &servers.all);
+        indexes.map(|&index| &self.servers[index])
     }
 
-    /// Returns the servers that a request looks at, in its rank where they are not all; of a large service in steps, each of
-    /// which finds more.
+    /// Returns the candidates for a request: all servers of a small service; of a large one a few in order of
+    /// preference, more with each step.
     pub(super) fn candidates(&self, request: &PickRequest<'_>, step: usize) -> Vec<&Tracked> {
-        let Some(of) = self.by_service.get(request.service) else { return Vec::new() };
-        let probes = [PROBES, PROBES * MORE_PROBES, usize::MAX][step.min(2)];
-        of.candidates(request, probes).into_iter().map(|at| &self.servers[at]).collect()
+        let Some(servers) = self.by_service.get(request.service) else { return Vec::new() };
+        let probes = [PROBES, PROBES * PROBES_GROWTH, usize::MAX][step.min(2)];
+        let indexes = servers.candidates(request, probes).into_iter();
+        indexes.map(|index| &self.servers[index]).collect()
     }
 
-    /// Returns in how many steps a request to a service looks at all its servers.
-    pub(super) fn steps(&self, service: &ServiceName) -> usize {
+    /// Returns the number of steps after which all servers of a service are candidates.
+    pub(super) fn candidate_steps(&self, service: &ServiceName) -> usize {
         if self.is_small(service) { 1 } else { 3 }
     }
 
-    /// Returns whether a request to a service looks at all its servers.
+    /// Returns whether a service is small, so that a pick scans all of its servers.
     pub(super) fn is_small(&self, service: &ServiceName) -> bool {
         self.by_service.get(service).is_none_or(ServiceServers::is_small)
     }
 
-    /// Returns how many servers of a service are in emptied zones. They count in the mean: the others' bound is one of all.
+    /// Returns the number of a service's servers in evacuated zones. They count in the mean, to
+    /// which the operators' bound refers.
     pub(super) fn evacuated_of(&self, service: &ServiceName) -> usize {
-        let Some(of) = self.by_service.get(service) else { return 0 };
-        if !of.is_small() {
-            return of.evacuated;
+        let Some(servers) = self.by_service.get(service) else { return 0 };
+        if !servers.is_small() {
+            return servers.evacuated;
         }
         self.servers_of(service).filter(|tracked| self.is_evacuated(tracked)).count()
     }
@@ -184,11 +188,11 @@
         !tracked.server.leaving && self.evacuated.contains(&tracked.server.zone)
     }
 
-    /// Returns this instance's requests in flight at the servers of a service, and how many these run at once; `None` where
-    /// some do not say.
+    /// Returns this instance's requests in flight at the servers of a service, and the total number of their slots;
+    /// `None` if some do not report their slots.
     pub(super) fn slots(&self, now: Instant, service: &ServiceName) -> Option<(f64, f64)> {
-        if let Some(of) = self.by_service.get(service).filter(|of| !of.is_small()) {
-            return of.slots.map(|slots| (f64::from(of.own), slots));
+        if let Some(servers) = self.by_service.get(service).filter(|servers| !servers.is_small()) {
+            return servers.slots.map(|slots| (f64::from(servers.own), slots));
         }
         let (mut own, mut slots) = (0.0, 0.0);
         for tracked in self.servers_of(service) {
--- a/src/routing/picker/unresponsive.rs
+++ b/src/routing/picker/unresponsive.rs
@@ -1,7 +1,7 @@
-//! Passes over servers that are silent or cannot be reached, and tells the other instances of them.
+//! Excludes servers that are unresponsive or unreachable, and reports them to the other instances.
 //!
-//! Answers the load of requests that would each wait in vain: some find out, and the others go elsewhere. Servers that want
-//! no requests for a while are told of in the same way.
+//! Without this, every request to such a server would have to time out there by itself; with it, a few detect the
+//! failure and the others use other servers. Servers that request a backoff are reported in the same way.
 
 use std::time::Instant;
 
@@ -13,13 +13,14 @@
     routing::Incarnation,
 };
 
-/// Most silent servers that an instance tells of: a rack's, several times. If a whole zone is lost, the list
-/// of servers says so within some heartbeats, and thousands of tags from each instance would fill the links.
-const SILENT_TOLD: usize = 64;
+/// Most unresponsive servers that an instance reports: several times as many as a rack has. If a whole zone is lost,
+/// the list of servers shows that within a few heartbeats, and thousands of tags from each instance would saturate the
+/// links.
+const REPORTED_MAX: usize = 64;
 
 impl Picker {
-    /// Notes a request at `id` that has waited for a byte for longer than nearly all do; returns whether
-    /// the server has come to count as silent.
+    /// Records a request at `id` that has received no byte for longer than nearly all requests do; returns whether the
+    /// server counts as unresponsive from now on.
     pub fn note_stall(&mut self, now: Instant, id: &Incarnation) -> bool {
         let Some(service) = self.servers.get(id).map(|t| t.server.service.clone()) else {
             return false;
@@ -31,54 +32,54 @@
         false
     }
 
-    /// Returns whether one more server of a service may be paused for its silence: where most are silent,
-    /// the whole service is slow, and the few that are left would get all requests.
+    /// Returns whether one more server of a service may be paused as unresponsive: if most are, the whole service is
+    /// slow, and the few remaining servers would get all requests.
     fn may_pause(&self, now: Instant, service: &ServiceName) -> bool {
         let servers = || self.servers_of(service);
         let paused = servers().filter(|t| t.health.is_paused(now)).count();
         (paused + 1) * 2 <= servers().count()
     }
 
-    /// Notes that a request that counted as waiting in vain at `id` was answered after all.
+    /// Records that a request that counted as stalled at `id` has received a response after all.
     pub fn clear_stall(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.clear_stall(now));
+        self.update(id, |t| t.health.clear_stall(now));
     }
 
-    /// Returns the servers that nothing is sent to since they are silent, cannot be reached, or want no requests for
-    /// a while, for the other instances; none where that is most of a service, as then it is rather this instance
-    /// that is cut off.
+    /// Returns the servers that this instance sends nothing to because they are unresponsive, unreachable or have
+    /// requested a backoff, to report them to the other instances. Omits services of which most servers are affected:
+    /// in that case this instance is probably cut off.
     pub fn own_unresponsive(&self, now: Instant) -> Vec<Tag> {
         let mut services: IndexMap<&ServiceName, (usize, Vec<Tag>)> = IndexMap::new();
         for tracked in self.servers.values() {
             let (count, paused) = services.entry(&tracked.server.service).or_default();
             *count += 1;
-            // Else each instance would be turned away by each of them, and spend a repeat.
+            // Unless backoffs are reported, each instance is rejected by each of these servers and spends a retry.
             let backs_off = tracked.notice.backoff_left(now).is_some();
             if backs_off || tracked.health.is_paused_locally(now) {
                 paused.push(tracked.server.tag());
             }
         }
-        let few = |(count, paused): &(usize, Vec<Tag>)| paused.len() * 2 <= *count;
-        let told = services.into_values().filter(few).flat_map(|(_, paused)| paused);
-        told.take(SILENT_TOLD).collect()
+        let is_minority = |(count, paused): &(usize, Vec<Tag>)| paused.len() * 2 <= *count;
+        let reported = services.into_values().filter(is_minority).flat_map(|(_, paused)| paused);
+        reported.take(REPORTED_MAX).collect()
     }
 
-    /// Takes the word of other instances that servers are silent.
-    pub fn note_reported_unresponsive(&mut self, now: Instant, silent: &[Tag]) {
-        let told = |t: &&Tracked| silent.contains(&t.server.tag());
+    /// Applies reports of other instances that servers are unresponsive.
+    pub fn note_reported_unresponsive(&mut self, now: Instant, reported: &[Tag]) {
+        let is_reported = |t: &&Tracked| reported.contains(&t.server.tag());
         let ids: Vec<Incarnation> =
-            self.servers.values().filter(told).map(|t| t.server.id.clone()).collect();
+            self.servers.values().filter(is_reported).map(|t| t.server.id.clone()).collect();
         for id in ids {
             let Some(tracked) = self.servers.get(&id) else { continue };
-            let known = tracked.health.is_paused(now);
-            if known || self.may_pause(now, &tracked.server.service) {
-                self.with(&id, |t| t.health.note_reported_unresponsive(now));
+            let was_paused = tracked.health.is_paused(now);
+            if was_paused || self.may_pause(now, &tracked.server.service) {
+                self.update(&id, |t| t.health.note_reported_unresponsive(now));
             }
         }
     }
 
-    /// Notes that a server could not be reached.
+    /// Records that a server could not be reached.
     pub fn note_unreachable(&mut self, now: Instant, id: &Incarnation) {
-        self.with(id, |t| t.health.note_unreachable(now));
+        self.update(id, |t| t.health.note_unreachable(now));
     }
 }
