--- a/src/routing/events.rs
+++ b/src/routing/events.rs
@@ -1,10 +1,10 @@
-//! Splits a stream into whole events, so that a stream that breaks can go on after the last one
-//! that the caller has whole.
+//! Splits an event stream into complete events, so that a broken stream can be resumed after the last event that the
+//! caller has received completely.
 
-/// Longest event; a longer one is passed on in pieces.
-const EVENT_MAX: usize = 64 << 10;
+/// Longest event, in bytes; a longer one is forwarded in pieces.
+const EVENT_MAX_BYTES: usize = 64 << 10;
 
-/// Collects bytes and hands out whole events.
+/// Collects bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: Vec<u8>,
@@ -12,37 +12,37 @@
 }
 
 impl EventSplitter {
-    /// Returns a splitter of a stream that goes on after the event `last_id`.
+    /// Returns a splitter of a stream that is resumed after the event `last_id`.
     pub fn after(last_id: Option<String>) -> EventSplitter {
         EventSplitter { buf: Vec::new(), last_id }
     }
 
-    /// Takes bytes as they came and returns the whole events among them; may be empty.
+    /// Adds received bytes and returns the events that are complete now; may be empty.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.buf.extend_from_slice(bytes);
         let end = match self.buf.windows(2).rposition(|pair| pair == b"\n\n") {
             Some(at) => at + 2,
-            None if self.buf.len() > EVENT_MAX => self.buf.len(),
+            None if self.buf.len() > EVENT_MAX_BYTES => self.buf.len(),
             None => return Vec::new(),
         };
-        let whole: Vec<u8> = self.buf.drain(..end).collect();
-        if let Some(id) = last_event_id(&whole) {
+        let complete: Vec<u8> = self.buf.drain(..end).collect();
+        if let Some(id) = last_event_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
-    /// Drops the beginning of an event that will not end.
+    /// Discards an incomplete event whose stream is broken.
     pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 
-    /// Takes what is left at the stream's true end.
+    /// Takes the remaining bytes after a regular end of the stream.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.buf)
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
--- a/src/routing/home_regions.rs
+++ b/src/routing/home_regions.rs
@@ -1,11 +1,11 @@
-//! Regions in which requests of a route or a team are to be served.
+//! Regions in which the requests of a route or a team must be served.
 
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
 use crate::names::RegionName;
 
-/// Where requests may be served.
+/// Regions in which requests may be served.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HomeRegions {
     /// Everywhere.
@@ -16,23 +16,24 @@
 }
 
 impl HomeRegions {
-    /// Returns the homes that an operator's list names; an empty one names no limit.
+    /// Returns the home regions of an operator's list; an empty list means no restriction.
     pub fn from_list(regions: impl IntoIterator<Item = RegionName>) -> HomeRegions {
         let regions: IndexSet<RegionName> = regions.into_iter().collect();
         if regions.is_empty() { HomeRegions::Anywhere } else { HomeRegions::Within(regions) }
     }
 
-    /// Returns the homes by which both are kept; there may be none.
+    /// Returns the regions that both allow; there may be none.
     pub fn intersect(&self, other: &HomeRegions) -> HomeRegions {
         match (self, other) {
             (HomeRegions::Anywhere, homes) | (homes, HomeRegions::Anywhere) => homes.clone(),
-            (HomeRegions::Within(one), HomeRegions::Within(two)) => {
-                HomeRegions::Within(one.intersection(two).cloned().collect())
+            (HomeRegions::Within(left), HomeRegions::Within(right)) => {
+                HomeRegions::Within(left.intersection(right).cloned().collect())
             }
         }
     }
 
-    /// Returns whether a place may serve; one whose region is not known is nobody's home.
+    /// Returns whether servers in `region` may serve the requests. An unknown region is allowed only without a
+    /// restriction.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match self {
             HomeRegions::Anywhere => true,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions of the way of a request on a platform that lists backend servers: which route, which
-//! backend server, whether to try again. No I/O; the time is passed in.
+//! Routing decisions on a platform that lists backend servers: the route and the backend server of a request, and
+//! whether the request is retried. The module does no I/O; the current time is passed in.
 
 pub mod admission;
 pub mod aggregate;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests go to which service, and what may be done with them.
+//! Routes: which requests go to which service, and how they may be handled.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,26 +8,26 @@
 use super::HomeRegions;
 use crate::names::ServiceName;
 
-/// What may be repeated, and how the answer comes.
+/// Whether requests may be retried, and the form of the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Running it several times does no harm; one whole answer.
+    /// A request may run several times; a single response.
     Idempotent,
-    /// At most one run for each request; one whole answer.
+    /// A request runs at most once; a single response.
     AtMostOnce,
-    /// A stream of events, which a second backend server may go on with.
+    /// An event stream that another backend server may resume.
     ResumableStream,
-    /// A stream of events that runs at most once.
+    /// An event stream whose request runs at most once.
     Stream,
 }
 
 impl RouteKind {
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::ResumableStream | RouteKind::Stream)
     }
 
-    /// Returns whether a request that may have run can be sent again.
+    /// Returns whether a request that may have run already can be sent again.
     pub fn may_run_again(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
@@ -42,12 +42,12 @@
     pub weight: f64,
 }
 
-/// What tells a route from all others.
+/// Unique key of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteKey {
-    /// Host that it serves, in lower case.
+    /// Host, in lower case.
     pub host: String,
-    /// Start of the paths that it serves.
+    /// Path prefix.
     pub prefix: String,
 }
 
@@ -56,48 +56,48 @@
 pub struct Route {
     /// Name, for logs.
     pub name: String,
-    /// Host that it serves, in lower case.
+    /// Host, in lower case.
     pub host: String,
-    /// Start of the paths that it serves; begins and ends with `/`.
+    /// Path prefix; begins and ends with `/`.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried, and the form of the response.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting for the whole answer.
+    /// Longest time until the response is complete.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) is on time.
+    /// Time within which a response (the first event of a stream) is on time.
     pub target_latency: Duration,
-    /// Longest pause between events that is still on time, for streams.
+    /// For streams, the longest pause between events that is still on time.
     pub gap_target: Option<Duration>,
-    /// Rank among requests; 0 goes first.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Services that serve it.
+    /// Services that its requests are split between.
     pub shares: Vec<ServiceShare>,
-    /// Most backend servers that may run one request.
+    /// Maximum number of backend servers that may run one request.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers do not need an API key.
     pub public: bool,
     /// Whether requests that share a prompt go to the same backend server.
     pub affinity: bool,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     pub homes: HomeRegions,
 }
 
 impl Route {
-    /// Returns what tells the route from all others.
+    /// Returns the unique key of the route.
     pub fn key(&self) -> RouteKey {
         RouteKey { host: self.host.to_ascii_lowercase(), prefix: self.prefix.clone() }
     }
 
-    /// Returns the service for a request; `point` is a hash of what keeps it with its like.
-    pub fn service_for(&self, point: u64) -> Option<&ServiceName> {
+    /// Returns the service for a request; requests with the same `hash` get the same service.
+    pub fn service_for(&self, hash: u64) -> Option<&ServiceName> {
         let total: f64 = self.shares.iter().map(|share| share.weight.max(0.0)).sum();
-        // 53 bits make a float in [0, 1).
-        let mut at = (point >> 11) as f64 / (1u64 << 53) as f64 * total;
+        // A float in [0, 1) has 53 significant bits.
+        let mut point = (hash >> 11) as f64 / (1u64 << 53) as f64 * total;
         for share in &self.shares {
-            if at < share.weight {
+            if point < share.weight {
                 return Some(&share.service);
             }
-            at -= share.weight.max(0.0);
+            point -= share.weight.max(0.0);
         }
         self.shares.iter().rev().find(|share| share.weight > 0.0).map(|share| &share.service)
     }
@@ -110,12 +110,12 @@
 }
 
 impl RouteTable {
-    /// Returns a table of `routes`; of two with the same host and prefix the later one stays.
+    /// Returns a table of `routes`; a later route replaces an earlier one with the same host and prefix.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> RouteTable {
         RouteTable::default().with_changes(routes, &[])
     }
 
-    /// Returns the table without the routes of `removed`, and with those of `put` added or replaced.
+    /// Returns a copy of the table with the routes of `removed` removed and those of `put` added or replaced.
     pub fn with_changes(
         &self,
         put: impl IntoIterator<Item = Route>,
@@ -146,7 +146,7 @@
         self.hosts.get(&key.host)?.get(&key.prefix)
     }
 
-    /// Returns the route of `host` with the longest prefix that begins `target`'s path.
+    /// Returns the route of `host` with the longest prefix that matches the path of `target`.
     pub fn find(&self, host: &str, target: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let prefixes = self.hosts.get(&name)?;
--- a/src/routing/team.rs
+++ b/src/routing/team.rs
@@ -1,4 +1,4 @@
-//! Teams and the keys that their callers show.
+//! Teams and the API keys of their callers.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -11,9 +11,9 @@
 pub struct Team {
     /// Name.
     pub name: TeamName,
-    /// Rank of its requests, in place of their route's.
+    /// Priority of its requests, which overrides that of their routes.
     pub priority: Option<u8>,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     pub homes: HomeRegions,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Teams {
-    /// Returns teams with their keys; `None` where the operator configures no teams at all.
+    /// Returns the teams with their keys. `None` means that the operator has configured no teams.
     pub fn new(teams: Option<Vec<(Team, Vec<String>)>>) -> Teams {
         let configured = teams.is_some();
         let mut keys = IndexMap::new();
@@ -37,8 +37,7 @@
         Teams { keys, configured }
     }
 
-    /// Returns the teams without the keys of `removed`, and with those of `put` added or given to another
-    /// team.
+    /// Returns a copy with the keys of `removed` removed and those of `put` added or assigned to another team.
     pub fn with_changes(
         &self,
         put: impl IntoIterator<Item = (String, Team)>,
@@ -53,7 +52,7 @@
         Teams { keys, configured: needs_key }
     }
 
-    /// Returns all keys with the teams that hold them.
+    /// Returns all keys with their teams.
     pub fn keys(&self) -> impl Iterator<Item = (&String, &Team)> {
         self.keys.iter()
     }
@@ -63,7 +62,7 @@
         self.configured
     }
 
-    /// Returns the team that holds `key`.
+    /// Returns the team of `key`.
     pub fn holder(&self, key: &str) -> Option<&Team> {
         self.keys.get(key)
     }
