--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,13 +1,13 @@
 //! All integration tests, as one crate.
 
 mod answers;
-mod backoff_drawn;
+mod backoff_random;
 mod blame;
 mod bodies;
 mod budget_drawn;
 mod budget_fleet;
 mod callers;
-mod cold_drawn;
+mod cold_random;
 mod cold_servers;
 mod config;
 mod deadly;
@@ -21,7 +21,7 @@
 mod herding;
 mod home;
 mod home_drawn;
-mod homes_of_requests;
+mod home_regions;
 mod idle_callers;
 mod incarnations;
 mod intent_changes;
