--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -1,5 +1,5 @@
-//! Several instances that know each other's counts only as of the last exchange, on a made-up clock: no
-//! backend server gets much more than its bound, however many requests share one prompt.
+//! Thundering herds, on a simulated clock: several instances know each other's counts only as of the last exchange, and
+//! still no backend server gets much more than its bound, however many requests share one prompt.
 
 use std::{
     collections::BinaryHeap,
@@ -10,62 +10,67 @@
     Aggregate, BackendServer, FleetPosition, Incarnation, PickRequest, Picker,
 };
 
-/// The operator's bound, and the requests beyond it that do not count.
-const BOUND: (f64, f64) = (2.0, 3.0);
+/// The operator's bound on the load of a server, as a multiple of the mean.
+const LOAD_BOUND: f64 = 2.0;
 
-/// Share of arrivals that may be beyond the bound.
-const BEYOND_MAX: f64 = 0.03;
+/// Requests over the bound that are tolerated.
+const BOUND_SLACK: f64 = 3.0;
 
-/// Time after which arrivals are judged: a few exchanges.
+/// Share of arrivals that may exceed the bound.
+const OVER_BOUND_MAX: f64 = 0.03;
+
+/// Time from which arrivals are counted: a few exchanges after the start.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// Length of a case.
-const LENGTH: Duration = Duration::from_secs(8);
+/// Simulated duration of a case.
+const DURATION: Duration = Duration::from_secs(8);
 
 #[derive(Debug, Clone, Copy)]
 struct Case {
     instances: usize,
     servers: usize,
-    /// Callers that send one request after the other.
+    /// Callers, each of which sends one request after the other.
     callers: usize,
-    /// Share of the callers whose requests have the same prompt; `None`: requests have no prompts.
-    hot: Option<f64>,
-    /// Time of one request at a server.
-    takes: Duration,
-    /// Pause between two exchanges.
-    period: Duration,
-    /// Servers in a zone that operators have emptied.
-    emptied: usize,
+    /// Share of the callers whose requests have the same prompt; `None` if requests have no prompts.
+    same_prompt: Option<f64>,
+    /// Duration of a request at a server.
+    request_time: Duration,
+    /// Interval between two exchanges of an instance.
+    exchange_interval: Duration,
+    /// Number of servers in an evacuated zone.
+    evacuated: usize,
 }
 
-/// What happens next: when, and which caller's request ends or which instance exchanges.
+/// An event of the simulation.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
-    Call(usize),
+enum Event {
+    /// A request of this caller ends and its next one is sent.
+    NextRequest(usize),
+    /// This instance exchanges counts with the aggregator.
     Exchange(usize),
 }
 
-struct World {
+struct Simulation {
     case: Case,
     servers: Vec<BackendServer>,
     pickers: Vec<Picker>,
     aggregate: Aggregate,
     /// Requests in flight, by server.
     loads: Vec<u32>,
-    /// Server at which each caller has a request.
-    at: Vec<Option<usize>>,
+    /// Server that runs each caller's request.
+    running_at: Vec<Option<usize>>,
     arrivals: u32,
-    beyond: u32,
-    /// Stands for the ids of requests, which are all different.
+    over_bound: u32,
+    /// Spread hash of the last request; different for each request.
     spread: u64,
 }
 
 fn server(number: usize, zone: &str) -> BackendServer {
     BackendServer {
-        id: format!("s{number}").parse().expect("an id"),
-        service: "llm".parse().expect("a name"),
+        id: format!("s{number}").parse().expect("a valid id"),
+        service: "llm".parse().expect("a valid name"),
         address: ([10, 0, 0, 1], number as u16 + 1).into(),
-        zone: zone.parse().expect("a zone"),
+        zone: zone.parse().expect("a valid zone"),
         leaving: false,
         slots: None,
         version: None,
@@ -73,46 +78,46 @@
     }
 }
 
-impl World {
-    fn new(case: Case) -> World {
-        let zone = |number| if number < case.emptied { "emptied" } else { "z" };
+impl Simulation {
+    fn new(case: Case) -> Simulation {
+        let zone = |number| if number < case.evacuated { "evacuated" } else { "z" };
         let servers: Vec<BackendServer> = (0..case.servers).map(|n| server(n, zone(n))).collect();
         let list: Vec<_> = servers.iter().cloned().map(std::sync::Arc::new).collect();
         let picker = |number| {
-            let mut picker = Picker::new("z".parse().expect("a zone"), BOUND.0);
+            let mut picker = Picker::new("z".parse().expect("a valid zone"), LOAD_BOUND);
             picker.set_servers(Instant::now(), list.iter());
-            picker.set_evacuated(["emptied".parse().expect("a zone")].into());
+            picker.set_evacuated(["evacuated".parse().expect("a valid zone")].into());
             picker.set_position(FleetPosition { number, instances: case.instances });
             picker
         };
-        World {
+        Simulation {
             pickers: (0..case.instances).map(picker).collect(),
             aggregate: Aggregate::default(),
             loads: vec![0; case.servers],
-            at: vec![None; case.callers],
+            running_at: vec![None; case.callers],
             arrivals: 0,
-            beyond: 0,
+            over_bound: 0,
             spread: 0,
             servers,
             case,
         }
     }
 
-    /// Ends a caller's request and sends its next one.
-    fn call(&mut self, now: Instant, caller: usize, judged: bool) {
+    /// Ends a caller's request and sends its next one, which is counted if `counted` is set.
+    fn next_request(&mut self, now: Instant, caller: usize, counted: bool) {
         let instance = caller % self.case.instances;
         self.spread = self.spread.wrapping_mul(6364136223846793005).wrapping_add(1);
         let id = |at: usize| -> Incarnation { self.servers[at].id.clone() };
-        if let Some(at) = self.at[caller].take() {
+        if let Some(at) = self.running_at[caller].take() {
             self.loads[at] -= 1;
             self.pickers[instance].finish_request(&id(at));
         }
-        let affinity = self.case.hot.map(|hot| {
-            let same = (caller as f64) < hot * self.case.callers as f64;
-            if same { 7 } else { 1000 + caller as u64 }
+        let affinity = self.case.same_prompt.map(|share| {
+            let has_same = (caller as f64) < share * self.case.callers as f64;
+            if has_same { 7 } else { 1000 + caller as u64 }
         });
-        let service = "llm".parse().expect("a name");
-        let wanted = PickRequest {
+        let service = "llm".parse().expect("a valid name");
+        let request = PickRequest {
             service: &service,
             affinity,
             spread: self.spread,
@@ -120,73 +125,74 @@
             admission: None,
             ..PickRequest::new(&service)
         };
-        let picked = self.pickers[instance].pick(now, &wanted).expect("a server");
+        let picked = self.pickers[instance].pick(now, &request).expect("a server is picked");
         let at = self.servers.iter().position(|s| s.id == picked.server.id).expect("listed");
         self.pickers[instance].start_request(now, &id(at));
         self.loads[at] += 1;
-        self.at[caller] = Some(at);
-        if judged {
+        self.running_at[caller] = Some(at);
+        if counted {
             let mean = f64::from(self.loads.iter().sum::<u32>()) / self.loads.len() as f64;
             self.arrivals += 1;
-            self.beyond += u32::from(f64::from(self.loads[at]) > BOUND.0 * mean + BOUND.1);
+            self.over_bound +=
+                u32::from(f64::from(self.loads[at]) > LOAD_BOUND * mean + BOUND_SLACK);
         }
     }
 
     fn exchange(&mut self, now: Instant, instance: usize) {
         let own = self.pickers[instance].own_counts();
-        let node = format!("n{instance}").parse().expect("a name");
+        let node = format!("n{instance}").parse().expect("a valid name");
         self.aggregate.take(now, node, own.clone());
         let loads = self.aggregate.summary(now, self.servers.iter());
         self.pickers[instance].set_fleet_loads(now, &loads, &own);
     }
 }
 
-/// Plays a case and returns the share of arrivals beyond the bound.
-fn play(case: Case) -> f64 {
-    let mut world = World::new(case);
+/// Simulates a case and returns the share of arrivals that exceed the bound.
+fn simulate(case: Case) -> f64 {
+    let mut simulation = Simulation::new(case);
     let start = Instant::now();
     let mut queue = BinaryHeap::new();
     let mut rng = fastrand::Rng::with_seed(11);
-    let push = |queue: &mut BinaryHeap<_>, at: Duration, next| {
-        queue.push(std::cmp::Reverse((at, next)));
+    let push = |queue: &mut BinaryHeap<_>, at: Duration, event| {
+        queue.push(std::cmp::Reverse((at, event)));
     };
     for caller in 0..case.callers {
-        push(&mut queue, case.takes.mul_f64(rng.f64()), Next::Call(caller));
+        push(&mut queue, case.request_time.mul_f64(rng.f64()), Event::NextRequest(caller));
     }
     for instance in 0..case.instances {
-        push(&mut queue, case.period.mul_f64(rng.f64()), Next::Exchange(instance));
+        push(&mut queue, case.exchange_interval.mul_f64(rng.f64()), Event::Exchange(instance));
     }
-    while let Some(std::cmp::Reverse((at, next))) = queue.pop() {
-        if at >= LENGTH {
+    while let Some(std::cmp::Reverse((at, event))) = queue.pop() {
+        if at >= DURATION {
             break;
         }
-        match next {
-            Next::Call(caller) => {
-                world.call(start + at, caller, at >= WARM_UP);
-                let takes = case.takes.mul_f64(0.8 + 0.4 * rng.f64());
-                push(&mut queue, at + takes, Next::Call(caller));
+        match event {
+            Event::NextRequest(caller) => {
+                simulation.next_request(start + at, caller, at >= WARM_UP);
+                let request_time = case.request_time.mul_f64(0.8 + 0.4 * rng.f64());
+                push(&mut queue, at + request_time, Event::NextRequest(caller));
             }
-            Next::Exchange(instance) => {
-                world.exchange(start + at, instance);
-                let period = case.period.mul_f64(0.9 + 0.2 * rng.f64());
-                push(&mut queue, at + period, Next::Exchange(instance));
+            Event::Exchange(instance) => {
+                simulation.exchange(start + at, instance);
+                let interval = case.exchange_interval.mul_f64(0.9 + 0.2 * rng.f64());
+                push(&mut queue, at + interval, Event::Exchange(instance));
             }
         }
     }
-    f64::from(world.beyond) / f64::from(world.arrivals)
+    f64::from(simulation.over_bound) / f64::from(simulation.arrivals)
 }
 
 #[test]
-fn one_prompt_from_everywhere_stays_within_the_bound() {
+fn requests_with_one_prompt_at_all_instances_stay_within_the_bound() {
     let ms = Duration::from_millis;
-    let case = |instances, servers, callers, hot, takes, period| Case {
+    let case = |instances, servers, callers, same_prompt, request_ms, exchange_ms| Case {
         instances,
         servers,
         callers,
-        hot: Some(hot),
-        takes: ms(takes),
-        period: ms(period),
-        emptied: 0,
+        same_prompt: Some(same_prompt),
+        request_time: ms(request_ms),
+        exchange_interval: ms(exchange_ms),
+        evacuated: 0,
     };
     let cases = [
         case(4, 5, 40, 1.0, 40, 250),
@@ -198,22 +204,22 @@
         case(62, 90, 500, 0.1, 300, 900),
         case(1, 5, 40, 1.0, 40, 250),
     ];
-    hold(cases);
+    assert_within_bound(cases);
 }
 
 #[test]
-fn requests_without_prompts_spread_evenly() {
+fn requests_without_prompts_are_spread_evenly() {
     let ms = Duration::from_millis;
-    let case = |instances, servers, callers, takes, period| Case {
+    let case = |instances, servers, callers, request_ms, exchange_ms| Case {
         instances,
         servers,
         callers,
-        hot: None,
-        takes: ms(takes),
-        period: ms(period),
-        emptied: 0,
+        same_prompt: None,
+        request_time: ms(request_ms),
+        exchange_interval: ms(exchange_ms),
+        evacuated: 0,
     };
-    hold([
+    assert_within_bound([
         case(4, 5, 40, 40, 250),
         case(8, 4, 24, 60, 250),
         case(62, 7, 40, 60, 250),
@@ -222,46 +228,47 @@
     ]);
 }
 
-/// Returns a case of 65 instances and 112 servers, some of them in emptied zones.
-fn emptied(emptied: usize, callers: usize, hot: f64, takes: u64) -> Case {
+/// Returns a case of 65 instances and 112 servers, `evacuated` of them in an evacuated zone.
+fn with_evacuated(evacuated: usize, callers: usize, same_prompt: f64, request_ms: u64) -> Case {
     Case {
         instances: 65,
         servers: 112,
         callers,
-        hot: Some(hot),
-        takes: Duration::from_millis(takes),
-        period: Duration::from_millis(250),
-        emptied,
+        same_prompt: Some(same_prompt),
+        request_time: Duration::from_millis(request_ms),
+        exchange_interval: Duration::from_millis(250),
+        evacuated,
     }
 }
 
 #[test]
-fn where_a_zone_is_emptied_the_servers_that_are_left_stay_within_the_bound() {
-    hold([
-        emptied(28, 350, 0.02, 450),
-        emptied(56, 350, 0.02, 450),
-        emptied(56, 350, 0.02, 150),
-        emptied(56, 350, 0.2, 450),
+fn the_remaining_servers_stay_within_the_bound_while_a_zone_is_evacuated() {
+    assert_within_bound([
+        with_evacuated(28, 350, 0.02, 450),
+        with_evacuated(56, 350, 0.02, 450),
+        with_evacuated(56, 350, 0.02, 150),
+        with_evacuated(56, 350, 0.2, 450),
     ]);
 }
 
-// With two of four zones emptied, 147 of 3,604 requests in five calm seconds reached servers beyond twice the mean of all:
-// each server that is left has twice the mean on average, and prompts spill only a little below the bound, by counts that
-// are a quarter of a second old. Here 0.085 and 0.051 of the arrivals are beyond it.
+// With two of four zones evacuated, 147 of 3,604 requests in five seconds without faults reached servers with over
+// twice the mean load of all: the remaining servers have twice the mean on average, and prompts spill only slightly
+// below the bound, by counts that are up to 250 ms old. Without a common target load of all instances, shares of 0.085
+// and 0.051 of the arrivals in these cases exceed the bound.
 #[test]
-fn where_half_of_the_servers_are_emptied_the_others_stay_within_the_bound() {
-    hold([emptied(56, 500, 0.02, 450), emptied(56, 350, 0.1, 450)]);
+fn the_remaining_half_stays_within_the_bound_while_half_of_the_servers_are_evacuated() {
+    assert_within_bound([with_evacuated(56, 500, 0.02, 450), with_evacuated(56, 350, 0.1, 450)]);
 }
 
-// As above, with more and with shorter requests: 0.057 and 0.039 of the arrivals are beyond the bound.
+// As above, with more and with shorter requests: shares of 0.057 and 0.039 of the arrivals exceeded the bound.
 #[test]
-fn where_half_of_the_servers_are_emptied_under_more_or_shorter_requests() {
-    hold([emptied(56, 700, 0.02, 450), emptied(56, 350, 0.1, 150)]);
+fn the_remaining_half_stays_within_the_bound_under_more_or_shorter_requests() {
+    assert_within_bound([with_evacuated(56, 700, 0.02, 450), with_evacuated(56, 350, 0.1, 150)]);
 }
 
-/// Plays cases and checks that hardly any arrival is beyond the bound.
-fn hold(cases: impl IntoIterator<Item = Case>) {
-    let shares: Vec<(f64, Case)> = cases.into_iter().map(|case| (play(case), case)).collect();
-    let failed: Vec<_> = shares.iter().filter(|(share, _)| *share > BEYOND_MAX).collect();
-    assert!(failed.is_empty(), "share of arrivals beyond the bound: {failed:#?}");
+/// Simulates cases and asserts that hardly any arrival exceeds the bound.
+fn assert_within_bound(cases: impl IntoIterator<Item = Case>) {
+    let shares: Vec<(f64, Case)> = cases.into_iter().map(|case| (simulate(case), case)).collect();
+    let failed: Vec<_> = shares.iter().filter(|(share, _)| *share > OVER_BOUND_MAX).collect();
+    assert!(failed.is_empty(), "share of arrivals over the bound: {failed:#?}");
 }
