--- a/tests/suite/herding.rs
+++ b/tests/suite/herding.rs
@@ -253,14 +253,15 @@
 
 // With two of four zones evacuated, 147 of 3,604 requests in five seconds without faults reached servers with over
 // twice the mean load of all: the remaining servers have twice the mean on average, and prompts spill only slightly
-// below the bound, by counts that are up to 250 ms old. Without a common target load of all instances, shares of 0.085
-// and 0.051 of the arrivals in these cases exceed the bound.
+// below the bound, by counts that are 250 ms old. Before the fix, shares of 0.085 and 0.051 of the arrivals in these
+// cases exceeded the bound.
 #[test]
 fn the_remaining_half_stays_within_the_bound_while_half_of_the_servers_are_evacuated() {
     assert_within_bound([with_evacuated(56, 500, 0.02, 450), with_evacuated(56, 350, 0.1, 450)]);
 }
 
-// As above, with more and with shorter requests: shares of 0.057 and 0.039 of the arrivals exceeded the bound.
+// As above, with more and with shorter requests: shares of 0.057 and 0.039 of the arrivals exceeded the bound before
+// the fix.
 #[test]
 fn the_remaining_half_stays_within_the_bound_under_more_or_shorter_requests() {
     assert_within_bound([with_evacuated(56, 700, 0.02, 450), with_evacuated(56, 350, 0.1, 150)]);
