--- a/tests/suite/growth.rs
+++ b/tests/suite/growth.rs
@@ -25,7 +25,7 @@
 use standins::store::{StoreMode, StoreStandIn};
 
 use crate::{
-    routing::{list, picker, server},
+    routing::{picker, server, set_servers},
     support::eventually,
     world::{intent, spawn},
 };
@@ -373,7 +373,7 @@
 #[test]
 fn tags_of_a_large_service_hardly_ever_meet() {
     let mut picker = picker(&servers(SMALL));
-    list(&mut picker, Instant::now(), &servers(LARGE));
+    set_servers(&mut picker, Instant::now(), &servers(LARGE));
     let tags: std::collections::HashSet<Tag> = servers(LARGE).iter().map(|s| s.tag()).collect();
     assert!(tags.len() >= LARGE - 4, "{} of {LARGE}", tags.len());
     assert!(Arc::strong_count(&wanted(&picker, None, 1).server) > 1);
--- a/tests/suite/incarnations.rs
+++ b/tests/suite/incarnations.rs
@@ -21,7 +21,7 @@
 use standins::{fault::Fault, listed::Listed};
 
 use crate::{
-    routing::{list, picker, server},
+    routing::{picker, server, set_servers},
     support::eventually,
     world::{World, call, start},
 };
@@ -142,7 +142,7 @@
     (0..3).for_each(|_| picker.note_unreachable(now, &before.id));
     assert_eq!(picker.own_counts().len(), 1);
     assert_eq!(picker.own_unresponsive(now).len(), 1);
-    list(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
+    set_servers(&mut picker, now, &[after.clone(), server("b@1000", 2)]);
     assert!(picker.own_counts().is_empty() && picker.own_unresponsive(now).is_empty());
     picker.start_request(now, &after.id);
     (0..3).for_each(|_| picker.finish_request(&before.id));
--- a/tests/suite/notices.rs
+++ b/tests/suite/notices.rs
@@ -1,4 +1,5 @@
-//! What a server's answer says of it, read from heads and kept by the picker, on a made-up clock.
+//! Notices in responses of backend servers: how they are decoded, and how the picker applies them, on a simulated
+//! clock.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +10,7 @@
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
-use crate::routing::{list, picker, server};
+use crate::routing::{picker, server, set_servers};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_time_is_read_off_refusals_only() {
+fn a_backoff_is_read_from_rejections_only() {
     let not_run = ("x-not-executed", "1");
     let cases: [(u16, &[Header], Option<Duration>); 11] = [
         (503, &[("retry-after", "3"), not_run], Some(3 * SECOND)),
@@ -34,20 +35,20 @@
         (503, &[("retry-after", "-1"), not_run], None),
         (503, &[("retry-after", "1e300"), not_run], None),
         (429, &[("retry-after", "1"), not_run], Some(SECOND)),
-        // May be meant for one team.
+        // The rejection may be meant for a single team.
         (429, &[("retry-after", "1")], None),
         (200, &[("retry-after", "1")], None),
         (500, &[("retry-after", "1")], None),
     ];
     for (status, headers, expected) in cases {
-        let words = decode(&head(status, headers));
-        assert_eq!(words.backoff, expected, "{status} {headers:?}");
-        assert!(!words.leaving);
+        let notices = decode(&head(status, headers));
+        assert_eq!(notices.backoff, expected, "{status} {headers:?}");
+        assert!(!notices.leaving);
     }
 }
 
 #[test]
-fn that_a_server_leaves_is_read_off_any_answer() {
+fn a_leaving_notice_is_read_from_any_response() {
     for status in [200, 206, 404, 429, 500, 503, 504] {
         assert!(decode(&head(status, &[("server-leaving", "1")])).leaving, "{status}");
         assert!(!decode(&head(status, &[("server-leaving", "0")])).leaving, "{status}");
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn the_latest_end_of_all_backoffs_counts() {
+fn the_latest_end_of_all_backoffs_applies() {
     let now = Instant::now();
     let mut notice = Notice::default();
     notice.extend_backoff(now, 3 * SECOND);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_figure_that_makes_no_sense_does_not_end_a_server_for_good() {
+fn an_absurd_backoff_is_limited() {
     let now = Instant::now();
     let mut notice = Notice::default();
     notice.extend_backoff(now, Duration::from_secs(u64::MAX / 4));
@@ -83,13 +84,13 @@
     (picker(&servers), servers)
 }
 
-/// Returns which servers requests of many prompts and without one go to.
+/// Returns the servers that are picked for requests with many prompts and without one.
 fn used(picker: &Picker, now: Instant) -> Result<Vec<Incarnation>, PickError> {
-    let service = "llm".parse().expect("a name");
+    let service = "llm".parse().expect("a valid name");
     let pick = |key: u64| {
         let affinity = key.is_multiple_of(2).then_some(key.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let wanted = PickRequest { affinity, spread: key << 40, ..PickRequest::new(&service) };
-        picker.pick(now, &wanted).map(|picked| picked.server.id.clone())
+        let request = PickRequest { affinity, spread: key << 40, ..PickRequest::new(&service) };
+        picker.pick(now, &request).map(|picked| picked.server.id.clone())
     };
     let mut ids = (0..200).map(pick).collect::<Result<Vec<_>, _>>()?;
     ids.sort();
@@ -98,33 +99,37 @@
 }
 
 #[test]
-fn a_good_answer_to_an_earlier_request_does_not_lift_a_backoff() {
+fn a_successful_response_to_an_earlier_request_does_not_end_a_backoff() {
     let now = Instant::now();
     let (mut picker, servers) = fleet();
     picker.note_backoff(now, &servers[0].id, 3 * SECOND);
     picker.note_success(now + SECOND, &servers[0].id);
-    assert!(!used(&picker, now + 2 * SECOND).expect("servers").contains(&servers[0].id));
-    assert!(used(&picker, now + 3 * SECOND).expect("servers").contains(&servers[0].id));
+    assert!(!used(&picker, now + 2 * SECOND).expect("servers are picked").contains(&servers[0].id));
+    assert!(used(&picker, now + 3 * SECOND).expect("servers are picked").contains(&servers[0].id));
 }
 
 #[test]
-fn what_a_server_said_outlives_its_entry_and_ends_with_its_start() {
+fn a_notice_outlives_the_entry_of_its_server_but_not_a_restart() {
     let now = Instant::now();
     let (mut picker, mut servers) = fleet();
     picker.note_leaving(now, &servers[0].id);
-    list(&mut picker, now + SECOND, &servers[1..]);
-    // An answer that comes while the entry is away.
+    set_servers(&mut picker, now + SECOND, &servers[1..]);
+    // A response that arrives while the server is not listed.
     picker.note_leaving(now + SECOND, &servers[0].id);
-    list(&mut picker, now + 300 * SECOND, &servers);
+    set_servers(&mut picker, now + 300 * SECOND, &servers);
     assert!(picker.forbids_requests(now + 300 * SECOND, &servers[0].id));
-    assert!(!used(&picker, now + 300 * SECOND).expect("servers").contains(&servers[0].id));
-    servers[0].id = "s0@1700000000000".parse().expect("an id");
-    list(&mut picker, now + 301 * SECOND, &servers);
-    assert!(used(&picker, now + 301 * SECOND).expect("servers").contains(&servers[0].id));
+    assert!(
+        !used(&picker, now + 300 * SECOND).expect("servers are picked").contains(&servers[0].id)
+    );
+    servers[0].id = "s0@1700000000000".parse().expect("a valid id");
+    set_servers(&mut picker, now + 301 * SECOND, &servers);
+    assert!(
+        used(&picker, now + 301 * SECOND).expect("servers are picked").contains(&servers[0].id)
+    );
 }
 
 #[test]
-fn where_all_back_off_the_first_end_is_told_and_one_that_leaves_has_none() {
+fn if_all_servers_back_off_the_earliest_end_without_leaving_servers_is_returned() {
     let now = Instant::now();
     let (mut picker, servers) = fleet();
     picker.note_backoff(now, &servers[0].id, 5 * SECOND);
@@ -138,17 +143,17 @@
 }
 
 #[test]
-fn memory_is_fetched_from_a_server_that_leaves_but_not_from_one_that_wants_no_requests() {
+fn the_cache_holder_may_be_leaving_but_not_in_a_backoff() {
     let now = Instant::now();
     let (mut picker, servers) = fleet();
-    let service = "llm".parse().expect("a name");
-    let wanted = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
-    let first = picker.pick(now, &wanted).expect("a server").server.id.clone();
+    let service = "llm".parse().expect("a valid name");
+    let request = PickRequest { affinity: Some(42), ..PickRequest::new(&service) };
+    let first = picker.pick(now, &request).expect("a server is picked").server.id.clone();
     assert!(servers.iter().any(|server| server.id == first));
     picker.note_leaving(now, &first);
-    let next = picker.pick(now, &wanted).expect("a server");
-    assert_eq!(next.holder.expect("a holder").id, first);
+    let next = picker.pick(now, &request).expect("a server is picked");
+    assert_eq!(next.holder.expect("a cache holder").id, first);
     picker.note_backoff(now, &first, SECOND);
-    let next = picker.pick(now, &wanted).expect("a server");
+    let next = picker.pick(now, &request).expect("a server is picked");
     assert!(next.holder.is_none_or(|holder| holder.id != first));
 }
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -1,4 +1,4 @@
-//! The decisions of the platform's way of a request, each on a made-up clock.
+//! Routing decisions: server list, route table, retry budget, event streams, health and load, on a simulated clock.
 
 use std::{
     net::SocketAddr,
@@ -19,13 +19,13 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns a backend server with an id and a port of its own.
+/// Returns a backend server with this id and port.
 pub(crate) fn server(id: &str, port: u16) -> BackendServer {
     BackendServer {
-        id: id.parse().expect("an id"),
-        service: "llm".parse().expect("a name"),
+        id: id.parse().expect("a valid id"),
+        service: "llm".parse().expect("a valid name"),
         address: SocketAddr::from(([10, 0, 0, 1], port)),
-        zone: "north".parse().expect("a zone"),
+        zone: "north".parse().expect("a valid zone"),
         leaving: false,
         slots: None,
         version: None,
@@ -33,16 +33,16 @@
     }
 }
 
-/// Has a picker take a list of servers.
-pub(crate) fn list(picker: &mut Picker, now: Instant, servers: &[BackendServer]) {
+/// Sets the list of servers of a picker.
+pub(crate) fn set_servers(picker: &mut Picker, now: Instant, servers: &[BackendServer]) {
     let list: Vec<Arc<BackendServer>> = servers.iter().cloned().map(Arc::new).collect();
     picker.set_servers(now, list.iter());
 }
 
-/// Returns a picker of an instance in the servers' zone, with a bound of twice the mean.
+/// Returns a picker of an instance in the servers' zone, with a load bound of twice the mean.
 pub(crate) fn picker(servers: &[BackendServer]) -> Picker {
-    let mut picker = Picker::new("north".parse().expect("a zone"), 2.0);
-    list(&mut picker, Instant::now(), servers);
+    let mut picker = Picker::new("north".parse().expect("a valid zone"), 2.0);
+    set_servers(&mut picker, Instant::now(), servers);
     picker
 }
 
@@ -51,18 +51,19 @@
 }
 
 #[test]
-fn an_entry_that_is_missing_is_gone_at_once() {
+fn a_missing_entry_is_removed_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
     roster.observe(now, now, [server("a", 1), server("b", 2)]);
     let change = roster.observe(now + SECOND, now + SECOND, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
-    assert_eq!(change.gone, ["b".parse::<Incarnation>().expect("an id")]);
+    assert_eq!(change.gone, ["b".parse::<Incarnation>().expect("a valid id")]);
 }
 
-/// hunt-b2a0-11: an instance that alone was turned away kept an entry that had truly gone.
+// An instance whose calls the store rejected kept missing entries for 2.5 s afterwards, as after an outage of the
+// store, although other instances had kept its list fresh and the servers had in fact been removed.
 #[test]
-fn an_entry_missing_after_others_kept_the_list_fresh_is_gone_at_once() {
+fn an_entry_missing_after_others_kept_the_list_fresh_is_removed_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
     roster.observe(now, now, [server("a", 1), server("b", 2)]);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_must_be_back() {
+fn entries_that_expired_in_an_outage_are_kept_for_a_grace_period() {
     let now = Instant::now();
     let mut roster = Roster::default();
     roster.observe(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_missing_entry_whose_address_another_has_is_gone_even_after_an_outage() {
+fn a_missing_entry_whose_address_was_reused_is_removed_even_after_an_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
     roster.observe(now, now, [server("a", 1), server("b", 2)]);
@@ -112,7 +113,7 @@
 }
 
 fn route(host: &str, prefix: &str) -> Route {
-    let share = ServiceShare { service: "llm".parse().expect("a name"), weight: 1.0 };
+    let share = ServiceShare { service: "llm".parse().expect("a valid name"), weight: 1.0 };
     Route {
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
@@ -150,15 +151,15 @@
 }
 
 #[test]
-fn shares_of_a_route_are_as_their_weights() {
+fn a_route_splits_requests_by_weight() {
     let mut split = route("x", "/");
     split.shares = [("old", 90.0), ("none", 0.0), ("new", 10.0)]
-        .map(|(name, weight)| ServiceShare { service: name.parse().expect("a name"), weight })
+        .map(|(name, weight)| ServiceShare { service: name.parse().expect("a valid name"), weight })
         .to_vec();
     let mut counts: IndexMap<String, usize> = IndexMap::new();
     for i in 0..10_000_u64 {
-        let point = i * (u64::MAX / 10_000);
-        let service = split.service_for(point).expect("a service");
+        let hash = i * (u64::MAX / 10_000);
+        let service = split.service_for(hash).expect("a service");
         *counts.entry(service.to_string()).or_default() += 1;
     }
     assert_eq!(counts.get("none"), None);
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn an_intent_never_goes_back() {
+fn an_older_intent_is_not_applied() {
     let mut force = IntentInForce::default();
     assert!(force.offer(intent(7, SECOND)));
     assert!(!force.offer(intent(3, SECOND)));
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn callers_that_know_the_idle_time_before_are_not_cut_off_by_a_shorter_one() {
+fn a_shorter_idle_time_does_not_disconnect_callers_that_know_the_previous_one() {
     let mut force = IntentInForce::default();
     force.offer(intent(1, SECOND * 15));
     force.offer(intent(2, SECOND * 5));
@@ -198,9 +199,9 @@
 
 const TERMS: BudgetTerms = BudgetTerms { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
 
-/// Whatever the requests, all instances together stay inside the fleet's bound in every window.
+// Whatever the requests, all instances together stay within the fleet's budget in every window.
 #[test]
-fn instances_together_keep_the_fleets_budget() {
+fn instances_together_stay_within_the_fleets_retry_budget() {
     let config = Config { cases: 64, rng_seed: RngSeed::Fixed(7), ..Config::default() };
     let strategy = proptest::collection::vec((0..8_usize, 0..400_u64, any::<bool>()), 1..600);
     TestRunner::new(config)
@@ -208,27 +209,27 @@
             let start = Instant::now();
             let mut now = start;
             let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::new(None)).collect();
-            let (mut requests, mut repeats) = (Vec::new(), Vec::new());
-            for (instance, gap, tries) in events {
+            let (mut requests, mut retries) = (Vec::new(), Vec::new());
+            for (instance, gap, wants_retry) in events {
                 now += Duration::from_millis(gap);
                 budgets[instance].request(now, &TERMS);
                 requests.push(now);
-                if tries && budgets[instance].take(now, &TERMS, 8, 0.0) {
-                    repeats.push(now);
+                if wants_retry && budgets[instance].take(now, &TERMS, 8, 0.0) {
+                    retries.push(now);
                 }
                 let within = |times: &[Instant]| {
                     times.iter().filter(|&&at| now - at <= TERMS.window).count() as f64
                 };
                 let bound = TERMS.ratio * within(&requests) + TERMS.slack;
-                prop_assert!(within(&repeats) <= bound);
+                prop_assert!(within(&retries) <= bound);
             }
             Ok(())
         })
-        .expect("the budget holds");
+        .expect("the budget is kept");
 }
 
 #[test]
-fn repeats_for_slowness_leave_some_for_failures() {
+fn retries_of_slow_requests_leave_budget_for_failures() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(None);
     (0..100).for_each(|_| budget.request(now, &TERMS));
@@ -238,11 +239,11 @@
     let slow = spent(&mut budget, 0.5);
     let failures = spent(&mut budget, 0.0);
     assert!(slow > 0 && failures > 0, "{slow} {failures}");
-    assert!(budget.take(now + TERMS.window * 2, &TERMS, 8, 0.0), "an old repeat is forgotten");
+    assert!(budget.take(now + TERMS.window * 2, &TERMS, 8, 0.0), "old retries expire");
 }
 
 #[test]
-fn events_are_handed_out_whole() {
+fn events_are_returned_complete() {
     let mut splitter = EventSplitter::after(Some("4".to_owned()));
     assert_eq!(splitter.push(b"id: 5\nda"), b"");
     assert_eq!(splitter.last_id(), Some("4"));
@@ -256,9 +257,9 @@
     assert_eq!(splitter.take_remainder(), b"");
 }
 
-/// However the bytes are cut, the events come out whole, once, in order.
+// However the bytes are split, every event is returned complete, once and in order.
 #[test]
-fn events_survive_any_cutting() {
+fn events_stay_complete_for_any_split_of_the_bytes() {
     let stream: Vec<u8> = (1..40)
         .flat_map(|i| format!("id: {i}\ndata: {}\n\n", "z".repeat(i)).into_bytes())
         .collect();
@@ -279,11 +280,11 @@
             prop_assert_eq!(splitter.last_id(), Some("39"));
             Ok(())
         })
-        .expect("events stay whole");
+        .expect("events are complete");
 }
 
 #[test]
-fn an_unreachable_server_is_left_alone_longer_each_time() {
+fn pauses_of_an_unreachable_server_grow() {
     let mut now = Instant::now();
     let mut health = Health::default();
     let mut pauses = Vec::new();
@@ -300,11 +301,11 @@
     assert_eq!(pauses[5], Duration::from_secs(4));
     health.note_success(now);
     health.note_unreachable(now);
-    assert!(!health.is_paused(now + Duration::from_millis(500)), "a good answer starts anew");
+    assert!(!health.is_paused(now + Duration::from_millis(500)), "a success resets the pause");
 }
 
 #[test]
-fn a_report_ages_and_own_requests_count_at_once() {
+fn a_report_loses_weight_with_age_and_own_requests_count_at_once() {
     let now = Instant::now();
     let mut load = Load::default();
     load.start_request();
@@ -321,9 +322,9 @@
     assert_eq!(load.own(), 0);
 }
 
-/// Whatever changes between two lists, what is told of it makes the one into the other.
+// Whatever changes between two lists, applying the update to the old list gives the new one.
 #[test]
-fn news_of_a_list_make_the_old_one_into_the_new_one() {
+fn an_update_of_a_list_turns_the_old_one_into_the_new_one() {
     let config = Config { cases: 128, rng_seed: RngSeed::Fixed(3), ..Config::default() };
     let entry = (0..30_u16, any::<bool>());
     let list = proptest::collection::vec(entry, 0..25);
@@ -345,12 +346,15 @@
                 list.sort_by(|a, b| a.id.cmp(&b.id));
                 list
             };
-            let news = history.since(version);
-            prop_assert_eq!(sorted(news.apply(&old).expect("a list")), sorted(new.clone()));
-            let stranger = history.since(None);
-            prop_assert!(matches!(&stranger, ListNews::Whole(_)));
-            prop_assert_eq!(sorted(stranger.apply(&[]).expect("a list")), sorted(new));
+            let update = history.since(version);
+            prop_assert_eq!(
+                sorted(update.apply(&old).expect("the update applies")),
+                sorted(new.clone())
+            );
+            let whole = history.since(None);
+            prop_assert!(matches!(&whole, ListNews::Whole(_)));
+            prop_assert_eq!(sorted(whole.apply(&[]).expect("the list applies")), sorted(new));
             Ok(())
         })
-        .expect("news make the list");
+        .expect("updates give the new list");
 }
