--- a/tests/suite/backoff_random.rs
+++ b/tests/suite/backoff_random.rs
@@ -1,5 +1,5 @@
-//! Fleets whose servers turn requests away and want none for a while, on a made-up clock: nobody goes there again within
-//! that time, and few requests have to be repeated until all know.
+//! Fleets whose servers reject requests with a backoff, on a simulated clock: no instance sends them requests again
+//! during the backoff, and few requests have to be retried until all instances know of it.
 
 use std::{
     collections::VecDeque,
@@ -17,125 +17,133 @@
 
 use crate::routing::{picker, server};
 
-/// Length of a day, and the part of it in which servers turn requests away.
-const LENGTH: Duration = Duration::from_secs(15);
-const REFUSING: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(9));
+/// Simulated duration of a case.
+const DURATION: Duration = Duration::from_secs(15);
 
-/// For how long a server wants nothing.
+/// Period of a case in which servers reject requests.
+const REJECTS_FROM: Duration = Duration::from_secs(2);
+const REJECTS_UNTIL: Duration = Duration::from_secs(9);
+
+/// Backoff that a server requests.
 const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Time after the last pause within which all instances have learnt that it is over: two exchanges of the largest fleet.
-const SETTLING: Duration = Duration::from_millis(1500);
+/// Time after the end of the last backoff within which all instances learn of that: two exchanges of the largest fleet.
+const SETTLING_TIME: Duration = Duration::from_millis(1500);
 
-/// What a request takes at a server.
-const TAKES: Duration = Duration::from_millis(150);
+/// Duration of a request at a server.
+const REQUEST_TIME: Duration = Duration::from_millis(150);
 
-/// Most tries of one request, where its service's budget allows them.
-const TRIES: usize = 3;
+/// Maximum number of attempts of a request.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Prompts that requests share.
+/// Number of different prompts.
 const PROMPTS: u64 = 467;
 
 #[derive(Debug, Clone, Copy)]
 struct Case {
     instances: usize,
     servers: u16,
-    /// Requests a second.
+    /// Requests per second.
     rate: u32,
-    /// Pause between two exchanges of an instance.
-    period: Duration,
-    /// Share of the servers that turn requests away.
-    refusing: f64,
-    /// Share of the requests that these turn away.
-    refuses: f64,
+    /// Interval between two exchanges of an instance.
+    exchange_interval: Duration,
+    /// Share of the servers that reject requests.
+    rejecting_servers: f64,
+    /// Share of the requests that these servers reject.
+    rejected_share: f64,
 }
 
-/// What came of a day.
+/// Result of a case.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     requests: u32,
-    /// Requests while servers turned some away, and how often these were turned away.
-    meanwhile: u32,
-    turned_away: u32,
-    /// Requests that came to nothing.
+    /// Requests during the period in which servers reject some.
+    requests_in_period: u32,
+    /// Rejections.
+    rejections: u32,
+    /// Requests that no server ran.
     unserved: u32,
-    /// Arrivals at a server that had asked the same instance for none.
-    unwanted: u32,
-    /// Requests after all pauses are over, and those of them at the servers in question.
+    /// Requests to a server during a backoff that the instance knew of.
+    during_backoff: u32,
+    /// Requests after the end of all backoffs.
     afterwards: u32,
-    back: u32,
+    /// Requests at rejecting servers after the end of all backoffs.
+    afterwards_at_rejecting: u32,
 }
 
-struct Day {
+struct Simulation {
     case: Case,
     rng: Rng,
     began: Instant,
     servers: Vec<BackendServer>,
     pickers: Vec<Picker>,
     aggregate: Aggregate,
-    /// Until when each server wants nothing of each instance.
-    asked: Vec<Vec<Option<Instant>>>,
-    /// When each instance exchanges next.
-    exchanges: Vec<Instant>,
-    /// Requests under way: when they end, where they came in, and where they are.
-    under_way: VecDeque<(Instant, usize, Incarnation)>,
+    /// End of each server's backoff that each instance received.
+    backoffs: Vec<Vec<Option<Instant>>>,
+    /// Time of each instance's next exchange.
+    next_exchanges: Vec<Instant>,
+    /// Requests in flight: when they end, their instance, and their server.
+    in_flight: VecDeque<(Instant, usize, Incarnation)>,
     outcome: Outcome,
 }
 
-impl Day {
-    fn new(case: Case, seed: u64) -> Day {
+impl Simulation {
+    fn new(case: Case, seed: u64) -> Simulation {
         let began = Instant::now();
         let mut rng = Rng::with_seed(seed);
         let servers: Vec<BackendServer> =
             (0..case.servers).map(|n| server(&format!("s{n}"), n)).collect();
-        let open = |number| {
+        let open_picker = |number| {
             let mut picker = picker(&servers);
             picker.set_position(FleetPosition { number, instances: case.instances });
             picker
         };
-        let period = case.period;
-        Day {
+        let interval = case.exchange_interval;
+        Simulation {
             case,
             began,
-            pickers: (0..case.instances).map(open).collect(),
+            pickers: (0..case.instances).map(open_picker).collect(),
             servers,
             aggregate: Aggregate::default(),
-            asked: vec![vec![None; usize::from(case.servers)]; case.instances],
-            exchanges: (0..case.instances).map(|_| began + period.mul_f64(rng.f64())).collect(),
-            under_way: VecDeque::new(),
+            backoffs: vec![vec![None; usize::from(case.servers)]; case.instances],
+            next_exchanges: (0..case.instances)
+                .map(|_| began + interval.mul_f64(rng.f64()))
+                .collect(),
+            in_flight: VecDeque::new(),
             outcome: Outcome::default(),
             rng,
         }
     }
 
     fn run(mut self) -> Outcome {
-        let pause = Duration::from_secs(1) / self.case.rate;
+        let request_interval = Duration::from_secs(1) / self.case.rate;
         let mut now = self.began;
-        while now < self.began + LENGTH {
+        while now < self.began + DURATION {
             self.end_requests(now);
             self.exchange(now);
             self.request(now);
-            now += pause;
+            now += request_interval;
         }
         self.outcome
     }
 
     fn end_requests(&mut self, now: Instant) {
-        while self.under_way.front().is_some_and(|(ends, ..)| *ends <= now) {
-            let Some((_, instance, id)) = self.under_way.pop_front() else { return };
+        while self.in_flight.front().is_some_and(|(ends, ..)| *ends <= now) {
+            let Some((_, instance, id)) = self.in_flight.pop_front() else { return };
             self.pickers[instance].finish_request(&id);
             self.pickers[instance].note_success(now, &id);
         }
     }
 
-    /// Has each instance whose time it is tell the one that collects, and learn what all told.
+    /// Has each instance whose exchange is due report to the aggregator and receive the summary of all reports.
     fn exchange(&mut self, now: Instant) {
         for instance in 0..self.case.instances {
-            if self.exchanges[instance] > now {
+            if self.next_exchanges[instance] > now {
                 continue;
             }
-            self.exchanges[instance] = now + self.case.period.mul_f64(0.9 + 0.2 * self.rng.f64());
-            let node: NodeName = format!("edge-{instance}").parse().expect("a name");
+            self.next_exchanges[instance] =
+                now + self.case.exchange_interval.mul_f64(0.9 + 0.2 * self.rng.f64());
+            let node: NodeName = format!("edge-{instance}").parse().expect("a valid name");
             let picker = &mut self.pickers[instance];
             let own = picker.own_counts();
             self.aggregate.take(now, node.clone(), own.clone());
@@ -146,108 +154,112 @@
         }
     }
 
-    /// Returns whether a server is one of those that turn requests away at times.
-    fn is_in_question(&self, server: usize) -> bool {
-        server < (f64::from(self.case.servers) * self.case.refusing) as usize
+    /// Returns whether a server is one of those that reject requests during the period.
+    fn is_rejecting(&self, server: usize) -> bool {
+        server < (f64::from(self.case.servers) * self.case.rejecting_servers) as usize
     }
 
-    fn is_refusing(&self, now: Instant) -> bool {
-        now >= self.began + REFUSING.0 && now < self.began + REFUSING.1
+    fn is_in_period(&self, now: Instant) -> bool {
+        now >= self.began + REJECTS_FROM && now < self.began + REJECTS_UNTIL
     }
 
     fn request(&mut self, now: Instant) {
         let instance = self.rng.usize(..self.case.instances);
         let (prompt, spread) = (self.rng.u64(..PROMPTS), self.rng.u64(..));
-        let service = "llm".parse().expect("a name");
-        let refusing = self.is_refusing(now);
+        let service = "llm".parse().expect("a valid name");
+        let in_period = self.is_in_period(now);
         self.outcome.requests += 1;
-        self.outcome.meanwhile += u32::from(refusing);
+        self.outcome.requests_in_period += u32::from(in_period);
         let mut tried: Vec<Incarnation> = Vec::new();
-        while tried.len() < TRIES {
-            let wanted = PickRequest {
+        while tried.len() < MAX_ATTEMPTS {
+            let request = PickRequest {
                 affinity: Some(prompt.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
                 spread,
                 tried: &tried,
                 ..PickRequest::new(&service)
             };
-            let id = match self.pickers[instance].pick(now, &wanted) {
+            let id = match self.pickers[instance].pick(now, &request) {
                 Ok(picked) => picked.server.id.clone(),
                 Err(PickError::Backoff { .. }) => break,
                 Err(why) => panic!("{why:?}"),
             };
-            let at = self.servers.iter().position(|s| s.id == id).expect("a server");
-            let is_unwanted = self.asked[instance][at].is_some_and(|until| now < until);
-            self.outcome.unwanted += u32::from(is_unwanted);
-            let refused = refusing && self.is_in_question(at) && self.rng.f64() < self.case.refuses;
-            if !refused {
-                if now >= self.began + REFUSING.1 + BACKOFF + SETTLING {
+            let at = self.servers.iter().position(|s| s.id == id).expect("the server is listed");
+            let in_backoff = self.backoffs[instance][at].is_some_and(|until| now < until);
+            self.outcome.during_backoff += u32::from(in_backoff);
+            let rejected =
+                in_period && self.is_rejecting(at) && self.rng.f64() < self.case.rejected_share;
+            if !rejected {
+                if now >= self.began + REJECTS_UNTIL + BACKOFF + SETTLING_TIME {
                     self.outcome.afterwards += 1;
-                    self.outcome.back += u32::from(self.is_in_question(at));
+                    self.outcome.afterwards_at_rejecting += u32::from(self.is_rejecting(at));
                 }
                 self.pickers[instance].start_request(now, &id);
-                self.under_way.push_back((now + TAKES, instance, id));
+                self.in_flight.push_back((now + REQUEST_TIME, instance, id));
                 return;
             }
-            self.asked[instance][at] = Some(now + BACKOFF);
+            self.backoffs[instance][at] = Some(now + BACKOFF);
             self.pickers[instance].note_backoff(now, &id, BACKOFF);
-            self.outcome.turned_away += 1;
+            self.outcome.rejections += 1;
             tried.push(id);
         }
         self.outcome.unserved += 1;
     }
 }
 
-/// Instances, servers, requests a second, and milliseconds between two exchanges of an instance.
+/// Instances, servers, requests per second, and milliseconds between two exchanges of an instance.
 const SIZES: [(usize, u16, u32, u64); 3] =
     [(8, 18, 235, 250), (65, 112, 1100, 250), (302, 300, 1800, 755)];
 
-/// Runs a day of each size on which a share of the servers turns a share of the requests away.
-fn days(refusing: f64, refuses: f64) -> Vec<(Case, Outcome)> {
-    let case = |&(instances, servers, rate, period)| Case {
+/// Simulates a fleet of each size in which a share of the servers rejects a share of its requests.
+fn simulate(rejecting_servers: f64, rejected_share: f64) -> Vec<(Case, Outcome)> {
+    let case = |&(instances, servers, rate, exchange_ms)| Case {
         instances,
         servers,
         rate,
-        period: Duration::from_millis(period),
-        refusing,
-        refuses,
+        exchange_interval: Duration::from_millis(exchange_ms),
+        rejecting_servers,
+        rejected_share,
     };
     thread::scope(|scope| {
-        let days = SIZES
-            .iter()
-            .map(case)
-            .map(|case| scope.spawn(move || (case, Day::new(case, u64::from(case.servers)).run())));
-        let days: Vec<_> = days.collect();
-        days.into_iter().map(|day| day.join().expect("a day")).collect()
+        let runs = SIZES.iter().map(case).map(|case| {
+            scope.spawn(move || (case, Simulation::new(case, u64::from(case.servers)).run()))
+        });
+        let runs: Vec<_> = runs.collect();
+        runs.into_iter().map(|run| run.join().expect("the simulation ends")).collect()
     })
 }
 
-/// Repeats that the operators' budget allows, as a part of the requests.
+/// Retries that the operators' budget allows, as a share of the requests.
 const RETRY_BUDGET: f64 = 0.2;
 
-/// Part of the requests that may come to nothing while most servers are free.
+/// Share of the requests that may be left unserved while most servers are free.
 const UNSERVED_MAX: f64 = 0.01;
 
-// Each instance had to be turned away by each server itself before it went elsewhere, as what a server had asked of one was
-// told to none: with 65 instances, and 0.3 of 112 servers refusing, there were 2,194 repeats for 7,700 requests, of which 0.2 may be
-// repeated. Now the others avoid a server, as long as there are others, that two instances were asked to leave alone.
+// A backoff was not propagated to the other instances, so each of them had to be rejected by each server itself: with
+// 65 instances, and a share of 0.3 of 112 servers rejecting, there were 2,194 retries for 7,700 requests, of which a
+// share of 0.2 may be retried. Since two instances report a backoff, the others avoid the server while other servers
+// are available.
 #[test]
-fn few_requests_are_turned_away_where_some_servers_want_none() {
-    for (case, outcome) in days(0.3, 1.0) {
-        let share = |count: u32| f64::from(count) / f64::from(outcome.meanwhile);
-        let what = format!("{case:?} {outcome:?}");
-        assert_eq!(outcome.unwanted, 0, "{what}");
-        assert!(share(outcome.turned_away) < RETRY_BUDGET, "{what}");
-        assert!(share(outcome.unserved) < UNSERVED_MAX, "{what}");
-        let back = f64::from(outcome.back) / f64::from(outcome.afterwards);
-        assert!((0.2..0.4).contains(&back), "{back:.2} go there once all is over: {what}");
+fn few_requests_are_rejected_if_some_servers_back_off() {
+    for (case, outcome) in simulate(0.3, 1.0) {
+        let share = |count: u32| f64::from(count) / f64::from(outcome.requests_in_period);
+        let details = format!("{case:?} {outcome:?}");
+        assert_eq!(outcome.during_backoff, 0, "{details}");
+        assert!(share(outcome.rejections) < RETRY_BUDGET, "{details}");
+        assert!(share(outcome.unserved) < UNSERVED_MAX, "{details}");
+        let returned = f64::from(outcome.afterwards_at_rejecting) / f64::from(outcome.afterwards);
+        assert!(
+            (0.2..0.4).contains(&returned),
+            "{returned:.2} use them after the backoffs: {details}"
+        );
     }
 }
 
 #[test]
-fn servers_that_turn_a_few_requests_away_go_on_serving_where_all_do() {
-    for (case, outcome) in days(1.0, 0.1) {
-        let unserved = f64::from(outcome.unserved) / f64::from(outcome.meanwhile);
-        assert_eq!(outcome.unwanted, 0, "{case:?} {outcome:?}");
+fn servers_that_reject_a_few_requests_stay_in_use_if_all_servers_do_so() {
+    for (case, outcome) in simulate(1.0, 0.1) {
+        let unserved = f64::from(outcome.unserved) / f64::from(outcome.requests_in_period);
+        assert_eq!(outcome.during_backoff, 0, "{case:?} {outcome:?}");
         assert!(unserved < UNSERVED_MAX, "{unserved:.3} {case:?} {outcome:?}");
     }
 }
