--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -57,7 +57,7 @@
         self.failures += 1.0;
     }
 
-    /// Records that no connection could be made, or that it became unresponsive.
+    /// Records that no connection could be made, or that an open one became unresponsive.
     pub fn note_unreachable(&mut self, now: Instant) {
         self.note_failure(now);
         self.start_pause(now);
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -112,7 +112,7 @@
         std::mem::replace(&mut self.evacuated, zones)
     }
 
-    /// Returns whether a server may get new requests, except during a backoff.
+    /// Returns whether a server is neither leaving nor in an evacuated zone; it may still be in a backoff.
     fn is_available(&self, tracked: &Tracked) -> bool {
         let leaving = tracked.server.leaving || tracked.notice.is_leaving();
         !leaving && !self.evacuated.contains(&tracked.server.zone)
@@ -133,7 +133,7 @@
         let mut previous = std::mem::take(&mut self.servers);
         for server in list {
             let tracked = match previous.swap_remove(&server.id) {
-                Some(known) => Tracked { server: Arc::clone(server), ..known },
+                Some(kept) => Tracked { server: Arc::clone(server), ..kept },
                 None => Tracked {
                     server: Arc::clone(server),
                     load: Load::default(),
--- a/src/routing/picker/service_servers.rs
+++ b/src/routing/picker/service_servers.rs
@@ -174,8 +174,8 @@
         self.by_service.get(service).is_none_or(ServiceServers::is_small)
     }
 
-    /// Returns the number of a service's servers in evacuated zones. They count in the mean, to
-    /// which the operators' bound refers.
+    /// Returns the number of a service's servers in evacuated zones. They count in the mean, to which
+    /// the operators' bound refers.
     pub(super) fn evacuated_of(&self, service: &ServiceName) -> usize {
         let Some(servers) = self.by_service.get(service) else { return 0 };
         if !servers.is_small() {
--- a/tests/suite/backoff_random.rs
+++ b/tests/suite/backoff_random.rs
@@ -74,7 +74,7 @@
 struct Simulation {
     case: Case,
     rng: Rng,
-    began: Instant,
+    started: Instant,
     servers: Vec<BackendServer>,
     pickers: Vec<Picker>,
     aggregate: Aggregate,
@@ -89,7 +89,7 @@
 
 impl Simulation {
     fn new(case: Case, seed: u64) -> Simulation {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut rng = Rng::with_seed(seed);
         let servers: Vec<BackendServer> =
             (0..case.servers).map(|n| server(&format!("s{n}"), n)).collect();
@@ -101,13 +101,13 @@
         let interval = case.exchange_interval;
         Simulation {
             case,
-            began,
+            started,
             pickers: (0..case.instances).map(open_picker).collect(),
             servers,
             aggregate: Aggregate::default(),
             backoffs: vec![vec![None; usize::from(case.servers)]; case.instances],
             next_exchanges: (0..case.instances)
-                .map(|_| began + interval.mul_f64(rng.f64()))
+                .map(|_| started + interval.mul_f64(rng.f64()))
                 .collect(),
             in_flight: VecDeque::new(),
             outcome: Outcome::default(),
@@ -117,8 +117,8 @@
 
     fn run(mut self) -> Outcome {
         let request_interval = Duration::from_secs(1) / self.case.rate;
-        let mut now = self.began;
-        while now < self.began + DURATION {
+        let mut now = self.started;
+        while now < self.started + DURATION {
             self.end_requests(now);
             self.exchange(now);
             self.request(now);
@@ -160,7 +160,7 @@
     }
 
     fn is_in_period(&self, now: Instant) -> bool {
-        now >= self.began + REJECTS_FROM && now < self.began + REJECTS_UNTIL
+        now >= self.started + REJECTS_FROM && now < self.started + REJECTS_UNTIL
     }
 
     fn request(&mut self, now: Instant) {
@@ -189,7 +189,7 @@
             let rejected =
                 in_period && self.is_rejecting(at) && self.rng.f64() < self.case.rejected_share;
             if !rejected {
-                if now >= self.began + REJECTS_UNTIL + BACKOFF + SETTLING_TIME {
+                if now >= self.started + REJECTS_UNTIL + BACKOFF + SETTLING_TIME {
                     self.outcome.afterwards += 1;
                     self.outcome.afterwards_at_rejecting += u32::from(self.is_rejecting(at));
                 }
--- a/tests/suite/cold_servers.rs
+++ b/tests/suite/cold_servers.rs
@@ -99,9 +99,9 @@
     });
     for round in 0..3 {
         let before = cold.arrivals().len();
-        let began = Instant::now();
+        let started = Instant::now();
         let statuses = send_at_least(&all, &format!("r{round}"), MIN_REQUESTS);
-        let time = began.elapsed();
+        let time = started.elapsed();
         let arrived = cold.arrivals().len() - before;
         let failed: Vec<&u16> = statuses.iter().filter(|status| **status != 200).collect();
         assert!(
--- a/tests/suite/evacuations.rs
+++ b/tests/suite/evacuations.rs
@@ -121,10 +121,10 @@
     zones.store.put("op", "evacuate/south", &json!({}));
     thread::sleep(APPLY_TIME);
     for path in ["/idem/", "/once/", "/stream/"] {
-        let began = Instant::now();
+        let started = Instant::now();
         let response = call(path, path).send(instance.callers());
         assert_eq!(response.status, 503, "{path}");
-        assert!(began.elapsed() < Duration::from_millis(250), "{path}");
+        assert!(started.elapsed() < Duration::from_millis(250), "{path}");
         assert!(response.header("retry-after").parse::<f64>().expect("a number of seconds") > 0.0);
         assert_eq!(zones.north.runs(path) + zones.south.runs(path), 0);
     }
