--- a/src/gateway/answering.rs
+++ b/src/gateway/answering.rs
@@ -24,7 +24,7 @@
         traffic::Purpose,
     },
     names::Tag,
-    routing::{BudgetSum, ServiceLoad, ToldVerdict},
+    routing::{BudgetSum, ServiceLoad, VerdictUpdate},
     utils::sync::lock,
 };
 
@@ -59,7 +59,7 @@
         let after = candidates.version();
         // One that knows a few only would have them taken for all.
         let tells = after != report.instances && gateway.peers.knows_others(now);
-        (tells.then(|| candidates.since(report.instances)), after != before)
+        (tells.then(|| candidates.update_since(report.instances)), after != before)
     };
     if is_news {
         gateway.instances_changed();
@@ -67,20 +67,25 @@
     if report.asks == Asks::InTurn {
         let began = !gateway.peers.is_read_from(now);
         let mut aggregate = lock(&gateway.peers.aggregate);
-        aggregate.take(now, report.from.node.clone(), report.counts);
-        aggregate.take_silent(now, report.from.node.clone(), report.silent);
+        aggregate.record_counts(now, report.from.node.clone(), report.counts);
+        aggregate.record_unresponsive(now, report.from.node.clone(), report.silent);
         drop(aggregate);
-        lock(&gateway.peers.budget).take(now, &report.from.node, report.run, report.spending);
-        gateway.suspicion.take_report(now, &report.suspicion);
+        lock(&gateway.peers.budget).record_report(
+            now,
+            &report.from.node,
+            report.run,
+            report.spending,
+        );
+        gateway.crash_suspects.apply_report(now, &report.crash_suspects);
         if began {
             log::info!("event=reads_for_others servers_age_ms={}", age_ms(gateway, now));
             gateway.reader_wanted.set();
         }
     }
-    gateway.rollouts.take_told(gateway, &report.rollout_states, "peer");
+    gateway.rollouts.apply_updates(gateway, &report.rollout_states, "peer");
     if asks == Asks::InTurn {
         let (node, run) = (&report.from.node, report.run);
-        gateway.rollouts.take_reports(gateway, node, run, report.rollouts);
+        gateway.rollouts.apply_reports(gateway, node, run, report.rollouts);
     }
     let sums = sums(gateway, now);
     let told = knowledge.list_told(now, report.list);
@@ -89,7 +94,7 @@
         silent: sums.silent.clone(),
         budgets: if asks == Asks::InTurn { sums.budgets.clone() } else { Vec::new() },
         run: gateway.peers.run,
-        servers_end: gateway.suspicion.is_alert(now),
+        servers_end: gateway.crash_suspects.is_alert(now),
         verdicts: verdicts(gateway, now, asks),
         version: knowledge.version(),
         changes,
@@ -98,7 +103,7 @@
             store: confirmed.store,
         }),
         orders: knowledge.orders_told(),
-        rollout_states: gateway.rollouts.told(now),
+        rollout_states: gateway.rollouts.updates(now),
         list: told.news,
         list_age_ms: told.age.map(millis),
         list_era: told.era,
@@ -107,10 +112,10 @@
 }
 
 /// Returns what another instance is to know of requests that end servers.
-fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<ToldVerdict> {
-    let mut verdicts = gateway.suspicion.lasting(now);
+fn verdicts(gateway: &Gateway, now: Instant, asks: Asks) -> Vec<VerdictUpdate> {
+    let mut verdicts = gateway.crash_suspects.verdict_updates(now);
     if asks == Asks::InTurn {
-        verdicts.extend(gateway.suspicion.watched(now));
+        verdicts.extend(gateway.crash_suspects.watched(now));
     }
     verdicts
 }
@@ -144,7 +149,7 @@
 fn summary(gateway: &Gateway, now: Instant) -> Vec<ServiceLoad> {
     let own_counts = lock(&gateway.picker).own_counts();
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take(now, gateway.settings.node.clone(), own_counts);
+    aggregate.record_counts(now, gateway.settings.node.clone(), own_counts);
     gateway
         .knowledge
         .with_servers(|roster| aggregate.summary(now, roster.servers().map(|server| &**server)))
@@ -153,15 +158,15 @@
 fn budget_sums(gateway: &Gateway, now: Instant) -> Vec<BudgetSum> {
     let own = gateway.spending(now);
     let mut budget = lock(&gateway.peers.budget);
-    budget.take(now, &gateway.settings.node, gateway.peers.run, own);
+    budget.record_report(now, &gateway.settings.node, gateway.peers.run, own);
     budget.sums(now)
 }
 
 fn all_silent(gateway: &Gateway, now: Instant) -> Vec<Tag> {
     let own = lock(&gateway.picker).own_unresponsive(now);
     let mut aggregate = lock(&gateway.peers.aggregate);
-    aggregate.take_silent(now, gateway.settings.node.clone(), own);
-    aggregate.silent()
+    aggregate.record_unresponsive(now, gateway.settings.node.clone(), own);
+    aggregate.unresponsive()
 }
 
 /// Reads the store for an instance that it turns away.
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -12,7 +12,10 @@
         store::{Change, StoreFault, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
-    routing::{HeldRow, RequestLook, TablePlan, TableWatch, blame::digest::DigestError},
+    routing::{
+        HeldRow, HeldTablePlan, HeldTableSync, RequestFingerprint,
+        crash_suspects::digest::DigestError,
+    },
     utils::sync::lock,
 };
 
@@ -26,56 +29,57 @@
 /// What a row holds beside its key, the request's digest.
 #[derive(Debug, Serialize, Deserialize)]
 struct RowValue {
-    look: RequestLook,
+    fingerprint: RequestFingerprint,
     until_ms: u64,
 }
 
 /// Keeps the table until the process ends, as long as this is the instance to which all turn.
 pub fn run(gateway: &Arc<Gateway>) {
-    let mut watch = TableWatch::new(gateway.settings.first_start);
+    let mut sync = HeldTableSync::new(gateway.settings.first_start);
     loop {
-        gateway.suspicion.judged.wait(LOOK_PERIOD);
+        gateway.crash_suspects.verdicts_changed.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
-        let is_first = lock(&gateway.peers.candidates).first(now).is_none();
+        let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
         if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
             continue;
         }
-        if let Err(fault) = keep(gateway, &mut watch) {
+        if let Err(fault) = keep(gateway, &mut sync) {
             log::info!("event=held_table_unread reason={:?}", fault.to_string());
             thread::sleep(RETRY_PAUSE);
-            gateway.suspicion.judged.set();
+            gateway.crash_suspects.verdicts_changed.set();
         }
     }
 }
 
 /// Brings table and verdicts in line.
-fn keep(gateway: &Gateway, watch: &mut TableWatch) -> Result<(), StoreFault> {
-    let suspicion = &gateway.suspicion;
-    let known = suspicion.lasting(gateway.clock.now());
-    if watch.is_idle(&known) {
+fn keep(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreFault> {
+    let crash_suspects = &gateway.crash_suspects;
+    let known = crash_suspects.verdict_updates(gateway.clock.now());
+    if sync.is_idle(&known) {
         return Ok(());
     }
     let read = gateway.store.rows(HELD_TABLE)?;
-    watch.note_era(read.version.era);
+    sync.note_era(read.version.era);
     let rows: Vec<HeldRow> = read.rows.iter().filter_map(decode_row).collect();
-    let plan = watch.plan(read.now_ms, &rows, &known);
+    let plan = sync.plan(read.now_ms, &rows, &known);
     let now = gateway.clock.now();
-    suspicion.take_verdicts(now, &plan.learnt, "store");
+    crash_suspects.apply_verdicts(now, &plan.adopted, "store");
     for digest in &plan.lifted {
         log::warn!("event=request_lifted digest={digest}");
-        suspicion.lift(now, *digest);
+        crash_suspects.lift(now, *digest);
     }
     write(gateway, &plan)?;
-    watch.carried_out(&rows, &plan);
-    suspicion.table_is_read();
+    sync.mark_applied(&rows, &plan);
+    crash_suspects.note_table_read();
     Ok(())
 }
 
-fn write(gateway: &Gateway, plan: &TablePlan) -> Result<(), StoreFault> {
+fn write(gateway: &Gateway, plan: &HeldTablePlan) -> Result<(), StoreFault> {
     if plan.write.is_empty() && plan.remove.is_empty() {
         return Ok(());
     }
-    let value = |row: &HeldRow| encode(&RowValue { look: row.look, until_ms: row.until_ms });
+    let value =
+        |row: &HeldRow| encode(&RowValue { fingerprint: row.fingerprint, until_ms: row.until_ms });
     let puts: Vec<(String, Vec<u8>)> =
         plan.write.iter().map(|row| (row.digest.to_string(), value(row))).collect();
     let gone: Vec<String> = plan.remove.iter().map(ToString::to_string).collect();
@@ -89,7 +93,9 @@
     let value = decode::<RowValue>(&row.value).map_err(|fault| fault.to_string());
     let digest = row.key.parse().map_err(|fault: DigestError| fault.to_string());
     match (digest, value) {
-        (Ok(digest), Ok(RowValue { look, until_ms })) => Some(HeldRow { digest, look, until_ms }),
+        (Ok(digest), Ok(RowValue { fingerprint, until_ms })) => {
+            Some(HeldRow { digest, fingerprint, until_ms })
+        }
         (Err(fault), _) | (_, Err(fault)) => {
             log::warn!("event=row_skipped key={} reason={fault:?}", row.key);
             None
--- a/src/gateway/knowledge.rs
+++ b/src/gateway/knowledge.rs
@@ -12,10 +12,10 @@
 use crate::{
     names::{ServiceName, ZoneName},
     routing::{
-        BackendServer, ChangeFault, Confirmed, Incarnation, Intent, IntentChange, IntentHistory,
-        IntentInForce, IntentWatch, ListHistory, ListNews, ListVersion, OperatorOrders,
-        OrderChange, PackedChange, Roster, StoreEra, StoreVersion, ToldOrders,
-        roster::RosterChange,
+        ActiveIntent, BackendServer, Confirmation, Incarnation, Intent, IntentChange,
+        IntentChangeError, IntentHistory, IntentWatch, ListHistory, ListVersion, OperatorOrders,
+        OrderChange, OrdersSnapshot, PackedChange, Roster, ServerListUpdate, StoreEra,
+        StoreVersion, roster::RosterChange,
     },
     utils::sync::lock,
 };
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct ToldList {
     /// What is new in it.
-    pub news: ListNews,
+    pub news: ServerListUpdate,
     /// How long ago it was current.
     pub age: Option<Duration>,
     /// Era of the store that it is from.
@@ -34,7 +34,7 @@
 /// An instance's beliefs.
 pub struct Knowledge {
     current: ArcSwapOption<Intent>,
-    in_force: Mutex<IntentInForce>,
+    in_force: Mutex<ActiveIntent>,
     roster: Mutex<Roster>,
     /// How sure it is that the intent in force is the newest.
     watch: Mutex<IntentWatch>,
@@ -108,7 +108,7 @@
     }
 
     /// Takes an intent that was the newest in the store; returns whether it is now in force.
-    pub fn offer_intent(&self, intent: Intent, confirmed: Confirmed) -> bool {
+    pub fn offer_intent(&self, intent: Intent, confirmed: Confirmation) -> bool {
         let version = intent.version;
         let old = self.intent();
         let new = self.put_in_force(intent);
@@ -126,7 +126,7 @@
     /// # Errors
     ///
     /// A change cannot be used; those before it are in force.
-    pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, ChangeFault> {
+    pub fn offer_changes(&self, changes: &[Arc<PackedChange>]) -> Result<bool, IntentChangeError> {
         let mut intent = self.intent().unwrap_or_else(|| Arc::new(Intent::empty()));
         let before = intent.version;
         let mut result = Ok(());
@@ -160,7 +160,7 @@
                 return None;
             }
             self.current.store(Some(Arc::clone(&intent)));
-            lock(&self.watch).in_force(intent.version);
+            lock(&self.watch).set_active(intent.version);
         }
         self.note_progress();
         Some(intent)
@@ -168,7 +168,7 @@
 
     /// Notes that `version` was the newest, which says something of an intent in force that is no older: one that is
     /// behind would count as sure, and deny what the newer one allows.
-    pub fn confirm(&self, version: u64, confirmed: Confirmed) {
+    pub fn confirm(&self, version: u64, confirmed: Confirmation) {
         if version <= self.version() {
             lock(&self.watch).confirm(confirmed);
         }
@@ -176,7 +176,7 @@
 
     /// Notes that there is `version` of the intent.
     pub fn told_of(&self, now: Instant, version: u64) {
-        if lock(&self.watch).told(now, version) {
+        if lock(&self.watch).note_version(now, version) {
             self.watch_told.notify_all();
         }
     }
@@ -190,7 +190,7 @@
     pub fn wait_told(&self, longest: Duration) {
         let watch = lock(&self.watch);
         // Whatever ended the wait, the watch says what is next.
-        drop(self.watch_told.wait_timeout_while(watch, longest, |watch| !watch.is_behind()));
+        drop(self.watch_told.wait_timeout_while(watch, longest, |watch| !watch.is_outdated()));
     }
 
     /// Returns how long ago the intent in force was known to be the newest.
@@ -199,7 +199,7 @@
     }
 
     /// Takes what was told of operators' orders; returns whether it is news.
-    pub fn offer_orders(&self, now: Instant, told: ToldOrders) -> bool {
+    pub fn offer_orders(&self, now: Instant, told: OrdersSnapshot) -> bool {
         lock(&self.orders).take(now, told)
     }
 
@@ -210,22 +210,22 @@
         as_of: StoreVersion,
         changes: impl IntoIterator<Item = OrderChange>,
     ) -> bool {
-        lock(&self.orders).follow(now, as_of, changes)
+        lock(&self.orders).apply_changes(now, as_of, changes)
     }
 
     /// Returns the zones that get nothing new.
     pub fn evacuated(&self, now: Instant) -> IndexSet<ZoneName> {
-        lock(&self.orders).in_force(now).zones
+        lock(&self.orders).active(now).zones
     }
 
     /// Runs `apply` with the orders in force; no other thread puts older ones in force meanwhile.
-    pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(ToldOrders) -> T) -> T {
+    pub fn apply_orders<T>(&self, now: Instant, apply: impl FnOnce(OrdersSnapshot) -> T) -> T {
         let orders = lock(&self.orders);
-        apply(orders.in_force(now))
+        apply(orders.active(now))
     }
 
     /// Returns what other instances are told of operators' orders.
-    pub fn orders_told(&self) -> ToldOrders {
+    pub fn orders_told(&self) -> OrdersSnapshot {
         lock(&self.orders).newest().clone()
     }
 
@@ -242,7 +242,7 @@
         if !is_newer || !roster.note_era(now, era) {
             return RosterChange::default();
         }
-        let change = roster.observe(now, as_of, list);
+        let change = roster.apply_list(now, as_of, list);
         // Others are told what is believed, which is more than the list after an outage of the store.
         lock(&self.lists).push(roster.servers().map(|server| (**server).clone()).collect());
         drop(roster);
@@ -265,9 +265,9 @@
     }
 
     /// Notes that the entries of servers have been overwritten by something that is not understood.
-    pub fn overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
+    pub fn mark_overwritten<'k>(&self, keys: impl Iterator<Item = &'k str>) {
         let mut roster = lock(&self.roster);
-        keys.for_each(|key| roster.overwritten(key));
+        keys.for_each(|key| roster.mark_overwritten(key));
     }
 
     /// Runs `f` with the servers in force.
@@ -276,18 +276,18 @@
     }
 
     /// Has the servers of a zone count as cold for what `lasts` says of their service.
-    pub fn suspect_cold(
+    pub fn assume_cold(
         &self,
         now: Instant,
         zone: &ZoneName,
         lasts: impl Fn(&ServiceName) -> Option<Duration>,
     ) {
-        lock(&self.roster).suspect_cold(now, zone, lasts);
+        lock(&self.roster).assume_cold(now, zone, lasts);
     }
 
     /// Forgets a server whose address answered as another one.
     pub fn forget_server(&self, id: &Incarnation) {
-        lock(&self.roster).forget(id);
+        lock(&self.roster).remove(id);
     }
 
     /// Returns how old the servers' list is.
@@ -336,13 +336,13 @@
     pub fn apply_list_news(
         &self,
         version: Option<ListVersion>,
-        news: ListNews,
+        news: ServerListUpdate,
     ) -> Option<Vec<BackendServer>> {
         let lists = lock(&self.lists);
         let list = match lists.newest() {
             Some((known, list)) if Some(*known) == version => news.apply(list),
             // The news are of another list than the newest by now.
-            _ if matches!(news, ListNews::Whole(_)) => news.apply(&[]),
+            _ if matches!(news, ServerListUpdate::Whole(_)) => news.apply(&[]),
             _ => return None,
         };
         list.inspect_err(|fault| log::info!("event=list_skipped source=peer reason={fault}")).ok()
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 pub mod answering;
 pub mod cold_permits;
 pub mod connection;
+pub mod crash_suspects;
 pub mod drain;
 pub mod exchange;
 pub mod flight;
@@ -24,7 +25,7 @@
 pub mod peers;
 pub mod reply;
 pub mod request;
-pub mod rollout_keeper;
+pub mod rollout_controller;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
@@ -35,7 +36,6 @@
 pub mod spread;
 pub mod start;
 pub mod stream;
-pub mod suspicion;
 pub mod tries;
 pub mod unpicked;
 
@@ -51,10 +51,9 @@
 
 pub use self::handle::GatewayHandle;
 use self::{
-    cold_permits::ColdPermits, drain::Drain, flight::Flight, knowledge::Knowledge,
-    list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
+    cold_permits::ColdPermits, crash_suspects::CrashSuspects, drain::Drain, flight::Flight,
+    knowledge::Knowledge, list_read::ListRead, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, settings::GatewaySettings, skipped_log::SkippedLog,
-    suspicion::Suspicion,
 };
 use crate::{
     adapter::store::{Store, StoreFault},
@@ -62,8 +61,8 @@
     metrics::Metrics,
     names::ServiceName,
     routing::{
-        BudgetSum, CallKind, Incarnation, PickError, PickRequest, Picked, Picker, RetryBudget,
-        Spending, StoreShare, ToldOrders,
+        BudgetSum, CallKind, Incarnation, OrdersSnapshot, PickError, PickRequest, Picked, Picker,
+        RetryBudget, RetrySpending, StoreShare,
     },
     utils::{signal::Signal, sync::lock, usage::Usage},
 };
@@ -90,7 +89,7 @@
     /// Other instances.
     pub peers: Peers,
     /// Requests that end servers.
-    pub suspicion: Suspicion,
+    pub crash_suspects: CrashSuspects,
     /// Roll-outs of versions.
     pub rollouts: Rollouts,
     /// Requests to cold servers.
@@ -129,7 +128,7 @@
             picker: Mutex::new(open_picker(&settings)),
             conns: ServerConns::new(clock.clone()),
             peers: Peers::new(&settings, clock, &metrics.traffic()),
-            suspicion: Suspicion::default(),
+            crash_suspects: CrashSuspects::default(),
             rollouts: Rollouts::default(),
             cold_permits: ColdPermits::default(),
             drain: Drain::open().context("cannot make a pipe")?,
@@ -161,7 +160,7 @@
         let service = &request.service;
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).request(now, terms);
+        self.budget_of(&mut budgets, service).record_request(now, terms);
         drop(budgets);
         let target = request.route.target_latency;
         lock(&self.picker).note_request(now, service, request.priority, target);
@@ -190,11 +189,11 @@
         let instances = self.instances();
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
-        self.budget_of(&mut budgets, service).has(now, terms, instances, reserve)
+        self.budget_of(&mut budgets, service).allows(now, terms, instances, reserve)
     }
 
     /// Returns what this instance has spent at each service, for the sums over all.
-    pub fn spending(&self, now: Instant) -> Vec<Spending> {
+    pub fn spending(&self, now: Instant) -> Vec<RetrySpending> {
         let terms = &self.settings.bounds.retries;
         let mut budgets = lock(&self.budgets);
         budgets.iter_mut().map(|(service, budget)| budget.spending(now, terms, service)).collect()
@@ -205,7 +204,7 @@
         let mut budgets = lock(&self.budgets);
         for sum in sums {
             let service = sum.service.clone();
-            self.budget_of(&mut budgets, &service).set_sum(now, sum, fastrand::f64());
+            self.budget_of(&mut budgets, &service).set_fleet_sum(now, sum, fastrand::f64());
         }
     }
 
@@ -244,7 +243,7 @@
     }
 
     /// Takes what was read or told of operators' orders.
-    pub fn take_orders(&self, told: ToldOrders, source: &str) {
+    pub fn take_orders(&self, told: OrdersSnapshot, source: &str) {
         if self.knowledge.offer_orders(self.clock.now(), told) && self.refresh_orders() {
             log::info!("event=orders_known source={source}");
         }
@@ -265,7 +264,7 @@
             log::warn!("event=zone_taken_back zone={zone}");
             let lasts =
                 |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
-            self.knowledge.suspect_cold(now, zone, lasts);
+            self.knowledge.assume_cold(now, zone, lasts);
             self.servers_changed();
         }
         zones != former || rollouts_changed
@@ -325,7 +324,7 @@
             self.metrics.rollout_share(&service, share);
         }
         self.metrics.cold_servers(lock(&self.picker).cold_count(now));
-        self.metrics.held_requests(self.suspicion.held_count());
+        self.metrics.held_requests(self.crash_suspects.held_count());
         self.metrics.log_lines_left_out(log_sink::take_left_out());
     }
 
@@ -339,7 +338,7 @@
     /// Returns whether a newer intent has been known to exist for longer than changes may take: new callers
     /// are better off with another instance.
     fn is_out_of_date(&self, now: Instant) -> bool {
-        let behind = self.knowledge.with_watch(|watch| watch.behind_for(now));
+        let behind = self.knowledge.with_watch(|watch| watch.outdated_for(now));
         behind.is_some_and(|behind| behind > self.settings.bounds.intent_in_force)
     }
 }
--- a/src/gateway/rollout_keeper.rs
+++ b/src/gateway/rollout_controller.rs
@@ -11,12 +11,13 @@
 
 use super::{
     Gateway,
-    rollout_table::{RecordRow, TableAsk, TableReply, perform},
+    rollout_table::{RecordRow, RolloutTableReply, RolloutTableRequest, perform},
 };
 use crate::{
     names::{ServiceName, SoftwareVersion},
     routing::{
-        Course, LEASE, RolloutOrder, RolloutRecord, RolloutState, Stage, Tally, ToldRollout,
+        ROLLOUT_LEASE, RolloutOrder, RolloutProgress, RolloutRecord, RolloutState, RolloutUpdate,
+        Stage, StagePolicy,
     },
     utils::sync::lock,
 };
@@ -45,15 +46,15 @@
 }
 
 /// Has roll-outs taken further as long as there are any; without one, an instance has no thread for them.
-pub fn spawn_if_due(gateway: &Arc<Gateway>) {
+pub fn spawn_if_needed(gateway: &Arc<Gateway>) {
     let rollouts = &gateway.rollouts;
-    if !rollouts.has_open() || rollouts.is_kept.swap(true, Ordering::Relaxed) {
+    if !rollouts.has_unfinished() || rollouts.is_controller_running.swap(true, Ordering::Relaxed) {
         return;
     }
     let keeping = Arc::clone(gateway);
     let spawned = thread::Builder::new().name("rollouts".to_owned()).spawn(move || run(&keeping));
     if let Err(fault) = spawned {
-        rollouts.is_kept.store(false, Ordering::Relaxed);
+        rollouts.is_controller_running.store(false, Ordering::Relaxed);
         log::error!("event=rollouts_not_kept reason={:?}", fault.to_string());
     }
 }
@@ -61,32 +62,32 @@
 /// Takes roll-outs further until all have come to their end.
 fn run(gateway: &Arc<Gateway>) {
     let mut held: IndexMap<ServiceName, Held> = IndexMap::new();
-    while gateway.rollouts.has_open() || !held.is_empty() {
-        let is_turn_yet = is_turn(gateway, gateway.clock.now());
-        gateway.rollouts.due.wait(if is_turn_yet { STEP } else { DEPUTY });
+    while gateway.rollouts.has_unfinished() || !held.is_empty() {
+        let is_turn_yet = is_controller(gateway, gateway.clock.now());
+        gateway.rollouts.wakeup.wait(if is_turn_yet { STEP } else { DEPUTY });
         let now = gateway.clock.now();
-        let is_turn = is_turn(gateway, now);
-        if !is_turn {
+        let is_controller = is_controller(gateway, now);
+        if !is_controller {
             held.clear();
             continue;
         }
         let orders = lock(&gateway.rollouts.states).orders().clone();
         let own = gateway.rollouts.reports(gateway);
-        gateway.rollouts.take_reports(gateway, &gateway.settings.node, gateway.peers.run, own);
+        gateway.rollouts.apply_reports(gateway, &gateway.settings.node, gateway.peers.run, own);
         for (service, order) in &orders {
-            keep(gateway, &mut held, service, order);
+            advance_service(gateway, &mut held, service, order);
         }
     }
-    gateway.rollouts.is_kept.store(false, Ordering::Relaxed);
+    gateway.rollouts.is_controller_running.store(false, Ordering::Relaxed);
 }
 
 /// Returns whether this is the instance that takes roll-outs further.
-fn is_turn(gateway: &Gateway, now: Instant) -> bool {
-    let is_first = lock(&gateway.peers.candidates).first(now).is_none();
+fn is_controller(gateway: &Gateway, now: Instant) -> bool {
+    let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
     is_first && gateway.peers.knows_others(now) && !gateway.drain.is_draining()
 }
 
-fn keep(
+fn advance_service(
     gateway: &Gateway,
     held: &mut IndexMap<ServiceName, Held>,
     service: &ServiceName,
@@ -114,8 +115,8 @@
         (states.of(service, &order.to).cloned(), states.term(service))
     };
     let began = gateway.clock.now();
-    let (rows, now_ms) = match perform(gateway, &TableAsk::Read) {
-        TableReply::Read { rows, now_ms } => (rows, now_ms),
+    let (rows, now_ms) = match perform(gateway, &RolloutTableRequest::Read) {
+        RolloutTableReply::Read { rows, now_ms } => (rows, now_ms),
         other => {
             log::info!("event=rollouts_unread reason={other:?}");
             return None;
@@ -166,8 +167,8 @@
     let (at, ms) = held.clock;
     let since = began.saturating_duration_since(at).as_millis();
     held.row.record.renewed_ms = ms.saturating_add(u64::try_from(since).unwrap_or(u64::MAX));
-    match perform(gateway, &TableAsk::Write(held.row.clone())) {
-        TableReply::Written(version) => {
+    match perform(gateway, &RolloutTableRequest::Write(held.row.clone())) {
+        RolloutTableReply::Written(version) => {
             held.row.version = version;
             held.renewed = began;
             true
@@ -183,24 +184,24 @@
 /// Takes a roll-out one step further; returns whether the record is still held.
 fn step(gateway: &Gateway, held: &mut Held, order: &RolloutOrder) -> bool {
     let now = gateway.clock.now();
-    let (terms, exchange) = (gateway.settings.bounds.rollouts, gateway.peers.period());
-    let course = Course { order, terms, exchange };
-    let tally = tally(gateway, now, held);
+    let (exposure_limit, exchange) = (gateway.settings.bounds.rollouts, gateway.peers.period());
+    let course = StagePolicy { order, exposure_limit, exchange };
+    let progress = progress(gateway, now, held);
     let service = held.row.service.clone();
     let decided = lock(&gateway.rollouts.states).of(&service, &order.to).map(|known| known.stage);
     let stage = held.row.record.stage;
     let next = match decided.filter(|decided| decided.is_final()) {
         Some(decided) => stage.max(decided),
-        None => course.stage(stage, &tally),
+        None => course.stage(stage, &progress),
     };
     if next == Stage::RolledBack && decided != Some(next) {
         log::warn!(
             "event=version_not_taken service={service} to={} answered={} of={} doubt={:.1} doubt_in_all={:.1}",
             order.to,
-            tally.answered_new,
-            tally.sent,
-            tally.doubt,
-            tally.doubt_in_all
+            progress.answered_new,
+            progress.sent,
+            progress.regression_score,
+            progress.total_regression_score
         );
         // Known to all before it is written: nothing more reaches the version meanwhile.
         publish(gateway, state(held, next, 0.0, 0));
@@ -226,9 +227,9 @@
         );
         return false;
     }
-    let share = (course.share(next, &tally) / SHARE_STEP).round() * SHARE_STEP;
-    let servers = course.servers(share, &tally);
-    let is_fresh = gateway.clock.now().saturating_duration_since(held.renewed) < LEASE;
+    let share = (course.share(next, &progress) / SHARE_STEP).round() * SHARE_STEP;
+    let servers = course.servers(share, &progress);
+    let is_fresh = gateway.clock.now().saturating_duration_since(held.renewed) < ROLLOUT_LEASE;
     if is_fresh {
         publish(gateway, state(held, next, share, servers));
     }
@@ -275,13 +276,13 @@
 }
 
 fn publish(gateway: &Gateway, state: RolloutState) {
-    gateway.rollouts.take_told(gateway, &[ToldRollout { state, age_ms: 0 }], "own");
+    gateway.rollouts.apply_updates(gateway, &[RolloutUpdate { state, age_ms: 0 }], "own");
 }
 
-fn tally(gateway: &Gateway, now: Instant, held: &Held) -> Tally {
+fn progress(gateway: &Gateway, now: Instant, held: &Held) -> RolloutProgress {
     let record = &held.row.record;
     let (at, ms) = held.clock;
-    let before = Duration::from_millis(ms.saturating_sub(record.since_ms));
+    let before = Duration::from_millis(ms.saturating_sub(record.first_seen_ms));
     let to = &record.order.to;
     let (servers_new, servers_old) = gateway.knowledge.with_servers(|roster| {
         let servers = roster.servers().filter(|s| s.service == held.row.service && !s.leaving);
@@ -290,21 +291,21 @@
         let (new, old): (Vec<_>, Vec<_>) = usable.partition(|s| s.version.as_ref() == Some(to));
         (new.len(), old.len())
     });
-    let mut tally = Tally {
+    let mut progress = RolloutProgress {
         elapsed: before + now.saturating_duration_since(at),
         in_stage: now.saturating_duration_since(held.stage_since),
         servers_new,
         servers_old,
-        ..Tally::default()
+        ..RolloutProgress::default()
     };
-    if let Some(judge) = lock(&gateway.rollouts.judges).get(&held.row.service)
+    if let Some(judge) = lock(&gateway.rollouts.evaluations).get(&held.row.service)
         && judge.to() == to
     {
-        (tally.sent, tally.sent_new) = judge.sent();
-        tally.answered_new = judge.answered_new();
-        tally.under_way_old = judge.under_way_old(now);
-        tally.doubt_in_all = judge.doubt_in_all();
-        (tally.doubt, tally.is_bad) = (judge.doubt(), judge.is_bad());
+        (progress.sent, progress.sent_new) = judge.sent();
+        progress.answered_new = judge.answered_new();
+        progress.under_way_old = judge.under_way_old(now);
+        progress.total_regression_score = judge.total_regression_score();
+        (progress.regression_score, progress.is_bad) = (judge.regression_score(), judge.is_bad());
     }
-    tally
+    progress
 }
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -25,8 +25,8 @@
     versions::{RolloutServers, VersionGroup},
 };
 use super::{
-    AdmissionControl, BackendServer, Count, Crowded, FleetPosition, Health, Incarnation, Load,
-    LoadReport, Notice, PickError, PickRequest, Picked, ServiceLoad, UnlistedNotices,
+    AdmissionControl, BackendServer, Crowded, FleetPosition, Health, InFlightCount, Incarnation,
+    Load, LoadReport, Notice, PickError, PickRequest, Picked, ServiceLoad, UnlistedNotices,
     admission::FleetTotal,
 };
 use crate::names::{RegionName, ServiceName, Tag, ZoneName};
@@ -293,7 +293,7 @@
         &mut self,
         now: Instant,
         loads: &[ServiceLoad],
-        own: &[Count],
+        own: &[InFlightCount],
     ) -> Vec<Crowded> {
         let mut crowded = Vec::new();
         let own: HashMap<Tag, u32> = own.iter().copied().collect();
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -11,7 +11,7 @@
 use super::Picker;
 use crate::{
     names::{ServiceName, SoftwareVersion, Tag},
-    routing::{BackendServer, Lane, PickRequest},
+    routing::{BackendServer, PickRequest, VersionSplit},
 };
 
 /// Groups of servers by their version, from which a request uses one.
@@ -128,7 +128,7 @@
 ) -> HashSet<Tag> {
     let mut zones: IndexMap<_, Vec<(Tag, Tag)>> = IndexMap::new();
     for server in servers {
-        zones.entry(&server.zone).or_default().push((server.place(), server.tag()));
+        zones.entry(&server.zone).or_default().push((server.stable_tag(), server.tag()));
     }
     zones.sort_unstable_keys();
     let mut ordered: Vec<(usize, usize, Tag)> = Vec::new();
--- a/tests/suite/picking.rs
+++ b/tests/suite/picking.rs
@@ -162,7 +162,7 @@
     aggregate.take(now + SECOND * 2, "b".parse().expect("a valid name"), vec![(tag(0), 2)]);
     let total = |at: Instant| aggregate.summary(at, servers.iter()).remove(0);
     let both = total(now + SECOND * 2);
-    assert!(both.whole);
+    assert!(both.is_complete);
     assert_eq!(both.counts, [(tag(0), 6), (tag(1), 1), (tag(2), 0)]);
     assert_eq!(total(now + SECOND * 4).counts[0], (tag(0), 2));
     // The counts that this instance reported itself are not counted twice.
@@ -192,7 +192,7 @@
     let mut aggregate = Aggregate::default();
     aggregate.take(now, "a".parse().expect("a valid name"), counts.collect());
     let load = aggregate.summary(now, servers.iter()).remove(0);
-    assert!(!load.whole);
+    assert!(!load.is_complete);
     assert_eq!(load.counts, [(servers[7].tag(), 20)]);
     let mut picker = picker(&servers);
     picker.set_fleet_loads(now, &[load], &[]);
@@ -211,7 +211,7 @@
         service: "llm".parse().expect("a valid name"),
         mean: load as f32 / 4.0,
         counts: vec![(servers[0].tag(), load)],
-        whole: true,
+        is_complete: true,
     };
     let mut crowded_at = |at: Duration, load| {
         let crowded = picker.set_fleet_loads(now + at, &[loads(load)], &[]);
--- a/tests/suite/routing.rs
+++ b/tests/suite/routing.rs
@@ -7,9 +7,9 @@
 };
 
 use cartvane::routing::{
-    BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent, IntentInForce,
-    ListHistory, ListNews, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind,
-    RouteTable, ServiceShare, Teams, budget::BudgetTerms,
+    ActiveIntent, BackendServer, EventSplitter, Health, HomeRegions, Incarnation, Intent,
+    ListHistory, Load, LoadReport, Picker, RetryBudget, Roster, Route, RouteKind, RouteTable,
+    ServerListUpdate, ServiceShare, Teams, budget::BudgetTerms,
 };
 use indexmap::IndexMap;
 use proptest::{
@@ -54,8 +54,8 @@
 fn a_missing_entry_is_removed_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
-    let change = roster.observe(now + SECOND, now + SECOND, [server("a", 1)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
+    let change = roster.apply_list(now + SECOND, now + SECOND, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
     assert_eq!(change.gone, ["b".parse::<Incarnation>().expect("a valid id")]);
 }
@@ -66,13 +66,13 @@
 fn an_entry_missing_after_others_kept_the_list_fresh_is_removed_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
     for passed in [2, 4, 6] {
         let at = now + SECOND * passed;
-        roster.observe(at, at - SECOND, [server("a", 1), server("b", 2)]);
+        roster.apply_list(at, at - SECOND, [server("a", 1), server("b", 2)]);
     }
     let at = now + SECOND * 7;
-    roster.observe(at, at, [server("a", 1)]);
+    roster.apply_list(at, at, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a"]);
 }
 
@@ -80,15 +80,15 @@
 fn entries_that_expired_in_an_outage_are_kept_for_a_grace_period() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2), server("c", 3)]);
     let back = now + SECOND * 6;
-    roster.observe(back, back, [server("a", 1)]);
+    roster.apply_list(back, back, [server("a", 1)]);
     assert_eq!(ids(&roster), ["a", "b", "c"]);
     let later = back + SECOND;
-    roster.observe(later, later, [server("a", 1), server("b", 2)]);
+    roster.apply_list(later, later, [server("a", 1), server("b", 2)]);
     assert_eq!(ids(&roster), ["a", "b", "c"]);
     let last = back + SECOND * 3;
-    roster.observe(last, last, [server("a", 1), server("b", 2)]);
+    roster.apply_list(last, last, [server("a", 1), server("b", 2)]);
     assert_eq!(ids(&roster), ["a", "b"]);
 }
 
@@ -96,9 +96,9 @@
 fn a_missing_entry_whose_address_was_reused_is_removed_even_after_an_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1), server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1), server("b", 2)]);
     let back = now + SECOND * 6;
-    roster.observe(back, back, [server("a", 1), server("new", 2)]);
+    roster.apply_list(back, back, [server("a", 1), server("new", 2)]);
     assert_eq!(ids(&roster), ["a", "new"]);
 }
 
@@ -106,8 +106,8 @@
 fn an_older_list_changes_nothing() {
     let now = Instant::now();
     let mut roster = Roster::default();
-    roster.observe(now, now, [server("a", 1)]);
-    let change = roster.observe(now + SECOND, now - SECOND, [server("b", 2)]);
+    roster.apply_list(now, now, [server("a", 1)]);
+    let change = roster.apply_list(now + SECOND, now - SECOND, [server("b", 2)]);
     assert_eq!(ids(&roster), ["a"]);
     assert!(change.added.is_empty());
 }
@@ -212,7 +212,7 @@
             let (mut requests, mut retries) = (Vec::new(), Vec::new());
             for (instance, gap, wants_retry) in events {
                 now += Duration::from_millis(gap);
-                budgets[instance].request(now, &TERMS);
+                budgets[instance].record_request(now, &TERMS);
                 requests.push(now);
                 if wants_retry && budgets[instance].take(now, &TERMS, 8, 0.0) {
                     retries.push(now);
@@ -232,7 +232,7 @@
 fn retries_of_slow_requests_leave_budget_for_failures() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(None);
-    (0..100).for_each(|_| budget.request(now, &TERMS));
+    (0..100).for_each(|_| budget.record_request(now, &TERMS));
     let spent = |budget: &mut RetryBudget, reserve| {
         (0..1000).filter(|_| budget.take(now, &TERMS, 8, reserve)).count()
     };
