--- a/src/routing/picker/affinity.rs
+++ b/src/routing/picker/affinity.rs
@@ -55,7 +55,7 @@
         let loads: Vec<f64> = pool.iter().map(|t| t.load.estimate(now, fallback_load)).collect();
         let bound = self.bounds(self.mean_load(now, request.service, &loads)).spill;
         let order = if self.is_small(request.service) {
-            rendezvous::ranked(key, pool.iter().map(|t| (t.server.place(), 1.0)))
+            rendezvous::ranked(key, pool.iter().map(|t| (t.server.stable_tag(), 1.0)))
         } else {
             // The candidates of a large service are ordered already.
             (0..pool.len()).collect()
@@ -68,7 +68,7 @@
         let first_crowded =
             is_scarce || order.first().is_some_and(|&i| pool[i].load.is_crowded(now));
         let headroom = |&i: &usize| {
-            let (load, phase) = (&pool[i].load, self.phase(pool[i].server.place()));
+            let (load, phase) = (&pool[i].load, self.phase(pool[i].server.stable_tag()));
             let crowded = first_crowded || load.is_crowded(now);
             let allotment =
                 if crowded { load.allotment(now, target, self.position, phase) } else { None };
@@ -151,7 +151,7 @@
         if !self.is_small(&picked.service) {
             return usable.next().map(|t| Arc::clone(&t.server));
         }
-        let score = |t: &Tracked| rendezvous::score(key, t.server.place(), 1.0);
+        let score = |t: &Tracked| rendezvous::score(key, t.server.stable_tag(), 1.0);
         let best = usable.max_by(|a, b| score(a).total_cmp(&score(b)));
         best.map(|t| Arc::clone(&t.server))
     }
--- a/src/routing/picker/least_loaded.rs
+++ b/src/routing/picker/least_loaded.rs
@@ -44,7 +44,7 @@
             let weight = if server.zone == self.zone { 1.0 } else { OTHER_ZONE_WEIGHT };
             // The instance's own count is exact.
             let own = f64::from(pool[at].load.own());
-            rendezvous::score(request.spread, server.place(), weight / (1.0 + own))
+            rendezvous::score(request.spread, server.stable_tag(), weight / (1.0 + own))
         };
         let near_least = (0..pool.len()).filter(|&at| cost(at) <= least + tolerance);
         let at = near_least.max_by(|a, b| score(a).total_cmp(&score(b)))?;
--- a/src/routing/picker/mod.rs
+++ b/src/routing/picker/mod.rs
@@ -300,7 +300,7 @@
         for load in loads {
             let counts: HashMap<Tag, u32> = load.counts.iter().copied().collect();
             let bounds = self.bounds(f64::from(load.mean));
-            let uncounted = if load.whole { 0.0 } else { f64::from(load.mean) };
+            let uncounted = if load.is_complete { 0.0 } else { f64::from(load.mean) };
             let mut total = FleetTotal { all: 0.0, own: 0.0, at: now };
             for tracked in self.servers.values_mut().filter(|t| t.server.service == load.service) {
                 let tag = tracked.server.tag();
@@ -322,7 +322,7 @@
     }
 
     /// Returns this instance's requests in flight, by server, to report them to the other instances.
-    pub fn own_counts(&self) -> Vec<Count> {
+    pub fn own_counts(&self) -> Vec<InFlightCount> {
         let busy = self.servers.values().filter(|t| t.load.own() > 0);
         busy.map(|t| (t.server.tag(), t.load.own())).collect()
     }
--- a/src/routing/picker/service_servers.rs
+++ b/src/routing/picker/service_servers.rs
@@ -44,13 +44,13 @@
     evacuated: usize,
 }
 
-/// Servers sorted by the hash of their place.
+/// Servers sorted by the hash of their stable tag.
 #[derive(Debug, Default)]
 struct Ring(Vec<(u64, usize)>);
 
 impl Ring {
     fn push(&mut self, server: &BackendServer, index: usize) {
-        self.0.push((xxh3_64(&server.place().0.to_le_bytes()), index));
+        self.0.push((xxh3_64(&server.stable_tag().0.to_le_bytes()), index));
     }
 
     /// Returns the servers that `probes` probes find, the closest one first.
--- a/src/routing/picker/slots.rs
+++ b/src/routing/picker/slots.rs
@@ -15,7 +15,7 @@
     /// instances would use the same free slot.
     pub(super) fn has_allotted_slot(&self, now: Instant, tracked: &Tracked) -> bool {
         let Some(slots) = tracked.server.slots else { return true };
-        let phase = self.phase(tracked.server.place());
+        let phase = self.phase(tracked.server.stable_tag());
         let allotment = tracked.load.allotment(now, f64::from(slots), self.position, phase);
         allotment.is_none_or(|more| more > 0.0)
     }
--- a/src/routing/picker/versions.rs
+++ b/src/routing/picker/versions.rs
@@ -28,7 +28,7 @@
 /// Servers of a service with a roll-out.
 #[derive(Debug)]
 pub(super) struct RolloutServers {
-    split: Lane,
+    split: VersionSplit,
     /// Servers of the new version that are in use.
     new: HashSet<Tag>,
     /// Number of servers of other versions.
@@ -37,8 +37,8 @@
 
 impl Picker {
     /// Sets how requests are split between the versions of services with a roll-out.
-    pub fn set_version_splits(&mut self, splits: Vec<Lane>) {
-        let rollout = |split: Lane| {
+    pub fn set_version_splits(&mut self, splits: Vec<VersionSplit>) {
+        let rollout = |split: VersionSplit| {
             (split.service.clone(), RolloutServers { split, new: HashSet::new(), others: 0 })
         };
         self.rollouts = splits.into_iter().map(rollout).collect();
