--- a/src/gateway/crash_suspects.rs
+++ b/src/gateway/crash_suspects.rs
@@ -157,7 +157,7 @@
         if let Some(known) = lock(&self.ends).has_crashed(now, &server.id) {
             return known;
         }
-        let is_used = gateway.knowledge.with_servers(|roster| {
+        let is_used = gateway.cluster_state.with_servers(|roster| {
             roster.servers().any(|listed| listed.id == server.id && !listed.leaving)
         });
         if !is_used {
@@ -166,7 +166,7 @@
         match gateway.conns.connect(server.address, now + CHECK_TIME) {
             Ok(conn) => {
                 lock(&self.ends).note_alive(now, &server.id);
-                let most = gateway.connections_of(&server.service);
+                let most = gateway.max_connections(&server.service);
                 gateway.conns.keep(&server.id, conn, None, most);
                 false
             }
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -40,7 +40,7 @@
         gateway.crash_suspects.verdicts_changed.wait(LOOK_PERIOD);
         let now = gateway.clock.now();
         let is_first = lock(&gateway.peers.candidates).aggregator(now).is_none();
-        if gateway.drain.is_draining() || !is_first || !gateway.peers.knows_others(now) {
+        if gateway.drain.is_draining() || !is_first || !gateway.peers.has_joined(now) {
             continue;
         }
         if let Err(fault) = keep(gateway, &mut sync) {
--- a/tests/suite/cold_servers.rs
+++ b/tests/suite/cold_servers.rs
@@ -12,7 +12,7 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{call, intent, spawn},
+    testbed::{call, intent, spawn},
 };
 
 /// Rate of a cold server, in requests per second.
@@ -108,7 +108,7 @@
             failed.is_empty(),
             "{failed:?} of {} responses{}",
             statuses.len(),
-            log_lines::with(&["refused", "attempt"])
+            log_lines::matching(&["refused", "attempt"])
         );
         assert!(statuses.len() > 100, "{} responses", statuses.len());
         assert!(arrived <= max_requests(time), "round {round}: {arrived} in {time:?}");
--- a/tests/suite/evacuations.rs
+++ b/tests/suite/evacuations.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     support::eventually,
-    world::{call, intent, spawn},
+    testbed::{call, intent, spawn},
 };
 
 /// Time after the store's acknowledgement from which no new requests reach the servers of the zone.
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! All integration tests, as one crate.
+//! All integration tests, in one crate.
 
 mod answers;
 mod backoff_random;
@@ -26,7 +26,6 @@
 mod incarnations;
 mod intent_changes;
 mod intent_watch;
-mod knowledge;
 mod large_intent;
 mod log_lines;
 mod machines;
@@ -50,5 +49,5 @@
 mod store_eras;
 mod support;
 mod suspended;
+mod testbed;
 mod whole_path;
-mod world;
--- a/tests/suite/messages.rs
+++ b/tests/suite/messages.rs
@@ -10,8 +10,8 @@
     configs::fleet::chunks::{decode, encode},
     gateway::{
         cold_permits::{PermitAsk, PermitReply},
-        messages::{Asks, ConfirmedAgo, News, Report},
-        spread::{Offer, OfferReply},
+        intent_relay::{Offer, OfferReply},
+        messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
     },
     names::Tag,
     routing::{
@@ -49,39 +49,39 @@
     }
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> ExchangeReport {
+    ExchangeReport {
         from: instance(),
         counts: vec![(Tag(7), 3)],
-        silent: vec![Tag(9)],
+        unresponsive: vec![Tag(9)],
         run: RunId(5),
         spending: Vec::<RetrySpending>::new(),
         rollouts: Vec::new(),
         rollout_states: Vec::new(),
         crash_suspects: Default::default(),
-        version: 12,
+        intent_version: 12,
         wants_intent: false,
-        asks: Asks::InTurn,
-        list: Some(ListVersion(77)),
-        instances: 8,
+        purpose: ExchangePurpose::Aggregate,
+        list_version: Some(ListVersion(77)),
+        instances_hash: 8,
     }
 }
 
-fn news(list: ServerListUpdate) -> News {
+fn news(list: ServerListUpdate) -> ExchangeReply {
     let service = "llm".parse().expect("a name");
-    News {
+    ExchangeReply {
         loads: vec![ServiceLoad {
             service,
             mean: 2.5,
             counts: vec![(Tag(7), 4)],
             is_complete: true,
         }],
-        silent: vec![Tag(9)],
+        unresponsive: vec![Tag(9)],
         budgets: Vec::<BudgetSum>::new(),
         run: RunId(6),
-        servers_end: false,
+        crash_alert: false,
         verdicts: Vec::new(),
-        version: 12,
+        intent_version: 12,
         changes: Vec::new(),
         confirmed: Some(ConfirmedAgo { age_ms: 40, store: store() }),
         orders: orders(),
@@ -124,7 +124,7 @@
         version: 12,
         orders: orders(),
         changes: vec![Arc::new(PackedChange::pack(&IntentChange::whole(&Intent::empty())))],
-        pass_on: vec![([10, 0, 0, 2], 8229).into()],
+        relay_to: vec![([10, 0, 0, 2], 8229).into()],
     };
     let ask = PermitAsk { server: Tag(7), service: "llm".parse().expect("a name") };
     assert!(comes_back(&report()) && comes_back(&changes) && comes_back(&whole));
@@ -166,10 +166,10 @@
 fn what_builds_before_have_written_is_understood() {
     let [report_bytes, news_bytes, permit, orders_bytes] = KEPT.map(|(_, hex)| bytes_of(hex));
     let same = |read: Vec<u8>, now: Vec<u8>| assert_eq!(read, now);
-    same(encode(&decode::<Report>(&report_bytes).expect("a report")), encode(&report()));
+    same(encode(&decode::<ExchangeReport>(&report_bytes).expect("a report")), encode(&report()));
     let without = OrdersSnapshot { unparsed: IndexSet::new(), ..orders() };
-    let read = decode::<News>(&news_bytes).expect("news");
-    assert_eq!((read.version, &read.orders), (12, &without));
+    let read = decode::<ExchangeReply>(&news_bytes).expect("news");
+    assert_eq!((read.intent_version, &read.orders), (12, &without));
     assert!(decode::<PermitAsk>(&permit).is_ok_and(|ask| ask.server == Tag(7)));
     assert_eq!(decode::<OrdersSnapshot>(&orders_bytes).expect("orders"), without);
 }
--- a/tests/suite/server_notices.rs
+++ b/tests/suite/server_notices.rs
@@ -12,7 +12,7 @@
 use crate::{
     log_lines,
     support::eventually,
-    world::{KEY, World, call, start},
+    testbed::{KEY, Testbed, call, start},
 };
 
 /// A backoff that does not end during any of these tests.
@@ -21,7 +21,7 @@
 /// Number of requests after which a server that is still in use, one of three, has almost certainly got one.
 const MANY: usize = 40;
 
-impl World {
+impl Testbed {
     /// Sends `count` requests of one kind and returns their responses.
     fn send_many(&self, target: &str, name: &str, count: usize) -> Vec<Answer> {
         (0..count).map(|n| self.send(&call(target, &format!("{name}-{n}")))).collect()
@@ -66,7 +66,7 @@
             assert_eq!(served, MANY, "{what}: {target}");
         }
         let first = &self.servers[0].id;
-        let causes = || log_lines::with(&[first.as_str(), "hedge", "repeat"]);
+        let causes = || log_lines::matching(&[first.as_str(), "hedge", "repeat"]);
         let reached = self.arrivals(0);
         assert_eq!(reached, before, "{what}: requests that reached the first server{}", causes());
         // On a stalled machine, requests are also retried at another of the remaining servers.
@@ -89,11 +89,11 @@
 // after that.
 #[test]
 fn a_server_that_announces_leaving_gets_no_more_requests() {
-    let world = start(3);
-    world.store.set_mode(StoreMode::Reset);
-    world.servers[0].leaves();
-    world.receive_notice_of_first("/idem/x");
-    world.assert_first_gets_none("during an outage of the store");
+    let testbed = start(3);
+    testbed.store.set_mode(StoreMode::Reset);
+    testbed.servers[0].leaves();
+    testbed.receive_notice_of_first("/idem/x");
+    testbed.assert_first_gets_none("during an outage of the store");
 }
 
 // Five of 18 servers rejected every request for nine seconds, each time with a backoff of 3 s. The backoff was ignored,
@@ -104,10 +104,10 @@
 // 1,187 to 266, and the share of rejected requests from 0.046 to 0.004.
 #[test]
 fn a_server_in_a_backoff_gets_no_requests_and_the_others_serve_all() {
-    let world = start(3);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG_BACKOFF)));
-    world.receive_notice_of_first("/idem/x");
-    world.assert_first_gets_none("after a rejection with a backoff");
+    let testbed = start(3);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG_BACKOFF)));
+    testbed.receive_notice_of_first("/idem/x");
+    testbed.assert_first_gets_none("after a rejection with a backoff");
 }
 
 /// Responses that carry the notice: the fault of the server, the path of the request, and a description.
@@ -127,11 +127,11 @@
     thread::scope(|scope| {
         for (fault, target, what) in RESPONSE_KINDS {
             scope.spawn(move || {
-                let world = start(3);
-                world.servers[0].faults.set_standing(Some(fault));
-                world.servers[0].leaves();
-                world.receive_notice_of_first(target);
-                world.assert_first_gets_none(what);
+                let testbed = start(3);
+                testbed.servers[0].faults.set_standing(Some(fault));
+                testbed.servers[0].leaves();
+                testbed.receive_notice_of_first(target);
+                testbed.assert_first_gets_none(what);
             });
         }
     });
@@ -139,82 +139,82 @@
 
 #[test]
 fn a_leaving_notice_is_not_revoked_by_the_list() {
-    let world = start(3);
-    world.servers[0].leaves();
-    world.receive_notice_of_first("/idem/x");
-    let first = &world.servers[0];
+    let testbed = start(3);
+    testbed.servers[0].leaves();
+    testbed.receive_notice_of_first("/idem/x");
+    let first = &testbed.servers[0];
     let is_listed = || {
-        let gateway = world.instance.gateway();
-        gateway.knowledge.with_servers(|roster| {
+        let gateway = testbed.instance.gateway();
+        gateway.cluster_state.with_servers(|roster| {
             roster.servers().any(|server| server.id.server.as_str() == first.id)
         })
     };
-    world.store.remove("servers", &first.id);
+    testbed.store.remove("servers", &first.id);
     eventually("the server is removed from the list", || !is_listed());
-    world.store.put("servers", &first.id, &first.entry("app", "ready"));
+    testbed.store.put("servers", &first.id, &first.entry("app", "ready"));
     eventually("the server is listed again as ready", is_listed);
-    world.assert_first_gets_none("the server is listed again");
+    testbed.assert_first_gets_none("the server is listed again");
 }
 
 #[test]
 fn a_broken_stream_is_not_resumed_at_a_server_in_a_backoff() {
-    let world = start(3);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG_BACKOFF)));
-    world.receive_notice_of_first("/idem/x");
+    let testbed = start(3);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG_BACKOFF)));
+    testbed.receive_notice_of_first("/idem/x");
     for number in 0..10 {
-        world.servers[1].faults.push([Fault::BreakAfter(2)]);
-        let response = world.send(&call("/stream-resumable/x", &format!("broken-{number}")));
+        testbed.servers[1].faults.push([Fault::BreakAfter(2)]);
+        let response = testbed.send(&call("/stream-resumable/x", &format!("broken-{number}")));
         assert_complete_stream(&response);
-        world.servers[1].faults.clear();
+        testbed.servers[1].faults.clear();
     }
-    assert_eq!(world.arrivals(0), 1, "requests and resumed streams at the first server");
+    assert_eq!(testbed.arrivals(0), 1, "requests and resumed streams at the first server");
 }
 
 #[test]
 fn if_all_servers_back_off_requests_are_rejected_at_once_with_the_remaining_time() {
-    let world = start(3);
-    world.fault(Fault::RefuseFor(LONG_BACKOFF));
+    let testbed = start(3);
+    testbed.fault(Fault::RefuseFor(LONG_BACKOFF));
     // The retry budget may end the attempts of a request before it has reached all servers.
     for number in 0..10 {
-        world.send(&call("/idem/x", &format!("asks-{number}")));
+        testbed.send(&call("/idem/x", &format!("asks-{number}")));
     }
-    assert_eq!(world.all_arrivals(), 3, "one request at each server");
-    let response = world.send(&call("/idem/x", "refused"));
+    assert_eq!(testbed.all_arrivals(), 3, "one request at each server");
+    let response = testbed.send(&call("/idem/x", "refused"));
     assert_eq!(response.status, 503);
     let after: f64 = response.header("retry-after").parse().expect("a number of seconds");
     assert!((50.0..=65.0).contains(&after), "{after} s");
-    assert_eq!(world.all_arrivals(), 3, "no request was sent to a server");
+    assert_eq!(testbed.all_arrivals(), 3, "no request was sent to a server");
 }
 
 #[test]
 fn a_server_is_used_again_after_its_backoff() {
-    let world = start(3);
-    world.servers[0].faults.push([Fault::RefuseFor(Duration::from_millis(300))]);
-    world.receive_notice_of_first("/idem/x");
+    let testbed = start(3);
+    testbed.servers[0].faults.push([Fault::RefuseFor(Duration::from_millis(300))]);
+    testbed.receive_notice_of_first("/idem/x");
     let mut sent = 0;
     eventually("the server gets requests again", || {
         sent += 1;
-        world.send(&call("/idem/x", &format!("again-{sent}")));
-        world.arrivals(0) > 1
+        testbed.send(&call("/idem/x", &format!("again-{sent}")));
+        testbed.arrivals(0) > 1
     });
 }
 
 #[test]
 fn a_restarted_server_is_used_at_once() {
-    let world = start(1);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG_BACKOFF)));
-    world.servers[0].leaves();
-    world.receive_notice_of_first("/idem/x");
+    let testbed = start(1);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseFor(LONG_BACKOFF)));
+    testbed.servers[0].leaves();
+    testbed.receive_notice_of_first("/idem/x");
     let next = Listed::spawn("next").expect("the server starts");
-    world.store.remove("servers", &world.servers[0].id);
-    world.store.put("servers", &next.id, &next.entry("app", "ready"));
+    testbed.store.remove("servers", &testbed.servers[0].id);
+    testbed.store.put("servers", &next.id, &next.entry("app", "ready"));
     let mut sent = 0;
     eventually("the restarted server serves requests", || {
         sent += 1;
-        world.send(&call("/idem/x", &format!("next-{sent}"))).status == 200
+        testbed.send(&call("/idem/x", &format!("next-{sent}"))).status == 200
     });
     let stream = Call::post("/stream/x", KEY, "some body").with("x-request-id", "stream");
-    assert_complete_stream(&world.send(&stream));
+    assert_complete_stream(&testbed.send(&stream));
     assert_eq!(next.arrivals().len(), 2);
 }
 
@@ -227,13 +227,13 @@
 // skipped; with them, a share of 0.002 is rejected.
 #[test]
 fn a_server_that_rejects_requests_without_a_backoff_gets_few() {
-    let world = start(3);
-    world.servers[0].faults.set_standing(Some(Fault::RefuseNotRun));
+    let testbed = start(3);
+    testbed.servers[0].faults.set_standing(Some(Fault::RefuseNotRun));
     for target in ["/idem/x", "/once/x", "/stream/x"] {
-        let responses = world.send_many(target, target, MANY);
+        let responses = testbed.send_many(target, target, MANY);
         assert!(responses.iter().all(|response| response.status == 200), "{target}");
     }
-    let (rejections, requests) = (world.arrivals(0), 3 * MANY);
+    let (rejections, requests) = (testbed.arrivals(0), 3 * MANY);
     assert!(
         (rejections as f64) < RETRY_BUDGET * requests as f64,
         "{rejections} rejections of {requests} requests"
