--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -6,6 +6,7 @@
 mod budget_drawn;
 mod budget_fleet;
 mod callers;
+mod cluster_state;
 mod cold_random;
 mod cold_servers;
 mod config;
