--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,13 +1,13 @@
 //! All integration tests, in one crate.
 
 mod answers;
-mod backoff_drawn;
+mod backoff_random;
 mod bodies;
 mod budget_fleet;
 mod budget_random;
 mod callers;
 mod cluster_state;
-mod cold_drawn;
+mod cold_random;
 mod cold_servers;
 mod config;
 mod crash_suspects;
@@ -21,7 +21,7 @@
 mod herding;
 mod home;
 mod home_drawn;
-mod homes_of_requests;
+mod home_regions;
 mod idle_callers;
 mod incarnations;
 mod intent_changes;
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -26,7 +26,7 @@
 use standins::store::{StoreMode, StoreStandIn};
 
 use crate::{
-    routing::{list, picker, server},
+    routing::{picker, server, set_servers},
     support::eventually,
     testbed::{intent, spawn},
 };
@@ -386,7 +386,7 @@
 #[test]
 fn tags_of_a_large_service_rarely_collide() {
     let mut picker = picker(&servers(SMALL));
-    list(&mut picker, Instant::now(), &servers(LARGE));
+    set_servers(&mut picker, Instant::now(), &servers(LARGE));
     let tags: std::collections::HashSet<Tag> = servers(LARGE).iter().map(|s| s.tag()).collect();
     assert!(tags.len() >= LARGE - 4, "{} of {LARGE}", tags.len());
     assert!(Arc::strong_count(&pick(&picker, None, 1).server) > 1);
