--- a/src/contract/permit.rs
+++ b/src/contract/permit.rs
@@ -17,7 +17,7 @@
 
 /// An entry's question: which engine may take this request?
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Identity.
     pub id: PermitId,
     /// The chat.
@@ -25,7 +25,7 @@
     /// The team.
     pub team: Tag,
     /// Time left for the request.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Engine that the caller's placement hint names.
     pub hint: Option<Tag>,
     /// Engines already tried for this request.
@@ -36,7 +36,7 @@
 
 /// What a home needs to know of a team; taken from the snapshot in force.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TeamTerms {
+pub struct TeamPolicy {
     /// Weight among teams that wait.
     pub weight: u32,
     /// Whether it belongs to the reserved class.
@@ -47,9 +47,9 @@
     pub rate: Option<Rate>,
 }
 
-impl Default for TeamTerms {
-    fn default() -> TeamTerms {
-        TeamTerms { weight: 1, reserved: false, max_in_flight: None, rate: None }
+impl Default for TeamPolicy {
+    fn default() -> TeamPolicy {
+        TeamPolicy { weight: 1, reserved: false, max_in_flight: None, rate: None }
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// A permit that an entry still holds, told to a new home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct AnnouncedPermit {
     /// Number of the permit.
     pub number: u64,
     /// Engine it is for.
--- a/src/contract/team_limits.rs
+++ b/src/contract/team_limits.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     contract::{
-        permit::{RefuseReason, TeamTerms},
+        permit::{RefuseReason, TeamPolicy},
         token_bucket::TokenBucket,
     },
     names::Tag,
@@ -33,7 +33,7 @@
         &mut self,
         now: Instant,
         team: Tag,
-        terms: &TeamTerms,
+        terms: &TeamPolicy,
     ) -> Result<(), (RefuseReason, Duration)> {
         let in_flight = self.in_flight.get(&team).copied().unwrap_or(0);
         if terms.max_in_flight.is_some_and(|most| in_flight >= most) {
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -8,14 +8,14 @@
 
 use crate::{
     clock::Clock,
-    contract::permit::{Held, PermitId, Reply},
+    contract::permit::{AnnouncedPermit, PermitId, Reply},
     instance::knowledge::snapshot::Snapshot,
     link::wire::{Announcement, Hello, Memory, NumberedReply, ReplyWire, ShardBatch, short},
     names::Tag,
     utils::sync::lock,
     zone::{
         hand_over::ContextMove,
-        home::{Action, Event, Home, HomeTerms, ShardLoad},
+        home::{Action, Event, Home, HomeSettings, ShardLoad},
         rendezvous::ChatKey,
         shard::{Shard, ShardId},
     },
@@ -113,8 +113,10 @@
             }
             if let Some(Announcement { held, pending }) = batch.announce {
                 let full = |number: u32| hello.permit(number).number;
-                let held =
-                    held.into_iter().map(|h| Held { number: full(short(h.number)), ..h }).collect();
+                let held = held
+                    .into_iter()
+                    .map(|h| AnnouncedPermit { number: full(short(h.number)), ..h })
+                    .collect();
                 let pending = pending.into_iter().map(full).collect();
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
             }
@@ -123,7 +125,7 @@
             }
             for ask in batch.asks {
                 let terms = snapshot.team_terms(ask.team);
-                actions.extend(home.handle(now, Event::Ask(ask.into_ask(hello), terms)));
+                actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), terms)));
             }
         }
         Some(self.carry_out(actions, Some(hello.from)))
@@ -309,9 +311,9 @@
         Some(Arc::clone(slots.entry(id).or_insert(slot)))
     }
 
-    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeTerms> {
+    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeSettings> {
         let service = &snapshot.service_by_tag(id.service)?.service;
-        Some(HomeTerms {
+        Some(HomeSettings {
             load_bound: service.load_bound,
             queue: service.queue as usize,
             remembered: self.remembered,
--- a/src/instance/knowledge/snapshot.rs
+++ b/src/instance/knowledge/snapshot.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     configs::fleet::{BackendServer, Fleet, Priority, Service, Team},
-    contract::{permit::TeamTerms, revision::Head},
+    contract::{permit::TeamPolicy, revision::Head},
     names::{ServiceId, Tag, TeamId},
     units::Revision,
     utils::secret::keyed_hash,
@@ -112,9 +112,9 @@
     }
 
     /// Returns the terms of a team; those of an unknown one are the defaults.
-    pub fn team_terms(&self, tag: Tag) -> TeamTerms {
+    pub fn team_terms(&self, tag: Tag) -> TeamPolicy {
         let team = self.teams_by_tag.get(&tag).and_then(|id| self.fleet.teams.get(id));
-        team.map_or(TeamTerms::default(), |team| TeamTerms {
+        team.map_or(TeamPolicy::default(), |team| TeamPolicy {
             weight: team.weight,
             reserved: team.priority == Priority::Reserved,
             max_in_flight: team.max_in_flight,
--- a/src/instance/requests/desk.rs
+++ b/src/instance/requests/desk.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     clock::Clock,
-    contract::permit::{Ask, Held, PermitId, Release, ReleaseKind, Reply},
+    contract::permit::{AnnouncedPermit, PermitId, PermitRequest, Release, ReleaseKind, Reply},
     link::wire::{
         Announcement, AskWire, HomeMessage, NumberedReply, ReleaseWire, ReplyWire, ShardBatch,
         millis, short,
@@ -162,7 +162,7 @@
         &self,
         home: Tag,
         shard: ShardId,
-        ask: &Ask,
+        ask: &PermitRequest,
         go_on: &mut dyn FnMut() -> bool,
     ) -> Result<Permit, AskEnd> {
         let began = self.clock.now();
@@ -187,17 +187,20 @@
                 SlotState::HomeLost => return Err(AskEnd::HomeLost),
                 SlotState::Asked | SlotState::Queued => {}
             }
-            let reply_until =
-                if state == SlotState::Asked { began + self.reply_time } else { began + ask.left };
+            let reply_until = if state == SlotState::Asked {
+                began + self.reply_time
+            } else {
+                began + ask.time_left
+            };
             if let Some(end) =
-                self.wait_a_little(&slot, state, reply_until.min(began + ask.left), go_on)
+                self.wait_a_little(&slot, state, reply_until.min(began + ask.time_left), go_on)
             {
                 break end;
             }
         };
         self.give_up(home, shard, number);
         let unanswered = *lock(&slot.state) == SlotState::Asked;
-        if end == AskEnd::Deadline && unanswered && self.clock.now() < began + ask.left {
+        if end == AskEnd::Deadline && unanswered && self.clock.now() < began + ask.time_left {
             // No first reply in time: the home is frozen or cut off.
             (self.links.cut)(home);
             self.home_lost(home);
@@ -217,12 +220,12 @@
         if *state != seen {
             return None;
         }
-        let left = until.saturating_duration_since(self.clock.now());
-        if left.is_zero() {
+        let time_left = until.saturating_duration_since(self.clock.now());
+        if time_left.is_zero() {
             return Some(AskEnd::Deadline);
         }
         // Woken or not, the state is looked at again by the caller.
-        drop(slot.changed.wait_timeout(state, left.min(LOOK_PERIOD)));
+        drop(slot.changed.wait_timeout(state, time_left.min(LOOK_PERIOD)));
         (!go_on()).then_some(AskEnd::CallerGone)
     }
 
@@ -383,8 +386,8 @@
     shards.into_iter().map(batch).collect()
 }
 
-fn held_of(number: u32, permit: &HeldPermit, now: Instant) -> Held {
-    Held {
+fn held_of(number: u32, permit: &HeldPermit, now: Instant) -> AnnouncedPermit {
+    AnnouncedPermit {
         number: u64::from(number),
         engine: permit.engine,
         chat: permit.chat,
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/place.rs
@@ -6,7 +6,7 @@
     configs::fleet::{Service, service::Placement},
     contract::{
         outcome::Refusal,
-        permit::{Ask, RefuseReason, ReleaseKind, Reply},
+        permit::{PermitRequest, RefuseReason, ReleaseKind, Reply},
     },
     instance::{
         knowledge::snapshot::ServiceView,
@@ -155,15 +155,15 @@
         let id = self.shared.desk.next_id();
         loop {
             let now = self.shared.clock.now();
-            let left = self.request.deadline.saturating_duration_since(now);
-            if left.is_zero() {
+            let time_left = self.request.deadline.saturating_duration_since(now);
+            if time_left.is_zero() {
                 return Err(AskEnd::Deadline);
             }
-            let ask = Ask {
+            let ask = PermitRequest {
                 id,
                 chat: self.chat,
                 team: self.team,
-                left,
+                time_left,
                 hint: self.hint,
                 avoid: self.avoid.to_vec(),
                 may_spill,
--- a/src/link/wire.rs
+++ b/src/link/wire.rs
@@ -9,7 +9,7 @@
 use crate::{
     configs::fleet::chunks::Digest,
     contract::{
-        permit::{Ask, Held, PermitId, RefuseReason, Release, Reply},
+        permit::{AnnouncedPermit, PermitId, PermitRequest, RefuseReason, Release, Reply},
         revision::Head,
     },
     names::Tag,
@@ -79,12 +79,12 @@
 
 impl AskWire {
     /// Returns the message form of an ask.
-    pub fn of(ask: &Ask) -> AskWire {
+    pub fn of(ask: &PermitRequest) -> AskWire {
         AskWire {
             number: short(ask.id.number),
             chat: ask.chat,
             team: ask.team,
-            left_ms: millis(ask.left),
+            left_ms: millis(ask.time_left),
             hint: ask.hint.map_or(0, |tag| tag.0),
             avoid: ask.avoid.clone(),
             may_spill: ask.may_spill,
@@ -92,12 +92,12 @@
     }
 
     /// Returns the ask that `hello`'s instance sent.
-    pub fn into_ask(self, hello: &Hello) -> Ask {
-        Ask {
+    pub fn into_ask(self, hello: &Hello) -> PermitRequest {
+        PermitRequest {
             id: hello.permit(self.number),
             chat: self.chat,
             team: self.team,
-            left: Duration::from_millis(u64::from(self.left_ms)),
+            time_left: Duration::from_millis(u64::from(self.left_ms)),
             hint: (self.hint != 0).then_some(Tag(self.hint)),
             avoid: self.avoid,
             may_spill: self.may_spill,
@@ -152,7 +152,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Permits held.
-    pub held: Vec<Held>,
+    pub held: Vec<AnnouncedPermit>,
     /// Asks under way, whose grants the entry may not know yet.
     pub pending: Vec<u32>,
 }
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -14,7 +14,10 @@
 
 use crate::{
     contract::{
-        permit::{Ask, Held, PermitId, RefuseReason, Release, ReleaseKind, Reply, TeamTerms},
+        permit::{
+            AnnouncedPermit, PermitId, PermitRequest, RefuseReason, Release, ReleaseKind, Reply,
+            TeamPolicy,
+        },
         team_limits::TeamLimits,
     },
     names::Tag,
@@ -30,7 +33,7 @@
 };
 
 pub use crate::zone::{
-    home_event::{Action, Event, HomeTerms, ShardLoad},
+    home_event::{Action, Event, HomeSettings, ShardLoad},
     ledger::{ENTRY_CUT_SILENCE, ENTRY_SILENCE},
 };
 
@@ -49,7 +52,7 @@
 /// The home of one shard.
 #[derive(Debug)]
 pub struct Home {
-    terms: HomeTerms,
+    terms: HomeSettings,
     engines: IndexMap<Tag, EngineSlot>,
     permits: PermitLedger,
     waiting: WaitingLine,
@@ -63,7 +66,7 @@
 
 impl Home {
     /// Returns a home that has just taken over its shard.
-    pub fn new(terms: HomeTerms, engines: Vec<EngineSpec>, now: Instant) -> Home {
+    pub fn new(terms: HomeSettings, engines: Vec<EngineSpec>, now: Instant) -> Home {
         Home {
             terms,
             engines: engines.into_iter().map(|spec| (spec.tag, EngineSlot::new(spec))).collect(),
@@ -82,7 +85,7 @@
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Ask(ask, terms) => self.ask(now, ask, terms, &mut actions),
+            Event::PermitRequest(ask, terms) => self.ask(now, ask, terms, &mut actions),
             Event::Release(entry, release) => self.release(now, entry, release, &mut actions),
             Event::EntryCut(entry) => self.permits.entry_cut(now, entry),
             Event::Count(entry, held) => self.count(now, entry, held, &mut actions),
@@ -170,7 +173,13 @@
         !self.is_home || self.guarded_until.is_some_and(|until| now < until)
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask, terms: TeamTerms, actions: &mut Vec<Action>) {
+    fn ask(
+        &mut self,
+        now: Instant,
+        ask: PermitRequest,
+        terms: TeamPolicy,
+        actions: &mut Vec<Action>,
+    ) {
         self.permits.heard(now, ask.id.entry);
         if let Some(permit) = self.permits.get(&ask.id) {
             // The answer to the same ask was lost on its way.
@@ -183,7 +192,8 @@
         }
         if let Some(engine) = self.worth_waiting_for(now, &ask, &terms) {
             actions.push(Action::Reply(ask.id, Reply::Queued));
-            let (until, leaves) = (now + ask.left, now + self.terms.patience.min(ask.left / 4));
+            let (until, leaves) =
+                (now + ask.time_left, now + self.terms.patience.min(ask.time_left / 4));
             let waiting = Waiting { ask, terms, until };
             self.waiting.push_patient(Patient { waiting, engine, leaves });
             return;
@@ -202,7 +212,12 @@
 
     /// Returns the engine with the chat's context when it is full just now and a place on it is
     /// likely within the service's patience.
-    fn worth_waiting_for(&self, now: Instant, ask: &Ask, terms: &TeamTerms) -> Option<Tag> {
+    fn worth_waiting_for(
+        &self,
+        now: Instant,
+        ask: &PermitRequest,
+        terms: &TeamPolicy,
+    ) -> Option<Tag> {
         if self.terms.patience.is_zero() || terms.reserved || !self.waiting.queue().is_empty() {
             return None;
         }
@@ -230,7 +245,7 @@
                 continue;
             }
             let Waiting { ask, terms, until } = self.waiting.take_patient(at);
-            let ask = Ask { left: until.saturating_duration_since(now), ..ask };
+            let ask = PermitRequest { time_left: until.saturating_duration_since(now), ..ask };
             let elsewhere = || self.choose(now, ask.chat, ask.hint, &ask.avoid);
             match granted.or_else(elsewhere) {
                 Some(engine) => self.grant(now, &ask, engine, actions),
@@ -261,8 +276,8 @@
         free.min_by(order).map(|e| e.spec.tag)
     }
 
-    fn grant(&mut self, now: Instant, ask: &Ask, engine: Tag, actions: &mut Vec<Action>) {
-        let expires = now + ask.left + PERMIT_MARGIN;
+    fn grant(&mut self, now: Instant, ask: &PermitRequest, engine: Tag, actions: &mut Vec<Action>) {
+        let expires = now + ask.time_left + PERMIT_MARGIN;
         let permit = Permit { engine, team: ask.team, granted: now, expires };
         self.add_permit(ask.id, permit);
         self.memory.put(ask.chat, engine);
@@ -295,8 +310,8 @@
     fn enqueue(
         &mut self,
         now: Instant,
-        ask: Ask,
-        terms: TeamTerms,
+        ask: PermitRequest,
+        terms: TeamPolicy,
         told: bool,
         actions: &mut Vec<Action>,
     ) {
@@ -313,7 +328,7 @@
             ));
             return;
         }
-        if wait >= ask.left {
+        if wait >= ask.time_left {
             actions.push(Action::Reply(
                 ask.id,
                 refused(RefuseReason::Deadline, wait.max(RETRY_AFTER)),
@@ -323,7 +338,7 @@
         if !told {
             actions.push(Action::Reply(ask.id, Reply::Queued));
         }
-        let until = now + ask.left;
+        let until = now + ask.time_left;
         self.waiting.push(Waiting { ask, terms, until });
     }
 
@@ -375,7 +390,7 @@
                 self.waiting.push_front(waiting);
                 return;
             };
-            let ask = Ask { left: until.duration_since(now), ..ask.clone() };
+            let ask = PermitRequest { time_left: until.duration_since(now), ..ask.clone() };
             self.grant(now, &ask, engine, actions);
         }
     }
@@ -391,7 +406,7 @@
         &mut self,
         now: Instant,
         entry: Tag,
-        held: Vec<Held>,
+        held: Vec<AnnouncedPermit>,
         pending: &[u64],
         actions: &mut Vec<Action>,
     ) {
@@ -403,7 +418,7 @@
         for id in gone {
             self.remove_permit(id);
         }
-        for Held { number, engine, chat, team, left_ms } in held {
+        for AnnouncedPermit { number, engine, chat, team, left_ms } in held {
             let id = PermitId { entry, number };
             if self.permits.get(&id).is_some() {
                 continue;
--- a/src/zone/home_event.rs
+++ b/src/zone/home_event.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use crate::{
-    contract::permit::{Ask, Held, PermitId, Release, Reply, TeamTerms},
+    contract::permit::{AnnouncedPermit, PermitId, PermitRequest, Release, Reply, TeamPolicy},
     names::Tag,
     zone::{engine::EngineSpec, rendezvous::ChatKey},
 };
 
 /// What the operators state for the service of the shard.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HomeTerms {
+pub struct HomeSettings {
     /// Most load of one engine, as a multiple of the mean.
     pub load_bound: f64,
     /// Most requests waiting.
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// An entry asks for a permit.
-    Ask(Ask, TeamTerms),
+    PermitRequest(PermitRequest, TeamPolicy),
     /// An entry gives a permit back, or no longer waits for one.
     Release(Tag, Release),
     /// The stream of an entry has ended.
@@ -34,11 +34,11 @@
     Count(Tag, usize),
     /// An entry tells every permit it holds here and the numbers of its asks under way; what it
     /// does not name, it no longer holds.
-    Announce(Tag, Vec<Held>, Vec<u64>),
+    Announce(Tag, Vec<AnnouncedPermit>, Vec<u64>),
     /// The engines of the shard changed.
     Engines(Vec<EngineSpec>),
     /// The terms changed.
-    Terms(HomeTerms),
+    Terms(HomeSettings),
     /// An engine answered a probe with its load.
     Probed(Tag, u32),
     /// An engine did not answer a probe.
--- a/src/zone/waiting.rs
+++ b/src/zone/waiting.rs
@@ -5,7 +5,7 @@
 use crate::{
     contract::{
         fair_queue::FairQueue,
-        permit::{Ask, PermitId, TeamTerms},
+        permit::{PermitId, PermitRequest, TeamPolicy},
     },
     names::Tag,
 };
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone)]
 pub struct Waiting {
     /// What it asked for.
-    pub ask: Ask,
+    pub ask: PermitRequest,
     /// Terms of its team.
-    pub terms: TeamTerms,
+    pub terms: TeamPolicy,
     /// When its time is over.
     pub until: Instant,
 }
--- a/standins/src/measure/decisions.rs
+++ b/standins/src/measure/decisions.rs
@@ -3,11 +3,11 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    contract::permit::{Ask, PermitId, Release, ReleaseKind, TeamTerms},
+    contract::permit::{PermitId, PermitRequest, Release, ReleaseKind, TeamPolicy},
     names::Tag,
     zone::{
         engine::EngineSpec,
-        home::{Event, Home, HomeTerms, WARM_UP},
+        home::{Event, Home, HomeSettings, WARM_UP},
         rendezvous::ChatKey,
     },
 };
@@ -38,7 +38,7 @@
         let specs = (1..=engines)
             .map(|n| EngineSpec { tag: Tag(n), weight: 1.0, capacity: 16, leaving: false })
             .collect();
-        let terms = HomeTerms {
+        let terms = HomeSettings {
             load_bound: 1.25,
             queue: 1000,
             remembered: 4 * chats as usize,
@@ -74,16 +74,16 @@
     fn ask(&mut self, chat: u64) {
         self.number += 1;
         let number = self.number;
-        let ask = Ask {
+        let ask = PermitRequest {
             id: PermitId { entry: self.entry_of(number), number },
             chat: ChatKey(chat.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             team: Tag((number % u64::from(self.teams)) as u32),
-            left: Duration::from_secs(30),
+            time_left: Duration::from_secs(30),
             hint: None,
             avoid: Vec::new(),
             may_spill: false,
         };
-        self.home.handle(self.now, Event::Ask(ask, TeamTerms::default()));
+        self.home.handle(self.now, Event::PermitRequest(ask, TeamPolicy::default()));
         self.held.push(number);
     }
 
--- a/tests/suite/home.rs
+++ b/tests/suite/home.rs
@@ -3,13 +3,16 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    contract::permit::{Ask, Held, PermitId, RefuseReason, Release, ReleaseKind, Reply, TeamTerms},
+    contract::permit::{
+        AnnouncedPermit, PermitId, PermitRequest, RefuseReason, Release, ReleaseKind, Reply,
+        TeamPolicy,
+    },
     names::Tag,
     units::Rate,
     zone::{
         engine::EngineSpec,
         home::{
-            Action, ENTRY_CUT_SILENCE, ENTRY_SILENCE, Event, Home, HomeTerms, ShardLoad, WARM_UP,
+            Action, ENTRY_CUT_SILENCE, ENTRY_SILENCE, Event, Home, HomeSettings, ShardLoad, WARM_UP,
         },
         load_view::bound_of,
         rendezvous::ChatKey,
@@ -22,16 +25,16 @@
     (1..=count).map(|n| EngineSpec { tag: Tag(n), weight: 1.0, capacity, leaving: false }).collect()
 }
 
-pub(crate) fn terms() -> HomeTerms {
-    HomeTerms { load_bound: 1.25, queue: 100, remembered: 1000, patience: Duration::ZERO }
+pub(crate) fn terms() -> HomeSettings {
+    HomeSettings { load_bound: 1.25, queue: 100, remembered: 1000, patience: Duration::ZERO }
 }
 
-pub(crate) fn ask(number: u64, chat: u64) -> Ask {
-    Ask {
+pub(crate) fn ask(number: u64, chat: u64) -> PermitRequest {
+    PermitRequest {
         id: PermitId { entry: ENTRY, number },
         chat: ChatKey(chat),
         team: TEAM,
-        left: Duration::from_secs(10),
+        time_left: Duration::from_secs(10),
         hint: None,
         avoid: Vec::new(),
         may_spill: false,
@@ -43,7 +46,7 @@
 }
 
 /// A home past its warm-up, and the time.
-pub(crate) fn home(count: u32, capacity: u32, terms: HomeTerms) -> (Home, Instant) {
+pub(crate) fn home(count: u32, capacity: u32, terms: HomeSettings) -> (Home, Instant) {
     let start = Instant::now();
     (Home::new(terms, engines(count, capacity), start), start + WARM_UP)
 }
@@ -55,9 +58,9 @@
     })
 }
 
-fn ask_now(home: &mut Home, now: Instant, ask: Ask) -> Option<Reply> {
+fn ask_now(home: &mut Home, now: Instant, ask: PermitRequest) -> Option<Reply> {
     let number = ask.id.number;
-    reply_to(&home.handle(now, Event::Ask(ask, TeamTerms::default())), number)
+    reply_to(&home.handle(now, Event::PermitRequest(ask, TeamPolicy::default())), number)
 }
 
 #[test]
@@ -74,9 +77,9 @@
 #[test]
 fn a_hint_stands_in_for_lost_memory() {
     let (mut home, now) = home(5, 8, terms());
-    let hinted = Ask { hint: Some(Tag(4)), ..ask(1, 77) };
+    let hinted = PermitRequest { hint: Some(Tag(4)), ..ask(1, 77) };
     assert_eq!(ask_now(&mut home, now, hinted), Some(Reply::Granted(Tag(4))));
-    let strange = Ask { hint: Some(Tag(4444)), ..ask(2, 78) };
+    let strange = PermitRequest { hint: Some(Tag(4444)), ..ask(2, 78) };
     assert!(matches!(ask_now(&mut home, now, strange), Some(Reply::Granted(_))));
 }
 
@@ -90,10 +93,11 @@
 
 #[test]
 fn a_returning_chat_waits_for_its_engine_and_not_longer_than_its_patience() {
-    let (mut home, now) = home(2, 8, HomeTerms { patience: Duration::from_millis(300), ..terms() });
+    let (mut home, now) =
+        home(2, 8, HomeSettings { patience: Duration::from_millis(300), ..terms() });
     let engine = ask_now(&mut home, now, ask(1, 7)).expect("granted");
     // The chat's engine is at the bound: ceil(1.25 x 2 / 2) = 2, and it holds two of two.
-    let other = ask_now(&mut home, now, Ask { hint: granted_tag(engine), ..ask(2, 8) });
+    let other = ask_now(&mut home, now, PermitRequest { hint: granted_tag(engine), ..ask(2, 8) });
     assert_eq!(other, Some(engine));
     assert_eq!(ask_now(&mut home, now, ask(3, 7)), Some(Reply::Queued));
     let actions = home.handle(now + Duration::from_millis(100), release(1));
@@ -127,13 +131,13 @@
     let (mut home, mut now) = home(2, 8, terms());
     let mut pauses = Vec::new();
     for number in 0..3 {
-        let hinted = Ask { hint: Some(Tag(1)), ..ask(number * 100, 10_000 + number) };
+        let hinted = PermitRequest { hint: Some(Tag(1)), ..ask(number * 100, 10_000 + number) };
         assert_eq!(ask_now(&mut home, now, hinted), Some(Reply::Granted(Tag(1))));
         let failed = Release { number: number * 100, kind: ReleaseKind::Failed, load: None };
         home.handle(now, Event::Release(ENTRY, failed));
         let began = now;
         let mut probe = number * 100 + 1;
-        while ask_now(&mut home, now, Ask { hint: Some(Tag(1)), ..ask(probe, probe) })
+        while ask_now(&mut home, now, PermitRequest { hint: Some(Tag(1)), ..ask(probe, probe) })
             != Some(Reply::Granted(Tag(1)))
         {
             home.handle(now, release(probe));
@@ -153,7 +157,7 @@
 fn an_engine_that_answers_a_probe_is_used_again_at_once() {
     let (mut home, now) = home(2, 8, terms());
     home.handle(now, Event::ProbeFailed(Tag(1)));
-    let hinted = |number| Ask { hint: Some(Tag(1)), ..ask(number, number) };
+    let hinted = |number| PermitRequest { hint: Some(Tag(1)), ..ask(number, number) };
     assert_eq!(ask_now(&mut home, now, hinted(1)), Some(Reply::Granted(Tag(2))));
     home.handle(now, Event::Probed(Tag(1), 0));
     assert_eq!(ask_now(&mut home, now, hinted(2)), Some(Reply::Granted(Tag(1))));
@@ -162,7 +166,7 @@
 #[test]
 fn a_surging_team_waits_behind_its_own_requests() {
     let (mut home, now) = home(1, 2, terms());
-    let of = |team: u32, number: u64| Ask { team: Tag(team), ..ask(number, number) };
+    let of = |team: u32, number: u64| PermitRequest { team: Tag(team), ..ask(number, number) };
     for number in 1..=12 {
         ask_now(&mut home, now, of(1, number));
     }
@@ -186,8 +190,9 @@
     for number in 1..=5 {
         ask_now(&mut home, now, ask(number, number));
     }
-    let reserved = TeamTerms { reserved: true, ..TeamTerms::default() };
-    let actions = home.handle(now, Event::Ask(Ask { team: Tag(9), ..ask(70, 70) }, reserved));
+    let reserved = TeamPolicy { reserved: true, ..TeamPolicy::default() };
+    let actions = home
+        .handle(now, Event::PermitRequest(PermitRequest { team: Tag(9), ..ask(70, 70) }, reserved));
     assert_eq!(reply_to(&actions, 70), Some(Reply::Queued));
     let actions = home.handle(now, release(1));
     assert!(matches!(reply_to(&actions, 70), Some(Reply::Granted(_))));
@@ -201,7 +206,7 @@
     let now = now + Duration::from_secs(2);
     ask_now(&mut home, now, ask(2, 2));
     assert_eq!(ask_now(&mut home, now, ask(3, 3)), Some(Reply::Queued));
-    let hurried = Ask { left: Duration::from_secs(3), ..ask(4, 4) };
+    let hurried = PermitRequest { time_left: Duration::from_secs(3), ..ask(4, 4) };
     let reply = ask_now(&mut home, now, hurried);
     assert!(
         matches!(reply, Some(Reply::Refused { reason: RefuseReason::Deadline, .. })),
@@ -213,7 +218,7 @@
 fn a_queued_request_is_refused_when_its_deadline_passes() {
     let (mut home, now) = home(1, 1, terms());
     ask_now(&mut home, now, ask(1, 1));
-    let hurried = Ask { left: Duration::from_secs(1), ..ask(2, 2) };
+    let hurried = PermitRequest { time_left: Duration::from_secs(1), ..ask(2, 2) };
     assert_eq!(ask_now(&mut home, now, hurried), Some(Reply::Queued));
     let actions = home.handle(now + Duration::from_secs(1), Event::Tick);
     let reply = reply_to(&actions, 2);
@@ -226,18 +231,18 @@
 
 #[test]
 fn a_full_queue_and_team_limits_refuse() {
-    let (mut home, now) = home(1, 1, HomeTerms { queue: 1, ..terms() });
+    let (mut home, now) = home(1, 1, HomeSettings { queue: 1, ..terms() });
     ask_now(&mut home, now, ask(1, 1));
     assert_eq!(ask_now(&mut home, now, ask(2, 2)), Some(Reply::Queued));
     let reply = ask_now(&mut home, now, ask(3, 3));
     assert!(matches!(reply, Some(Reply::Refused { reason: RefuseReason::QueueFull, .. })));
-    let limited = TeamTerms { max_in_flight: Some(1), ..TeamTerms::default() };
-    let reply = reply_to(&home.handle(now, Event::Ask(ask(4, 4), limited)), 4);
+    let limited = TeamPolicy { max_in_flight: Some(1), ..TeamPolicy::default() };
+    let reply = reply_to(&home.handle(now, Event::PermitRequest(ask(4, 4), limited)), 4);
     assert!(matches!(reply, Some(Reply::Refused { reason: RefuseReason::TeamInFlight, .. })));
-    let slow = TeamTerms { rate: Some(Rate(1.0)), ..TeamTerms::default() };
-    let other = |number| Ask { team: Tag(5), ..ask(number, number) };
-    home.handle(now, Event::Ask(other(5), slow));
-    let reply = reply_to(&home.handle(now, Event::Ask(other(6), slow)), 6);
+    let slow = TeamPolicy { rate: Some(Rate(1.0)), ..TeamPolicy::default() };
+    let other = |number| PermitRequest { team: Tag(5), ..ask(number, number) };
+    home.handle(now, Event::PermitRequest(other(5), slow));
+    let reply = reply_to(&home.handle(now, Event::PermitRequest(other(6), slow)), 6);
     assert!(matches!(reply, Some(Reply::Refused { reason: RefuseReason::TeamRate, .. })));
 }
 
@@ -249,8 +254,13 @@
     for number in 0..4 {
         assert_eq!(ask_now(&mut home, start, ask(number, number)), Some(Reply::Granted(Tag(2))));
     }
-    let held =
-        |number, engine| Held { number, engine, chat: ChatKey(number), team: TEAM, left_ms: 5000 };
+    let held = |number, engine| AnnouncedPermit {
+        number,
+        engine,
+        chat: ChatKey(number),
+        team: TEAM,
+        left_ms: 5000,
+    };
     let other = Tag(901);
     home.handle(start, Event::Announce(other, vec![held(1, Tag(1)), held(2, Tag(1))], Vec::new()));
     assert_eq!(home.permits(), 6);
@@ -322,14 +332,17 @@
 fn a_full_shard_sends_on_what_may_go_on() {
     let (mut home, now) = home(1, 1, terms());
     ask_now(&mut home, now, ask(1, 1));
-    assert_eq!(ask_now(&mut home, now, Ask { may_spill: true, ..ask(2, 2) }), Some(Reply::Spill));
+    assert_eq!(
+        ask_now(&mut home, now, PermitRequest { may_spill: true, ..ask(2, 2) }),
+        Some(Reply::Spill)
+    );
 }
 
 #[test]
 fn the_contexts_of_a_leaving_engine_move_to_where_its_chats_will_go() {
     let (mut home, now) = home(4, 8, terms());
     for number in 0..40 {
-        let hinted = Ask { hint: Some(Tag(1)), ..ask(number, number) };
+        let hinted = PermitRequest { hint: Some(Tag(1)), ..ask(number, number) };
         assert_eq!(ask_now(&mut home, now, hinted), Some(Reply::Granted(Tag(1))));
         home.handle(now, release(number));
     }
@@ -346,7 +359,7 @@
     let first = moves[0][0];
     assert!(moves.iter().flatten().all(|m| m.from == Tag(1) && m.to != Tag(1)));
     home.handle(now, Event::Moved(vec![(first.chat, first.from, first.to)]));
-    let returning = Ask { chat: first.chat, ..ask(100, 0) };
+    let returning = PermitRequest { chat: first.chat, ..ask(100, 0) };
     assert_eq!(ask_now(&mut home, now, returning), Some(Reply::Granted(first.to)));
     // A chat that has gone elsewhere meanwhile is left where it is.
     home.handle(
@@ -360,7 +373,7 @@
 fn an_engine_that_does_not_hand_over_is_given_up() {
     let (mut home, now) = home(3, 8, terms());
     for number in 0..20 {
-        ask_now(&mut home, now, Ask { hint: Some(Tag(1)), ..ask(number, number) });
+        ask_now(&mut home, now, PermitRequest { hint: Some(Tag(1)), ..ask(number, number) });
         home.handle(now, release(number));
     }
     home.handle(now, Event::Leaving(Tag(1), true));
--- a/tests/suite/home_drawn.rs
+++ b/tests/suite/home_drawn.rs
@@ -6,9 +6,9 @@
 };
 
 use cartvane::{
-    contract::permit::{Ask, Release, ReleaseKind, Reply, TeamTerms},
+    contract::permit::{PermitRequest, Release, ReleaseKind, Reply, TeamPolicy},
     names::Tag,
-    zone::home::{Action, Event, Home, HomeTerms},
+    zone::home::{Action, Event, Home, HomeSettings},
 };
 use proptest::{
     prelude::*,
@@ -20,7 +20,7 @@
 /// One drawn event.
 #[derive(Debug, Clone)]
 enum Draw {
-    Ask { chat: u64, team: u32, hint: u32 },
+    Request { chat: u64, team: u32, hint: u32 },
     Release(usize),
     Fail(usize),
     Leave(u32, bool),
@@ -30,7 +30,7 @@
 
 fn draws() -> impl Strategy<Value = Vec<Draw>> {
     let draw = prop_oneof![
-        6 => (0..40_u64, 1..4_u32, 0..9_u32).prop_map(|(chat, team, hint)| Draw::Ask { chat, team, hint }),
+        6 => (0..40_u64, 1..4_u32, 0..9_u32).prop_map(|(chat, team, hint)| Draw::Request { chat, team, hint }),
         4 => any::<prop::sample::Index>().prop_map(|i| Draw::Release(i.index(1000))),
         1 => any::<prop::sample::Index>().prop_map(|i| Draw::Fail(i.index(1000))),
         1 => (1..7_u32, any::<bool>()).prop_map(|(engine, leaving)| Draw::Leave(engine, leaving)),
@@ -88,7 +88,7 @@
     };
     let done = TestRunner::new(config).run(&draws(), |draws| {
         let (mut home, mut now) =
-            home(6, 6, HomeTerms { patience: Duration::from_millis(250), ..terms() });
+            home(6, 6, HomeSettings { patience: Duration::from_millis(250), ..terms() });
         let mut account =
             Account { held: HashMap::new(), waiting: HashSet::new(), leaving: HashSet::new() };
         let mut number = 0;
@@ -101,12 +101,12 @@
             let mut waiting: Vec<u64> = account.waiting.iter().copied().collect();
             waiting.sort_unstable();
             let event = match draw {
-                Draw::Ask { chat, team, hint } => {
+                Draw::Request { chat, team, hint } => {
                     number += 1;
                     let hint = (hint > 0).then_some(Tag(hint));
-                    Event::Ask(
-                        Ask { team: Tag(team), hint, ..ask(number, chat) },
-                        TeamTerms::default(),
+                    Event::PermitRequest(
+                        PermitRequest { team: Tag(team), hint, ..ask(number, chat) },
+                        TeamPolicy::default(),
                     )
                 }
                 Draw::Release(at) | Draw::Fail(at) => {
