--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -33,8 +33,10 @@
             scope.spawn(move || {
                 let taken = engines::take_over(shared, target, source, chats);
                 let event = match taken {
-                    true => Event::Moved(chats.iter().map(|chat| (*chat, *from, *to)).collect()),
-                    false => Event::KeepsContexts(*from),
+                    true => {
+                        Event::ContextsMoved(chats.iter().map(|chat| (*chat, *from, *to)).collect())
+                    }
+                    false => Event::ContextsNotMoved(*from),
                 };
                 shared.homes.tell(shard, vec![event]);
             });
--- a/src/instance/homes/probes.rs
+++ b/src/instance/homes/probes.rs
@@ -29,7 +29,7 @@
                         Some(status) => vec![
                             Event::Probed(*engine, status.load),
                             // One that loads takes nothing either.
-                            Event::Leaving(*engine, !status.is_ready()),
+                            Event::AnnouncedLeaving(*engine, !status.is_ready()),
                         ],
                         None => vec![Event::ProbeFailed(*engine)],
                     };
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -121,7 +121,7 @@
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
             }
             if let Some(held) = batch.held {
-                actions.extend(home.handle(now, Event::Count(hello.from, held as usize)));
+                actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
             for ask in batch.asks {
                 let terms = snapshot.team_terms(ask.team);
@@ -172,7 +172,7 @@
             };
             let Some(terms) = self.terms(id, snapshot) else { continue };
             let mut home = lock(&slot.home);
-            let mut actions = home.handle(now, Event::Terms(terms));
+            let mut actions = home.handle(now, Event::Settings(terms));
             actions.extend(home.handle(now, Event::Engines(shard.engines.clone())));
             drop(home);
             self.carry_out(actions, None);
@@ -249,7 +249,7 @@
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
-        lock(&slot.home).handle(now, Event::Remember(memory.places));
+        lock(&slot.home).handle(now, Event::ReplicatedChats(memory.places));
     }
 
     fn all_slots(&self) -> Vec<(ShardId, Arc<Slot>)> {
@@ -315,9 +315,9 @@
         let service = &snapshot.service_by_tag(id.service)?.service;
         Some(HomeSettings {
             load_bound: service.load_bound,
-            queue: service.queue as usize,
-            remembered: self.remembered,
-            patience: service.patience.0,
+            queue_max: service.queue as usize,
+            chats_max: self.remembered,
+            affinity_wait: service.patience.0,
         })
     }
 
@@ -326,7 +326,7 @@
         let mut answer = BatchAnswer::default();
         for action in actions {
             match action {
-                Action::WantAnnouncement(_) => answer.want_announcement = true,
+                Action::RequestAnnouncement(_) => answer.want_announcement = true,
                 Action::Reply(id, reply) if Some(id.entry) == at_hand => {
                     let reply = ReplyWire::of(reply);
                     answer.replies.push(NumberedReply { number: short(id.number), reply });
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -83,7 +83,7 @@
     end.sender.cut();
     let Some(hello) = entry else { return };
     if shared.home_links.remove_entry(hello.from, &end) {
-        shared.homes.each(|_| vec![Event::EntryCut(hello.from)]);
+        shared.homes.each(|_| vec![Event::EntryDisconnected(hello.from)]);
     }
 }
 
--- a/src/instance/knowledge/gossip.rs
+++ b/src/instance/knowledge/gossip.rs
@@ -87,7 +87,7 @@
         let leaves = |tag: Tag| {
             snapshot.server(tag).is_some_and(|b| membership.server_leaves(b.id.as_str()))
         };
-        shard.engines.iter().map(|e| Event::Listed(e.tag, leaves(e.tag))).collect()
+        shard.engines.iter().map(|e| Event::ListedLeaving(e.tag, leaves(e.tag))).collect()
     });
 }
 
@@ -194,7 +194,9 @@
 pub fn take_loads(shared: &Shared, loads: &[(ShardId, crate::zone::home::ShardLoad)]) {
     shared.homes.each(|id| {
         let others = loads.iter().filter(|(other, _)| other.service == id.service && *other != id);
-        others.map(|(other, load)| Event::Elsewhere(Tag(u32::from(other.number)), *load)).collect()
+        others
+            .map(|(other, load)| Event::OtherShardLoad(Tag(u32::from(other.number)), *load))
+            .collect()
     });
 }
 
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -34,7 +34,7 @@
 
 pub use crate::zone::{
     home_event::{Action, Event, HomeSettings, ShardLoad},
-    ledger::{ENTRY_CUT_SILENCE, ENTRY_SILENCE},
+    ledger::{DISCONNECTED_ENTRY_TIMEOUT, ENTRY_TIMEOUT},
 };
 
 /// Time in which a new home also counts what engines report, until entries have announced theirs.
@@ -72,7 +72,7 @@
             engines: engines.into_iter().map(|spec| (spec.tag, EngineSlot::new(spec))).collect(),
             permits: PermitLedger::default(),
             waiting: WaitingLine::default(),
-            memory: ChatMemory::new(terms.remembered),
+            memory: ChatMemory::new(terms.chats_max),
             hand_over: HandOver::default(),
             teams: TeamLimits::default(),
             elsewhere: HashMap::new(),
@@ -87,27 +87,27 @@
         match event {
             Event::PermitRequest(ask, terms) => self.ask(now, ask, terms, &mut actions),
             Event::Release(entry, release) => self.release(now, entry, release, &mut actions),
-            Event::EntryCut(entry) => self.permits.entry_cut(now, entry),
-            Event::Count(entry, held) => self.count(now, entry, held, &mut actions),
+            Event::EntryDisconnected(entry) => self.permits.note_disconnect(now, entry),
+            Event::HeldCount(entry, held) => self.count(now, entry, held, &mut actions),
             Event::Announce(entry, held, pending) => {
                 self.announce(now, entry, held, &pending, &mut actions)
             }
             Event::Engines(specs) => self.set_engines(now, specs, &mut actions),
-            Event::Terms(terms) => self.terms = terms,
+            Event::Settings(terms) => self.terms = terms,
             Event::Probed(engine, load) => self.with_engine(engine, |e| e.probed(now, load)),
             Event::ProbeFailed(engine) => self.with_engine(engine, |e| e.failed(now)),
-            Event::Listed(engine, leaving) => {
+            Event::ListedLeaving(engine, leaving) => {
                 self.with_engine(engine, |e| e.listed_leaving = leaving)
             }
-            Event::Leaving(engine, leaving) => {
+            Event::AnnouncedLeaving(engine, leaving) => {
                 self.with_engine(engine, |e| e.says_leaving = leaving)
             }
-            Event::Elsewhere(home, load) => {
+            Event::OtherShardLoad(home, load) => {
                 self.elsewhere.insert(home, (load, now));
             }
-            Event::Moved(moves) => self.contexts_moved(moves),
-            Event::KeepsContexts(engine) => self.hand_over.give_up(engine),
-            Event::Remember(chats) => self.memory.learn(chats, self.is_home),
+            Event::ContextsMoved(moves) => self.contexts_moved(moves),
+            Event::ContextsNotMoved(engine) => self.hand_over.give_up(engine),
+            Event::ReplicatedChats(chats) => self.memory.learn(chats, self.is_home),
             Event::Role(is_home) => self.set_role(now, is_home),
             Event::Tick => self.tick(now, &mut actions),
         }
@@ -193,7 +193,7 @@
         if let Some(engine) = self.worth_waiting_for(now, &ask, &terms) {
             actions.push(Action::Reply(ask.id, Reply::Queued));
             let (until, leaves) =
-                (now + ask.time_left, now + self.terms.patience.min(ask.time_left / 4));
+                (now + ask.time_left, now + self.terms.affinity_wait.min(ask.time_left / 4));
             let waiting = Waiting { ask, terms, until };
             self.waiting.push_patient(Patient { waiting, engine, leaves });
             return;
@@ -218,7 +218,8 @@
         ask: &PermitRequest,
         terms: &TeamPolicy,
     ) -> Option<Tag> {
-        if self.terms.patience.is_zero() || terms.reserved || !self.waiting.queue().is_empty() {
+        if self.terms.affinity_wait.is_zero() || terms.reserved || !self.waiting.queue().is_empty()
+        {
             return None;
         }
         let known = [self.memory.get(ask.chat), ask.hint].into_iter().flatten();
@@ -229,7 +230,7 @@
         }
         let ahead = self.waiting.patients_of(tag);
         let wait = self.waiting.expected_wait(ahead + 1, view.load(engine));
-        (wait < self.terms.patience.as_secs_f64()).then_some(tag)
+        (wait < self.terms.affinity_wait.as_secs_f64()).then_some(tag)
     }
 
     /// Grants to patients whose engine has room; those whose patience is over go elsewhere.
@@ -321,7 +322,7 @@
         }
         let ahead = self.waiting.queue().ahead_of(ask.team, terms.weight, terms.reserved);
         let wait = self.expected_wait(ahead + 1);
-        if !terms.reserved && self.waiting.queue().len() >= self.terms.queue {
+        if !terms.reserved && self.waiting.queue().len() >= self.terms.queue_max {
             actions.push(Action::Reply(
                 ask.id,
                 refused(RefuseReason::QueueFull, wait.max(RETRY_AFTER)),
@@ -398,7 +399,7 @@
     fn count(&mut self, now: Instant, entry: Tag, held: usize, actions: &mut Vec<Action>) {
         self.permits.heard(now, entry);
         if self.permits.held_by(entry) != held {
-            actions.push(Action::WantAnnouncement(entry));
+            actions.push(Action::RequestAnnouncement(entry));
         }
     }
 
--- a/src/zone/home_event.rs
+++ b/src/zone/home_event.rs
@@ -14,11 +14,11 @@
     /// Most load of one engine, as a multiple of the mean.
     pub load_bound: f64,
     /// Most requests waiting.
-    pub queue: usize,
+    pub queue_max: usize,
     /// Most chats remembered.
-    pub remembered: usize,
+    pub chats_max: usize,
     /// Longest wait of a returning chat for the engine that holds its context.
-    pub patience: Duration,
+    pub affinity_wait: Duration,
 }
 
 /// What happens to a home.
@@ -29,32 +29,32 @@
     /// An entry gives a permit back, or no longer waits for one.
     Release(Tag, Release),
     /// The stream of an entry has ended.
-    EntryCut(Tag),
+    EntryDisconnected(Tag),
     /// An entry tells the number of permits it holds here.
-    Count(Tag, usize),
+    HeldCount(Tag, usize),
     /// An entry tells every permit it holds here and the numbers of its asks under way; what it
     /// does not name, it no longer holds.
     Announce(Tag, Vec<AnnouncedPermit>, Vec<u64>),
     /// The engines of the shard changed.
     Engines(Vec<EngineSpec>),
     /// The terms changed.
-    Terms(HomeSettings),
+    Settings(HomeSettings),
     /// An engine answered a probe with its load.
     Probed(Tag, u32),
     /// An engine did not answer a probe.
     ProbeFailed(Tag),
     /// The membership list says that an engine is leaving, or no longer.
-    Listed(Tag, bool),
+    ListedLeaving(Tag, bool),
     /// An engine says itself that it is leaving, or no longer.
-    Leaving(Tag, bool),
+    AnnouncedLeaving(Tag, bool),
     /// The home of another shard of the service tells its load and number of usable engines.
-    Elsewhere(Tag, ShardLoad),
+    OtherShardLoad(Tag, ShardLoad),
     /// Contexts of chats were moved from one engine to another.
-    Moved(Vec<(ChatKey, Tag, Tag)>),
+    ContextsMoved(Vec<(ChatKey, Tag, Tag)>),
     /// An engine that leaves does not hand its contexts over.
-    KeepsContexts(Tag),
+    ContextsNotMoved(Tag),
     /// Another instance tells where chats were last.
-    Remember(Vec<(ChatKey, Tag)>),
+    ReplicatedChats(Vec<(ChatKey, Tag)>),
     /// By this instance's view it is the home of the shard, or is not.
     Role(bool),
     /// Time passes.
@@ -67,7 +67,7 @@
     /// Answer an ask.
     Reply(PermitId, Reply),
     /// Ask the entry to announce the permits it holds.
-    WantAnnouncement(Tag),
+    RequestAnnouncement(Tag),
 }
 
 /// Load of a shard, as homes of one service tell each other.
--- a/src/zone/ledger.rs
+++ b/src/zone/ledger.rs
@@ -8,10 +8,10 @@
 use crate::{contract::permit::PermitId, names::Tag};
 
 /// Silence after which an entry counts as lost and its permits end.
-pub const ENTRY_SILENCE: Duration = Duration::from_secs(4);
+pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The same once the entry's stream has ended; engines may still work on what it sent for a while.
-pub const ENTRY_CUT_SILENCE: Duration = Duration::from_secs(2);
+pub const DISCONNECTED_ENTRY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A permit in force.
 #[derive(Debug, Clone)]
@@ -47,9 +47,9 @@
 
     /// Notes that an entry's stream has ended. An entry that is alive opens its stream anew and is
     /// heard again before its permits end.
-    pub fn entry_cut(&mut self, now: Instant, entry: Tag) {
+    pub fn note_disconnect(&mut self, now: Instant, entry: Tag) {
         if let Some(entry) = self.entries.get_mut(&entry) {
-            let earlier = now.checked_sub(ENTRY_SILENCE - ENTRY_CUT_SILENCE);
+            let earlier = now.checked_sub(ENTRY_TIMEOUT - DISCONNECTED_ENTRY_TIMEOUT);
             entry.heard = earlier.map_or(entry.heard, |earlier| earlier.min(entry.heard));
         }
     }
@@ -116,5 +116,5 @@
 }
 
 fn is_silent(entry: &Entry, now: Instant) -> bool {
-    now.saturating_duration_since(entry.heard) >= ENTRY_SILENCE
+    now.saturating_duration_since(entry.heard) >= ENTRY_TIMEOUT
 }
--- a/standins/src/measure/decisions.rs
+++ b/standins/src/measure/decisions.rs
@@ -40,9 +40,9 @@
             .collect();
         let terms = HomeSettings {
             load_bound: 1.25,
-            queue: 1000,
-            remembered: 4 * chats as usize,
-            patience: Duration::from_millis(700),
+            queue_max: 1000,
+            chats_max: 4 * chats as usize,
+            affinity_wait: Duration::from_millis(700),
         };
         let start = Instant::now();
         let home = Home::new(terms, specs, start);
--- a/tests/suite/home.rs
+++ b/tests/suite/home.rs
@@ -12,7 +12,8 @@
     zone::{
         engine::EngineSpec,
         home::{
-            Action, ENTRY_CUT_SILENCE, ENTRY_SILENCE, Event, Home, HomeSettings, ShardLoad, WARM_UP,
+            Action, DISCONNECTED_ENTRY_TIMEOUT, ENTRY_TIMEOUT, Event, Home, HomeSettings,
+            ShardLoad, WARM_UP,
         },
         load_view::bound_of,
         rendezvous::ChatKey,
@@ -26,7 +27,12 @@
 }
 
 pub(crate) fn terms() -> HomeSettings {
-    HomeSettings { load_bound: 1.25, queue: 100, remembered: 1000, patience: Duration::ZERO }
+    HomeSettings {
+        load_bound: 1.25,
+        queue_max: 100,
+        chats_max: 1000,
+        affinity_wait: Duration::ZERO,
+    }
 }
 
 pub(crate) fn ask(number: u64, chat: u64) -> PermitRequest {
@@ -94,7 +100,7 @@
 #[test]
 fn a_returning_chat_waits_for_its_engine_and_not_longer_than_its_patience() {
     let (mut home, now) =
-        home(2, 8, HomeSettings { patience: Duration::from_millis(300), ..terms() });
+        home(2, 8, HomeSettings { affinity_wait: Duration::from_millis(300), ..terms() });
     let engine = ask_now(&mut home, now, ask(1, 7)).expect("granted");
     // The chat's engine is at the bound: ceil(1.25 x 2 / 2) = 2, and it holds two of two.
     let other = ask_now(&mut home, now, PermitRequest { hint: granted_tag(engine), ..ask(2, 8) });
@@ -115,9 +121,9 @@
 #[test]
 fn a_leaving_engine_gets_nothing_new() {
     let (mut home, now) = home(3, 8, terms());
-    home.handle(now, Event::Listed(Tag(1), true));
+    home.handle(now, Event::ListedLeaving(Tag(1), true));
     // What an engine says of itself does not undo what the list says.
-    home.handle(now, Event::Leaving(Tag(1), false));
+    home.handle(now, Event::AnnouncedLeaving(Tag(1), false));
     let mut specs = engines(3, 8);
     specs[1].leaving = true;
     home.handle(now, Event::Engines(specs));
@@ -231,7 +237,7 @@
 
 #[test]
 fn a_full_queue_and_team_limits_refuse() {
-    let (mut home, now) = home(1, 1, HomeSettings { queue: 1, ..terms() });
+    let (mut home, now) = home(1, 1, HomeSettings { queue_max: 1, ..terms() });
     ask_now(&mut home, now, ask(1, 1));
     assert_eq!(ask_now(&mut home, now, ask(2, 2)), Some(Reply::Queued));
     let reply = ask_now(&mut home, now, ask(3, 3));
@@ -275,17 +281,17 @@
 fn a_count_that_differs_asks_for_an_announcement() {
     let (mut home, now) = home(2, 4, terms());
     ask_now(&mut home, now, ask(1, 1));
-    assert!(home.handle(now, Event::Count(ENTRY, 1)).is_empty());
-    assert_eq!(home.handle(now, Event::Count(ENTRY, 0)), [Action::WantAnnouncement(ENTRY)]);
+    assert!(home.handle(now, Event::HeldCount(ENTRY, 1)).is_empty());
+    assert_eq!(home.handle(now, Event::HeldCount(ENTRY, 0)), [Action::RequestAnnouncement(ENTRY)]);
 }
 
 #[test]
 fn the_permits_of_a_silent_entry_end() {
     let (mut home, now) = home(2, 4, terms());
     ask_now(&mut home, now, ask(1, 1));
-    home.handle(now + ENTRY_SILENCE / 2, Event::Tick);
+    home.handle(now + ENTRY_TIMEOUT / 2, Event::Tick);
     assert_eq!(home.permits(), 1);
-    home.handle(now + ENTRY_SILENCE, Event::Tick);
+    home.handle(now + ENTRY_TIMEOUT, Event::Tick);
     assert_eq!(home.permits(), 0);
 }
 
@@ -294,13 +300,13 @@
     for heard in [false, true] {
         let (mut home, now) = home(2, 4, terms());
         ask_now(&mut home, now, ask(1, 1));
-        home.handle(now, Event::EntryCut(ENTRY));
-        home.handle(now + ENTRY_CUT_SILENCE / 2, Event::Tick);
+        home.handle(now, Event::EntryDisconnected(ENTRY));
+        home.handle(now + DISCONNECTED_ENTRY_TIMEOUT / 2, Event::Tick);
         assert_eq!(home.permits(), 1);
         if heard {
-            home.handle(now + ENTRY_CUT_SILENCE / 2, Event::Count(ENTRY, 1));
+            home.handle(now + DISCONNECTED_ENTRY_TIMEOUT / 2, Event::HeldCount(ENTRY, 1));
         }
-        home.handle(now + ENTRY_CUT_SILENCE, Event::Tick);
+        home.handle(now + DISCONNECTED_ENTRY_TIMEOUT, Event::Tick);
         assert_eq!(home.permits(), usize::from(heard));
     }
 }
@@ -312,7 +318,7 @@
     let until = now + Duration::from_secs(13);
     while now < until {
         now += Duration::from_secs(1);
-        home.handle(now, Event::Count(ENTRY, 1));
+        home.handle(now, Event::HeldCount(ENTRY, 1));
         home.handle(now, Event::Tick);
     }
     assert_eq!(home.permits(), 0);
@@ -322,7 +328,7 @@
 fn the_bound_follows_the_load_elsewhere() {
     let (mut home, now) = home(2, 100, terms());
     assert_eq!(home.bound(now), 1);
-    home.handle(now, Event::Elsewhere(Tag(2), ShardLoad { load: 39, engines: 2 }));
+    home.handle(now, Event::OtherShardLoad(Tag(2), ShardLoad { load: 39, engines: 2 }));
     assert_eq!(home.bound(now), bound_of(1.25, 40, 4));
     let later = now + Duration::from_secs(6);
     assert_eq!(home.bound(later), 1, "a load heard long ago no longer counts");
@@ -347,7 +353,7 @@
         home.handle(now, release(number));
     }
     assert!(home.context_moves(now, 10).is_empty(), "nobody leaves");
-    home.handle(now, Event::Listed(Tag(1), true));
+    home.handle(now, Event::ListedLeaving(Tag(1), true));
     let moves: Vec<_> =
         std::iter::from_fn(|| Some(home.context_moves(now, 15)).filter(|m| !m.is_empty()))
             .collect();
@@ -358,13 +364,13 @@
     );
     let first = moves[0][0];
     assert!(moves.iter().flatten().all(|m| m.from == Tag(1) && m.to != Tag(1)));
-    home.handle(now, Event::Moved(vec![(first.chat, first.from, first.to)]));
+    home.handle(now, Event::ContextsMoved(vec![(first.chat, first.from, first.to)]));
     let returning = PermitRequest { chat: first.chat, ..ask(100, 0) };
     assert_eq!(ask_now(&mut home, now, returning), Some(Reply::Granted(first.to)));
     // A chat that has gone elsewhere meanwhile is left where it is.
     home.handle(
         now,
-        Event::Moved(vec![(first.chat, Tag(1), Tag(3)), (first.chat, Tag(1), Tag(4))]),
+        Event::ContextsMoved(vec![(first.chat, Tag(1), Tag(3)), (first.chat, Tag(1), Tag(4))]),
     );
     assert_eq!(home.explain(now, first.chat).0, Some(first.to));
 }
@@ -376,12 +382,12 @@
         ask_now(&mut home, now, PermitRequest { hint: Some(Tag(1)), ..ask(number, number) });
         home.handle(now, release(number));
     }
-    home.handle(now, Event::Leaving(Tag(1), true));
+    home.handle(now, Event::AnnouncedLeaving(Tag(1), true));
     assert_eq!(home.context_moves(now, 5).len(), 5);
-    home.handle(now, Event::KeepsContexts(Tag(1)));
+    home.handle(now, Event::ContextsNotMoved(Tag(1)));
     assert!(home.context_moves(now, 5).is_empty());
-    home.handle(now, Event::Leaving(Tag(1), false));
+    home.handle(now, Event::AnnouncedLeaving(Tag(1), false));
     home.context_moves(now, 5);
-    home.handle(now, Event::Leaving(Tag(1), true));
+    home.handle(now, Event::AnnouncedLeaving(Tag(1), true));
     assert_eq!(home.context_moves(now, 5).len(), 5, "it leaves anew");
 }
--- a/tests/suite/home_drawn.rs
+++ b/tests/suite/home_drawn.rs
@@ -88,7 +88,7 @@
     };
     let done = TestRunner::new(config).run(&draws(), |draws| {
         let (mut home, mut now) =
-            home(6, 6, HomeSettings { patience: Duration::from_millis(250), ..terms() });
+            home(6, 6, HomeSettings { affinity_wait: Duration::from_millis(250), ..terms() });
         let mut account =
             Account { held: HashMap::new(), waiting: HashSet::new(), leaving: HashSet::new() };
         let mut number = 0;
@@ -130,12 +130,12 @@
                     } else {
                         account.leaving.remove(&Tag(engine))
                     };
-                    Event::Leaving(Tag(engine), leaving)
+                    Event::AnnouncedLeaving(Tag(engine), leaving)
                 }
                 Draw::Advance(millis) => {
                     now += Duration::from_millis(millis);
                     let count = account.held.len();
-                    home.handle(now, Event::Count(ENTRY, count));
+                    home.handle(now, Event::HeldCount(ENTRY, count));
                     Event::Tick
                 }
             };
