--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -5,7 +5,7 @@
 use crate::{
     instance::{homes::engines, knowledge::snapshot::Snapshot, shared::Shared},
     names::Tag,
-    zone::{hand_over::ContextMove, home::Event, rendezvous::ChatKey, shard::ShardId},
+    zone::{context_moves::ContextMove, home::Event, rendezvous::ChatKey, shard::ShardId},
 };
 
 /// Most chats moved for one shard at once; with the period of the moving, 100 a second.
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -14,7 +14,7 @@
     names::Tag,
     utils::sync::lock,
     zone::{
-        hand_over::ContextMove,
+        context_moves::ContextMove,
         home::{Action, Event, Home, HomeSettings, ShardLoad},
         rendezvous::ChatKey,
         shard::{Shard, ShardId},
@@ -234,9 +234,9 @@
             let Some(to) = snapshot.shard(id).and_then(&replica_of) else { continue };
             let mut home = lock(&slot.home);
             if lock(&slot.replica).replace(to) != Some(to) {
-                home.memory_mut().tell_all();
+                home.chat_locations_mut().mark_all_unreplicated();
             }
-            let places = home.memory_mut().take_untold(most);
+            let places = home.chat_locations_mut().take_unreplicated(most);
             if !places.is_empty() {
                 told.push((to, Memory { shard: id, places }));
             }
@@ -270,7 +270,7 @@
             is_home: home.is_home(),
             bound: home.bound(now),
             queued: home.queued(),
-            remembered: home.remembered(),
+            remembered: home.chat_count(),
             engines: home
                 .engines()
                 .map(|e| EngineStatus {
--- a/src/zone/hand_over.rs
+++ b/src/zone/context_moves.rs
@@ -20,11 +20,11 @@
 
 /// Chats of leaving engines whose contexts are still to be moved.
 #[derive(Debug, Default)]
-pub struct HandOver {
+pub struct ContextMoveQueue {
     waiting: HashMap<Tag, VecDeque<ChatKey>>,
 }
 
-impl HandOver {
+impl ContextMoveQueue {
     /// Returns whether an engine's chats are in line already.
     pub fn knows(&self, engine: Tag) -> bool {
         self.waiting.contains_key(&engine)
--- a/src/zone/engine.rs
+++ b/src/zone/engine.rs
@@ -31,7 +31,7 @@
 
 /// An engine with its load.
 #[derive(Debug, Clone)]
-pub struct EngineSlot {
+pub struct EngineState {
     /// What the file says.
     pub spec: EngineSpec,
     /// Permits in force.
@@ -46,13 +46,13 @@
     /// Whether the membership list says that it is leaving.
     pub listed_leaving: bool,
     /// Whether it says itself that it is leaving.
-    pub says_leaving: bool,
+    pub announced_leaving: bool,
 }
 
-impl EngineSlot {
+impl EngineState {
     /// Returns a slot without load.
-    pub fn new(spec: EngineSpec) -> EngineSlot {
-        EngineSlot {
+    pub fn new(spec: EngineSpec) -> EngineState {
+        EngineState {
             spec,
             permits: 0,
             reported: None,
@@ -60,7 +60,7 @@
             failures: 0,
             heard: None,
             listed_leaving: false,
-            says_leaving: false,
+            announced_leaving: false,
         }
     }
 
@@ -96,7 +96,7 @@
 
     /// Returns whether it is leaving, by any account.
     pub fn is_leaving(&self) -> bool {
-        self.spec.leaving || self.listed_leaving || self.says_leaving
+        self.spec.leaving || self.listed_leaving || self.announced_leaving
     }
 
     /// Returns whether it is suspected of being down.
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -22,11 +22,11 @@
     },
     names::Tag,
     zone::{
-        engine::{EngineSlot, EngineSpec},
-        hand_over::{ContextMove, HandOver},
-        ledger::{Permit, PermitLedger},
+        chat_locations::ChatLocations,
+        context_moves::{ContextMove, ContextMoveQueue},
+        engine::{EngineSpec, EngineState},
         load_view::LoadView,
-        memory::ChatMemory,
+        permit_table::{Permit, PermitTable},
         rendezvous::{ChatKey, score},
         waiting::{Patient, Waiting, WaitingLine},
     },
@@ -34,7 +34,7 @@
 
 pub use crate::zone::{
     home_event::{Action, Event, HomeSettings, ShardLoad},
-    ledger::{DISCONNECTED_ENTRY_TIMEOUT, ENTRY_TIMEOUT},
+    permit_table::{DISCONNECTED_ENTRY_TIMEOUT, ENTRY_TIMEOUT},
 };
 
 /// Time in which a new home also counts what engines report, until entries have announced theirs.
@@ -53,11 +53,11 @@
 #[derive(Debug)]
 pub struct Home {
     terms: HomeSettings,
-    engines: IndexMap<Tag, EngineSlot>,
-    permits: PermitLedger,
+    engines: IndexMap<Tag, EngineState>,
+    permits: PermitTable,
     waiting: WaitingLine,
-    memory: ChatMemory,
-    hand_over: HandOver,
+    chats: ChatLocations,
+    move_queue: ContextMoveQueue,
     teams: TeamLimits,
     elsewhere: HashMap<Tag, (ShardLoad, Instant)>,
     guarded_until: Option<Instant>,
@@ -69,11 +69,11 @@
     pub fn new(terms: HomeSettings, engines: Vec<EngineSpec>, now: Instant) -> Home {
         Home {
             terms,
-            engines: engines.into_iter().map(|spec| (spec.tag, EngineSlot::new(spec))).collect(),
-            permits: PermitLedger::default(),
+            engines: engines.into_iter().map(|spec| (spec.tag, EngineState::new(spec))).collect(),
+            permits: PermitTable::default(),
             waiting: WaitingLine::default(),
-            memory: ChatMemory::new(terms.chats_max),
-            hand_over: HandOver::default(),
+            chats: ChatLocations::new(terms.chats_max),
+            move_queue: ContextMoveQueue::default(),
             teams: TeamLimits::default(),
             elsewhere: HashMap::new(),
             guarded_until: Some(now + WARM_UP),
@@ -100,14 +100,14 @@
                 self.with_engine(engine, |e| e.listed_leaving = leaving)
             }
             Event::AnnouncedLeaving(engine, leaving) => {
-                self.with_engine(engine, |e| e.says_leaving = leaving)
+                self.with_engine(engine, |e| e.announced_leaving = leaving)
             }
             Event::OtherShardLoad(home, load) => {
                 self.elsewhere.insert(home, (load, now));
             }
             Event::ContextsMoved(moves) => self.contexts_moved(moves),
-            Event::ContextsNotMoved(engine) => self.hand_over.give_up(engine),
-            Event::ReplicatedChats(chats) => self.memory.learn(chats, self.is_home),
+            Event::ContextsNotMoved(engine) => self.move_queue.give_up(engine),
+            Event::ReplicatedChats(chats) => self.chats.learn(chats, self.is_home),
             Event::Role(is_home) => self.set_role(now, is_home),
             Event::Tick => self.tick(now, &mut actions),
         }
@@ -140,7 +140,7 @@
     }
 
     /// Returns the engines and their loads.
-    pub fn engines(&self) -> impl Iterator<Item = &EngineSlot> {
+    pub fn engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines.values()
     }
 
@@ -160,13 +160,13 @@
     }
 
     /// Returns the number of chats remembered.
-    pub fn remembered(&self) -> usize {
-        self.memory.len()
+    pub fn chat_count(&self) -> usize {
+        self.chats.len()
     }
 
     /// Returns the engine that `chat` was last on, and the engine it would go to now.
     pub fn explain(&self, now: Instant, chat: ChatKey) -> (Option<Tag>, Option<Tag>) {
-        (self.memory.get(chat), self.choose(now, chat, None, &[]))
+        (self.chats.get(chat), self.choose(now, chat, None, &[]))
     }
 
     fn is_guarded(&self, now: Instant) -> bool {
@@ -222,7 +222,7 @@
         {
             return None;
         }
-        let known = [self.memory.get(ask.chat), ask.hint].into_iter().flatten();
+        let known = [self.chats.get(ask.chat), ask.hint].into_iter().flatten();
         let engine = known.filter_map(|tag| self.engines.get(&tag)).next()?;
         let (tag, view) = (engine.spec.tag, self.view(now));
         if !view.is_usable(engine) || ask.avoid.contains(&tag) || view.takes(engine) {
@@ -259,19 +259,19 @@
     /// the first under the bound in the chat's own rank; a new chat fills the least loaded.
     fn choose(&self, now: Instant, chat: ChatKey, hint: Option<Tag>, avoid: &[Tag]) -> Option<Tag> {
         let view = self.view(now);
-        let takes = |engine: &&EngineSlot| view.takes(engine) && !avoid.contains(&engine.spec.tag);
-        let known = [self.memory.get(chat), hint];
+        let takes = |engine: &&EngineState| view.takes(engine) && !avoid.contains(&engine.spec.tag);
+        let known = [self.chats.get(chat), hint];
         let mut known_engines = known.iter().flatten().filter_map(|tag| self.engines.get(tag));
         if let Some(engine) = known_engines.find(takes) {
             return Some(engine.spec.tag);
         }
         let free = self.engines.values().filter(takes);
-        let ranked = |engine: &EngineSlot| score(chat.0, engine.spec.tag, engine.spec.weight);
+        let ranked = |engine: &EngineState| score(chat.0, engine.spec.tag, engine.spec.weight);
         if known.iter().any(Option::is_some) {
             return free.max_by(|a, b| ranked(a).total_cmp(&ranked(b))).map(|e| e.spec.tag);
         }
         // A new chat has no context to go to: it fills up the least loaded engine.
-        let order = |a: &&EngineSlot, b: &&EngineSlot| {
+        let order = |a: &&EngineState, b: &&EngineState| {
             view.filled(a).total_cmp(&view.filled(b)).then_with(|| ranked(b).total_cmp(&ranked(a)))
         };
         free.min_by(order).map(|e| e.spec.tag)
@@ -281,13 +281,13 @@
         let expires = now + ask.time_left + PERMIT_MARGIN;
         let permit = Permit { engine, team: ask.team, granted: now, expires };
         self.add_permit(ask.id, permit);
-        self.memory.put(ask.chat, engine);
+        self.chats.put(ask.chat, engine);
         actions.push(Action::Reply(ask.id, Reply::Granted(engine)));
     }
 
     /// Returns what is remembered of chats.
-    pub fn memory_mut(&mut self) -> &mut ChatMemory {
-        &mut self.memory
+    pub fn chat_locations_mut(&mut self) -> &mut ChatLocations {
+        &mut self.chats
     }
 
     fn add_permit(&mut self, id: PermitId, permit: Permit) {
@@ -368,7 +368,7 @@
             }
             match release.kind {
                 ReleaseKind::Done => engine.succeeded(),
-                ReleaseKind::Leaving => engine.says_leaving = true,
+                ReleaseKind::Leaving => engine.announced_leaving = true,
                 ReleaseKind::Failed | ReleaseKind::Refused => engine.failed(now),
                 ReleaseKind::Unused => {}
             }
@@ -426,7 +426,7 @@
             }
             let expires = now + Duration::from_millis(u64::from(left_ms)) + PERMIT_MARGIN;
             self.add_permit(id, Permit { engine, team, granted: now, expires });
-            self.memory.put(chat, engine);
+            self.chats.put(chat, engine);
         }
         self.serve_queue(now, actions);
     }
@@ -434,7 +434,7 @@
     fn set_engines(&mut self, now: Instant, specs: Vec<EngineSpec>, actions: &mut Vec<Action>) {
         let mut old = std::mem::take(&mut self.engines);
         for spec in specs {
-            let mut slot = old.swap_remove(&spec.tag).unwrap_or_else(|| EngineSlot::new(spec));
+            let mut slot = old.swap_remove(&spec.tag).unwrap_or_else(|| EngineState::new(spec));
             slot.spec = spec;
             slot.permits = self.permits.on_engine(spec.tag);
             self.engines.insert(spec.tag, slot);
@@ -442,7 +442,7 @@
         self.serve_queue(now, actions);
     }
 
-    fn with_engine(&mut self, engine: Tag, f: impl FnOnce(&mut EngineSlot)) {
+    fn with_engine(&mut self, engine: Tag, f: impl FnOnce(&mut EngineState)) {
         self.engines.get_mut(&engine).map(f);
     }
 
@@ -456,8 +456,8 @@
 
     fn contexts_moved(&mut self, moves: Vec<(ChatKey, Tag, Tag)>) {
         for (chat, from, to) in moves {
-            if self.memory.get(chat) == Some(from) {
-                self.memory.put(chat, to);
+            if self.chats.get(chat) == Some(from) {
+                self.chats.put(chat, to);
             }
         }
     }
@@ -469,19 +469,19 @@
         }
         let leaving: Vec<Tag> =
             self.engines.values().filter(|e| e.is_leaving()).map(|e| e.spec.tag).collect();
-        self.hand_over.retain(|engine| leaving.contains(&engine));
+        self.move_queue.retain(|engine| leaving.contains(&engine));
         for engine in leaving {
-            if !self.hand_over.knows(engine) {
-                let all = self.memory.all();
+            if !self.move_queue.knows(engine) {
+                let all = self.chats.all();
                 let own = all.into_iter().rev().filter(|(_, on)| *on == engine);
-                self.hand_over.begin(engine, own.map(|(chat, _)| chat));
+                self.move_queue.begin(engine, own.map(|(chat, _)| chat));
             }
         }
         let view = self.view(now);
         let usable = self.engines.values().filter(|e| view.is_usable(e));
         let targets: Vec<(Tag, f64)> = usable.map(|e| (e.spec.tag, e.spec.weight)).collect();
-        let memory = &self.memory;
-        self.hand_over.next(most, &targets, |chat, engine| memory.get(chat) == Some(engine))
+        let chats = &self.chats;
+        self.move_queue.next(most, &targets, |chat, engine| chats.get(chat) == Some(engine))
     }
 
     fn set_role(&mut self, now: Instant, is_home: bool) {
--- a/src/zone/load_view.rs
+++ b/src/zone/load_view.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     names::Tag,
-    zone::{engine::EngineSlot, home_event::ShardLoad},
+    zone::{engine::EngineState, home_event::ShardLoad},
 };
 
 /// What decides at one instant whether an engine may be granted a request.
@@ -26,7 +26,7 @@
     /// While `guarded`, reported loads count where they are larger than the permits known.
     pub fn new(
         now: Instant,
-        engines: &IndexMap<Tag, EngineSlot>,
+        engines: &IndexMap<Tag, EngineState>,
         guarded: bool,
         elsewhere: ShardLoad,
         load_bound: f64,
@@ -40,23 +40,23 @@
     }
 
     /// Returns the engine's load.
-    pub fn load(&self, engine: &EngineSlot) -> u32 {
+    pub fn load(&self, engine: &EngineState) -> u32 {
         engine.load(self.now, self.guarded)
     }
 
     /// Returns whether the engine may get work at all.
-    pub fn is_usable(&self, engine: &EngineSlot) -> bool {
+    pub fn is_usable(&self, engine: &EngineState) -> bool {
         !engine.is_leaving() && (self.all_suspect || !engine.is_suspect(self.now))
     }
 
     /// Returns whether the engine may be granted one more request.
-    pub fn takes(&self, engine: &EngineSlot) -> bool {
+    pub fn takes(&self, engine: &EngineState) -> bool {
         let load = self.load(engine);
         self.is_usable(engine) && load < engine.spec.capacity && load < self.bound
     }
 
     /// Returns how full one more request would make the engine, relative to its weight.
-    pub fn filled(&self, engine: &EngineSlot) -> f64 {
+    pub fn filled(&self, engine: &EngineState) -> f64 {
         f64::from(self.load(engine) + 1) / engine.spec.weight.max(f64::MIN_POSITIVE)
     }
 }
--- a/src/zone/mod.rs
+++ b/src/zone/mod.rs
@@ -1,15 +1,15 @@
 //! Places: how chats rank engines, how engines form shards, and the home of each shard.
 
 pub mod baseline;
+pub mod chat_locations;
+pub mod context_moves;
 pub mod engine;
-pub mod hand_over;
 pub mod home;
 pub mod home_event;
 pub mod homes;
-pub mod ledger;
 pub mod load_view;
-pub mod memory;
-pub mod recency;
+pub mod permit_table;
+pub mod recent_chats;
 pub mod rendezvous;
 pub mod shard;
 pub mod waiting;
--- a/src/zone/ledger.rs
+++ b/src/zone/permit_table.rs
@@ -34,12 +34,12 @@
 
 /// Permits by identity, and their entries.
 #[derive(Debug, Default)]
-pub struct PermitLedger {
+pub struct PermitTable {
     permits: HashMap<PermitId, Permit>,
     entries: HashMap<Tag, Entry>,
 }
 
-impl PermitLedger {
+impl PermitTable {
     /// Notes a sign of life of an entry.
     pub fn heard(&mut self, now: Instant, entry: Tag) {
         self.entries.entry(entry).or_insert(Entry { heard: now, held: 0 }).heard = now;
--- a/src/zone/recency.rs
+++ b/src/zone/recent_chats.rs
@@ -10,16 +10,16 @@
 /// Two generations of half the size: a chat seen again moves to the young one, and when that is
 /// full the old one is dropped. The chats kept are at least the most recent half.
 #[derive(Debug)]
-pub struct Recency {
+pub struct RecentChats {
     half: usize,
     young: HashMap<ChatKey, Tag>,
     old: HashMap<ChatKey, Tag>,
 }
 
-impl Recency {
+impl RecentChats {
     /// Returns a memory of at most `most` chats.
-    pub fn new(most: usize) -> Recency {
-        Recency { half: (most / 2).max(1), young: HashMap::new(), old: HashMap::new() }
+    pub fn new(most: usize) -> RecentChats {
+        RecentChats { half: (most / 2).max(1), young: HashMap::new(), old: HashMap::new() }
     }
 
     /// Returns the engine that `chat` was last on.
--- a/standins/src/measure/decisions.rs
+++ b/standins/src/measure/decisions.rs
@@ -122,10 +122,10 @@
 pub fn measure() -> Vec<Figure> {
     let (p50, p99) = decision_micros(32, 30_000, 10, 8);
     let before = resident_mib(std::process::id());
-    let mut memory = cartvane::zone::memory::ChatMemory::new(4_000_000);
+    let mut memory = cartvane::zone::chat_locations::ChatLocations::new(4_000_000);
     for chat in 0..1_000_000_u64 {
         memory.put(ChatKey(chat.wrapping_mul(0x9e37_79b9_7f4a_7c15)), Tag(chat as u32 % 32));
-        memory.take_untold(1);
+        memory.take_unreplicated(1);
     }
     let grown = (resident_mib(std::process::id()) - before) * 1024.0 * 1024.0;
     vec![
--- a/tests/suite/machines.rs
+++ b/tests/suite/machines.rs
@@ -22,9 +22,9 @@
     platform::{Member, MemberKind, MemberState},
     units::{Rate, Revision},
     zone::{
+        chat_locations::ChatLocations,
         homes::{Candidate, home_of},
-        memory::ChatMemory,
-        recency::Recency,
+        recent_chats::RecentChats,
         rendezvous::{ChatKey, ranked, score},
         shard::{Shard, ShardId},
     },
@@ -399,7 +399,7 @@
 
 #[test]
 fn memory_keeps_the_most_recent_and_tells_only_news() {
-    let mut recency = Recency::new(1000);
+    let mut recency = RecentChats::new(1000);
     for chat in 0..5000 {
         recency.put(ChatKey(chat), Tag(1));
     }
@@ -408,17 +408,17 @@
             && recency.get(ChatKey(4999)).is_some()
             && recency.get(ChatKey(0)).is_none()
     );
-    let mut memory = ChatMemory::new(1000);
+    let mut memory = ChatLocations::new(1000);
     for _ in 0..3 {
         memory.put(ChatKey(1), Tag(1));
         memory.put(ChatKey(2), Tag(1));
     }
     memory.put(ChatKey(1), Tag(2));
-    assert_eq!(memory.take_untold(10).len(), 3, "two chats, one of which moved");
-    memory.tell_all();
-    let all = memory.take_untold(10);
+    assert_eq!(memory.take_unreplicated(10).len(), 3, "two chats, one of which moved");
+    memory.mark_all_unreplicated();
+    let all = memory.take_unreplicated(10);
     assert_eq!(all.len(), 2);
-    let mut replica = ChatMemory::new(1000);
+    let mut replica = ChatLocations::new(1000);
     replica.learn(all, false);
     assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)));
     replica.learn(vec![(ChatKey(1), Tag(3))], true);
