--- a/src/contract/membership.rs
+++ b/src/contract/membership.rs
@@ -22,16 +22,16 @@
 const RETRY_MAX: Duration = Duration::from_secs(60);
 
 /// Time after which earlier failures no longer count against a peer.
-const FLAP_MEMORY: Duration = Duration::from_secs(120);
+const FAILURE_MAX_AGE: Duration = Duration::from_secs(120);
 
 /// Time for which another instance's suspicion is believed.
-const RUMOUR: Duration = Duration::from_secs(2);
+const REPORTED_SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
 /// Own contact this recent outweighs a rumour.
-const HEARD_RECENTLY: Duration = Duration::from_secs(3);
+const RECENT_CONTACT_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// Time for which an introduction is passed on.
-const INTRODUCED: Duration = Duration::from_secs(8);
+const INTRODUCTION_MAX_AGE: Duration = Duration::from_secs(8);
 
 /// Another instance.
 #[derive(Debug, Clone)]
@@ -41,22 +41,22 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// State on the platform's list.
-    pub listed: MemberState,
+    pub listed_state: MemberState,
     /// Start of its running process, as it told; grows with each restart.
     pub incarnation: u64,
     /// Whether it told that it is leaving.
-    pub told_leaving: bool,
+    pub announced_leaving: bool,
     /// It did not answer and has not been heard since.
     down: bool,
     /// When it may be tried again.
-    next_try: Option<Instant>,
+    retry_at: Option<Instant>,
     /// It flaps: it is passed over until then even if it is heard.
-    held_off_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     /// Another instance suspects it.
-    rumour_until: Option<Instant>,
+    reported_suspect_until: Option<Instant>,
     failures: u32,
     last_failure: Option<Instant>,
-    last_heard: Option<Instant>,
+    last_contact: Option<Instant>,
 }
 
 impl Peer {
@@ -64,38 +64,38 @@
         Peer {
             candidate,
             address,
-            listed: MemberState::Live,
+            listed_state: MemberState::Live,
             incarnation: 0,
-            told_leaving: false,
+            announced_leaving: false,
             down: false,
-            next_try: None,
-            held_off_until: None,
-            rumour_until: None,
+            retry_at: None,
+            backoff_until: None,
+            reported_suspect_until: None,
             failures: 0,
             last_failure: None,
-            last_heard: None,
+            last_contact: None,
         }
     }
 
     /// Returns whether it is passed over for now.
     pub fn is_suspect(&self, now: Instant) -> bool {
         let holds = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        self.down || holds(self.held_off_until) || holds(self.rumour_until)
+        self.down || holds(self.backoff_until) || holds(self.reported_suspect_until)
     }
 
     /// Returns whether a heartbeat may be sent to it.
-    pub fn may_be_tried(&self, now: Instant) -> bool {
-        !self.down || self.next_try.is_none_or(|at| now >= at)
+    pub fn may_be_contacted(&self, now: Instant) -> bool {
+        !self.down || self.retry_at.is_none_or(|at| now >= at)
     }
 
     /// Returns whether it may be a home.
     pub fn may_be_home(&self, now: Instant) -> bool {
-        self.listed == MemberState::Live && !self.told_leaving && !self.is_suspect(now)
+        self.listed_state == MemberState::Live && !self.announced_leaving && !self.is_suspect(now)
     }
 
     /// Returns when it was last heard.
-    pub fn last_heard(&self) -> Option<Instant> {
-        self.last_heard
+    pub fn last_contact(&self) -> Option<Instant> {
+        self.last_contact
     }
 }
 
@@ -106,7 +106,7 @@
     own_leaving: bool,
     peers: IndexMap<Tag, Peer>,
     leaving_servers: IndexMap<String, MemberState>,
-    introduced: Vec<(Instant, Member)>,
+    recent_introductions: Vec<(Instant, Member)>,
     version: u64,
     /// Counts changes of who may be a home.
     changes: u64,
@@ -120,7 +120,7 @@
             own_leaving: false,
             peers: IndexMap::new(),
             leaving_servers: IndexMap::new(),
-            introduced: Vec::new(),
+            recent_introductions: Vec::new(),
             version: 0,
             changes: 0,
         }
@@ -138,7 +138,7 @@
     }
 
     /// Takes in changes of the platform's list.
-    pub fn listed(&mut self, version: u64, changed: Vec<Member>) {
+    pub fn apply_list(&mut self, version: u64, changed: Vec<Member>) {
         self.version = version;
         self.changes += 1;
         for member in changed {
@@ -146,12 +146,12 @@
                 MemberKind::BackendServer => {
                     self.leaving_servers.insert(member.id, member.state);
                 }
-                MemberKind::Instance => self.listed_instance(member),
+                MemberKind::Instance => self.apply_instance(member),
             }
         }
     }
 
-    fn listed_instance(&mut self, member: Member) {
+    fn apply_instance(&mut self, member: Member) {
         let Ok(id) = member.id.parse::<InstanceId>() else { return };
         let tag = id.tag();
         if tag == self.own.tag {
@@ -167,7 +167,7 @@
         if peer.address != member.address {
             *peer = Peer::new(candidate, member.address);
         }
-        peer.listed = member.state;
+        peer.listed_state = member.state;
     }
 
     /// Takes in an instance that introduced itself, sooner than the list shows it.
@@ -178,16 +178,16 @@
         let known = member.id.parse::<InstanceId>().ok().and_then(|id| self.peers.get(&id.tag()));
         let news = known.is_none_or(|peer| peer.address != member.address);
         if news && member.kind == MemberKind::Instance && member.state == MemberState::Live {
-            self.introduced.push((now, member.clone()));
+            self.recent_introductions.push((now, member.clone()));
             self.changes += 1;
-            self.listed_instance(member);
+            self.apply_instance(member);
         }
     }
 
     /// Returns the introductions to be passed on.
-    pub fn introduced(&mut self, now: Instant) -> Vec<Member> {
-        self.introduced.retain(|(at, _)| now.duration_since(*at) < INTRODUCED);
-        self.introduced.iter().map(|(_, member)| member.clone()).collect()
+    pub fn recent_introductions(&mut self, now: Instant) -> Vec<Member> {
+        self.recent_introductions.retain(|(at, _)| now.duration_since(*at) < INTRODUCTION_MAX_AGE);
+        self.recent_introductions.iter().map(|(_, member)| member.clone()).collect()
     }
 
     /// Returns the other instances as entries of a list.
@@ -197,53 +197,55 @@
             kind: MemberKind::Instance,
             address: peer.address,
             zone: peer.candidate.zone.clone(),
-            state: peer.listed,
+            state: peer.listed_state,
         };
         self.peers.values().map(member).collect()
     }
 
     /// Notes an exchange with a peer.
-    pub fn heard(&mut self, now: Instant, peer: Tag, incarnation: u64, leaving: bool) {
+    pub fn note_contact(&mut self, now: Instant, peer: Tag, incarnation: u64, leaving: bool) {
         let Some(peer) = self.peers.get_mut(&peer) else { return };
         if incarnation < peer.incarnation {
             return;
         }
-        let changed = peer.down || peer.rumour_until.is_some() || peer.told_leaving != leaving;
+        let changed =
+            peer.down || peer.reported_suspect_until.is_some() || peer.announced_leaving != leaving;
         self.changes += u64::from(changed);
         peer.incarnation = incarnation;
-        peer.told_leaving = leaving;
+        peer.announced_leaving = leaving;
         peer.down = false;
-        peer.rumour_until = None;
-        peer.last_heard = Some(now);
+        peer.reported_suspect_until = None;
+        peer.last_contact = Some(now);
     }
 
     /// Notes that a peer could not be reached or did not answer: it is passed over until it is
     /// heard, and if it fails again and again for a growing time beyond that.
-    pub fn failed(&mut self, now: Instant, peer: Tag) {
+    pub fn note_failure(&mut self, now: Instant, peer: Tag) {
         let Some(peer) = self.peers.get_mut(&peer) else { return };
-        if peer.down && !peer.may_be_tried(now) {
+        if peer.down && !peer.may_be_contacted(now) {
             return;
         }
-        if peer.last_failure.is_some_and(|at| now.duration_since(at) > FLAP_MEMORY) {
+        if peer.last_failure.is_some_and(|at| now.duration_since(at) > FAILURE_MAX_AGE) {
             peer.failures = 0;
         }
         let pause = RETRY_FIRST.saturating_mul(1 << peer.failures.min(10)).min(RETRY_MAX);
         if !peer.down && peer.failures > 0 {
-            peer.held_off_until = Some(now + pause);
+            peer.backoff_until = Some(now + pause);
         }
         self.changes += u64::from(!peer.down);
         peer.down = true;
-        peer.next_try = Some(now + pause);
+        peer.retry_at = Some(now + pause);
         peer.failures += 1;
         peer.last_failure = Some(now);
     }
 
     /// Notes that another instance suspects a peer.
-    pub fn rumour(&mut self, now: Instant, peer: Tag) {
+    pub fn note_reported_suspect(&mut self, now: Instant, peer: Tag) {
         let Some(peer) = self.peers.get_mut(&peer) else { return };
-        let heard = peer.last_heard.is_some_and(|at| now.duration_since(at) < HEARD_RECENTLY);
-        if !heard && !peer.is_suspect(now) {
-            peer.rumour_until = Some(now + RUMOUR);
+        let recent =
+            peer.last_contact.is_some_and(|at| now.duration_since(at) < RECENT_CONTACT_MAX_AGE);
+        if !recent && !peer.is_suspect(now) {
+            peer.reported_suspect_until = Some(now + REPORTED_SUSPECT_DURATION);
             self.changes += 1;
         }
     }
@@ -260,7 +262,7 @@
     }
 
     /// Returns the peers that this instance has reason to suspect by its own evidence.
-    pub fn suspected(&self, now: Instant) -> Vec<Tag> {
+    pub fn own_suspects(&self, now: Instant) -> Vec<Tag> {
         let recent = |at: Instant| now.duration_since(at) < RETRY_MAX;
         let own = |p: &&Peer| p.down && p.last_failure.is_some_and(recent);
         self.peers.values().filter(own).map(|p| p.candidate.tag).collect()
@@ -292,7 +294,7 @@
     }
 
     /// Returns whether the list says that a backend server takes nothing new.
-    pub fn server_leaves(&self, id: &str) -> bool {
+    pub fn is_server_leaving(&self, id: &str) -> bool {
         self.leaving_servers.get(id).is_some_and(|state| *state != MemberState::Live)
     }
 }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -136,7 +136,7 @@
         // A home whose process has ended refuses at once; permits then move without waiting for
         // the next ask to find out.
         if open(&shared, home).is_none() {
-            lock(&shared.membership).failed(shared.clock.now(), home);
+            lock(&shared.membership).note_failure(shared.clock.now(), home);
         }
     }
 }
--- a/src/instance/knowledge/gossip.rs
+++ b/src/instance/knowledge/gossip.rs
@@ -29,7 +29,7 @@
     let version = lock(&shared.membership).version();
     match shared.platform.members.since(version) {
         Ok(page) if page.version != version => {
-            lock(&shared.membership).listed(page.version, page.changed);
+            lock(&shared.membership).apply_list(page.version, page.changed);
         }
         Ok(_) => {}
         Err(fault) => {
@@ -85,7 +85,7 @@
         let Some(shard) = snapshot.shard(id) else { return Vec::new() };
         let membership = lock(&shared.membership);
         let leaves = |tag: Tag| {
-            snapshot.server(tag).is_some_and(|b| membership.server_leaves(b.id.as_str()))
+            snapshot.server(tag).is_some_and(|b| membership.is_server_leaving(b.id.as_str()))
         };
         shard.engines.iter().map(|e| Event::ListedLeaving(e.tag, leaves(e.tag))).collect()
     });
@@ -96,8 +96,11 @@
     let peer = {
         let now = shared.clock.now();
         let membership = lock(&shared.membership);
-        let peers: Vec<Tag> =
-            membership.peers().filter(|p| p.may_be_tried(now)).map(|p| p.candidate.tag).collect();
+        let peers: Vec<Tag> = membership
+            .peers()
+            .filter(|p| p.may_be_contacted(now))
+            .map(|p| p.candidate.tag)
+            .collect();
         fastrand::choice(peers)
     };
     if let Some(peer) = peer {
@@ -112,7 +115,7 @@
         let now = shared.clock.now();
         lock(&shared.membership)
             .peers()
-            .filter(|p| p.may_be_tried(now))
+            .filter(|p| p.may_be_contacted(now))
             .map(|p| p.candidate.tag)
             .collect()
     };
@@ -138,7 +141,7 @@
         }
         Err(fault) => {
             log::debug!("heartbeat: {fault}");
-            lock(&shared.membership).failed(shared.clock.now(), peer);
+            lock(&shared.membership).note_failure(shared.clock.now(), peer);
         }
     }
 }
@@ -149,7 +152,7 @@
     let now = shared.clock.now();
     let mut membership = lock(&shared.membership);
     for suspect in &heartbeat.suspects {
-        membership.rumour(now, *suspect);
+        membership.note_reported_suspect(now, *suspect);
     }
     for member in &heartbeat.introduced {
         membership.introduce(now, member.clone());
@@ -161,7 +164,11 @@
 fn own_heartbeat(shared: &Shared, now: Instant) -> Heartbeat {
     let hello = shared.hello();
     let mut membership = lock(&shared.membership);
-    Heartbeat { hello, suspects: membership.suspected(now), introduced: membership.introduced(now) }
+    Heartbeat {
+        hello,
+        suspects: membership.own_suspects(now),
+        introduced: membership.recent_introductions(now),
+    }
 }
 
 /// Tells the homes of other shards of the same services the loads of the shards held here.
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/place.rs
@@ -174,7 +174,7 @@
                 return end;
             }
             self.lost += 1;
-            lock(&self.shared.membership).failed(now, home);
+            lock(&self.shared.membership).note_failure(now, home);
         }
     }
 }
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -153,7 +153,12 @@
     /// Takes in a greeting: its sender is alive, and may know a newer revision.
     pub fn greeted(&self, hello: &Hello) {
         let now = self.clock.now();
-        lock(&self.membership).heard(now, hello.from, u64::from(hello.incarnation), hello.leaving);
+        lock(&self.membership).note_contact(
+            now,
+            hello.from,
+            u64::from(hello.incarnation),
+            hello.leaving,
+        );
         if hello.revision > self.revision() {
             (self.wake_sync)();
         }
--- a/standins/src/measure/capacity.rs
+++ b/standins/src/measure/capacity.rs
@@ -94,7 +94,7 @@
         zone: zone.clone(),
         state: MemberState::Live,
     };
-    view.listed(1, (1..routers).map(member).collect());
+    view.apply_list(1, (1..routers).map(member).collect());
     let now = Instant::now();
     let rounds = 2000;
     let began = Instant::now();
--- a/tests/suite/machines.rs
+++ b/tests/suite/machines.rs
@@ -63,17 +63,17 @@
 fn a_peer_that_fails_is_passed_over_until_heard_and_longer_the_more_it_flaps() {
     let mut view = Membership::new(candidate("a"));
     let mut now = Instant::now();
-    view.listed(1, vec![member("a", 1, MemberState::Live), member("b", 2, MemberState::Live)]);
+    view.apply_list(1, vec![member("a", 1, MemberState::Live), member("b", 2, MemberState::Live)]);
     assert_eq!(home_names(&view, now), ["a", "b"]);
     let b = id("b").tag();
-    view.failed(now, b);
+    view.note_failure(now, b);
     assert_eq!(home_names(&view, now + Duration::from_secs(3600)), ["a"], "silence heals nothing");
-    view.heard(now, b, 1, false);
+    view.note_contact(now, b, 1, false);
     assert_eq!(home_names(&view, now), ["a", "b"], "one failure is forgiven at once");
     let mut pauses = Vec::new();
     for _ in 0..3 {
-        view.failed(now, b);
-        view.heard(now, b, 1, false);
+        view.note_failure(now, b);
+        view.note_contact(now, b, 1, false);
         let began = now;
         while home_names(&view, now) == ["a"] {
             now += Duration::from_millis(100);
@@ -82,8 +82,8 @@
     }
     assert!(pauses[0] < pauses[1] && pauses[1] < pauses[2], "{pauses:?}");
     now += Duration::from_secs(200);
-    view.failed(now, b);
-    view.heard(now, b, 1, false);
+    view.note_failure(now, b);
+    view.note_contact(now, b, 1, false);
     assert_eq!(home_names(&view, now), ["a", "b"], "what was long ago no longer counts");
 }
 
@@ -91,14 +91,14 @@
 fn a_peer_that_is_down_is_tried_ever_less_often() {
     let mut view = Membership::new(candidate("a"));
     let mut now = Instant::now();
-    view.listed(1, vec![member("b", 2, MemberState::Live)]);
+    view.apply_list(1, vec![member("b", 2, MemberState::Live)]);
     let b = id("b").tag();
     let mut tries = 0;
     let until = now + Duration::from_secs(120);
     while now < until {
-        if view.peer(b).expect("known").may_be_tried(now) {
+        if view.peer(b).expect("known").may_be_contacted(now) {
             tries += 1;
-            view.failed(now, b);
+            view.note_failure(now, b);
         }
         now += Duration::from_millis(100);
     }
@@ -109,12 +109,12 @@
 fn a_rumour_counts_only_where_nothing_was_heard_lately() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
-    view.listed(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Live)]);
-    view.heard(now, id("b").tag(), 1, false);
-    view.rumour(now, id("b").tag());
-    view.rumour(now, id("c").tag());
+    view.apply_list(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Live)]);
+    view.note_contact(now, id("b").tag(), 1, false);
+    view.note_reported_suspect(now, id("b").tag());
+    view.note_reported_suspect(now, id("c").tag());
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    assert!(view.suspected(now).is_empty(), "a rumour is not passed on as own evidence");
+    assert!(view.own_suspects(now).is_empty(), "a rumour is not passed on as own evidence");
     assert_eq!(home_names(&view, now + Duration::from_secs(3)), ["a", "b", "c"]);
 }
 
@@ -122,17 +122,20 @@
 fn leaving_and_replaced_instances_are_known_as_such() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
-    view.listed(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Leaving)]);
+    view.apply_list(
+        1,
+        vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Leaving)],
+    );
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    view.heard(now, id("b").tag(), 7, true);
+    view.note_contact(now, id("b").tag(), 7, true);
     assert_eq!(home_names(&view, now), ["a"]);
-    view.heard(now, id("b").tag(), 6, false);
+    view.note_contact(now, id("b").tag(), 6, false);
     assert_eq!(home_names(&view, now), ["a"], "what an older process said no longer counts");
-    view.heard(now, id("b").tag(), 8, false);
+    view.note_contact(now, id("b").tag(), 8, false);
     assert_eq!(home_names(&view, now), ["a", "b"], "the same address, a new process");
-    view.listed(2, vec![member("b", 9, MemberState::Live)]);
+    view.apply_list(2, vec![member("b", 9, MemberState::Live)]);
     assert_eq!(view.peer(id("b").tag()).expect("known").address.port(), 9);
-    view.listed(3, vec![member("b", 9, MemberState::Gone)]);
+    view.apply_list(3, vec![member("b", 9, MemberState::Gone)]);
     assert_eq!(home_names(&view, now), ["a"]);
     view.leave();
     assert_eq!(home_names(&view, now), ["a"], "the last one stays its own home");
@@ -144,11 +147,11 @@
     let now = Instant::now();
     view.introduce(now, member("b", 2, MemberState::Live));
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    assert_eq!(view.introduced(now).len(), 1);
+    assert_eq!(view.recent_introductions(now).len(), 1);
     view.introduce(now, member("b", 2, MemberState::Live));
     view.introduce(now, member("a", 1, MemberState::Live));
-    assert_eq!(view.introduced(now).len(), 1, "neither twice nor back to itself");
-    assert!(view.introduced(now + Duration::from_secs(60)).is_empty());
+    assert_eq!(view.recent_introductions(now).len(), 1, "neither twice nor back to itself");
+    assert!(view.recent_introductions(now + Duration::from_secs(60)).is_empty());
 }
 
 fn head(revision: u64) -> Head {
@@ -444,7 +447,7 @@
         }
     };
     check(&view, now, "alone");
-    view.listed(
+    view.apply_list(
         1,
         (0..20)
             .map(|n| member(&format!("r{n}"), 10 + n, MemberState::Live))
@@ -452,14 +455,14 @@
             .collect(),
     );
     check(&view, now, "listed");
-    view.failed(now, b);
+    view.note_failure(now, b);
     check(&view, now, "failed");
-    view.heard(now, b, 1, false);
+    view.note_contact(now, b, 1, false);
     check(&view, now, "heard");
-    view.heard(now, b, 1, true);
+    view.note_contact(now, b, 1, true);
     check(&view, now, "leaving");
     for n in 0..20 {
-        view.rumour(now, id(&format!("r{n}")).tag());
+        view.note_reported_suspect(now, id(&format!("r{n}")).tag());
     }
     check(&view, now, "rumours");
     now += Duration::from_secs(3);
