--- a/src/contract/lease.rs
+++ b/src/contract/lease.rs
@@ -7,7 +7,7 @@
 use crate::names::InstanceId;
 
 /// Life of a lease.
-pub const LEASE_LIFE: Duration = Duration::from_secs(15);
+pub const LEASE_TTL: Duration = Duration::from_secs(15);
 
 /// Time before the end of the lease, by the holder's own clock, from which it orders nothing.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(5);
@@ -69,26 +69,26 @@
                 return LeaseStep::Wait;
             }
         };
-        if stood_still < LEASE_LIFE {
+        if stood_still < LEASE_TTL {
             return LeaseStep::Wait;
         }
         LeaseStep::Write(self.row(row.fencing + 1, 1), Some(version))
     }
 
     /// Notes that the write begun at `began` took effect.
-    pub fn written(&mut self, began: Instant, row: &LeaseRow) {
+    pub fn note_written(&mut self, began: Instant, row: &LeaseRow) {
         self.held = Some((row.fencing, began));
     }
 
     /// Notes that the write did not take effect, or that its reply was lost.
-    pub fn not_written(&mut self) {
+    pub fn note_not_written(&mut self) {
         self.held = None;
     }
 
     /// Returns the fencing number while orders may be given at `now`.
     pub fn fencing(&self, now: Instant) -> Option<u64> {
         let (fencing, began) = self.held?;
-        (now.saturating_duration_since(began) < LEASE_LIFE - LEASE_MARGIN).then_some(fencing)
+        (now.saturating_duration_since(began) < LEASE_TTL - LEASE_MARGIN).then_some(fencing)
     }
 
     fn is_own(&self, row: &LeaseRow) -> bool {
--- a/src/contract/orders.rs
+++ b/src/contract/orders.rs
@@ -13,13 +13,13 @@
 };
 
 /// First pause before an order that failed is given again; doubles with each failure.
-const FAILED_FIRST: Duration = Duration::from_secs(2);
+const RETRY_PAUSE_FIRST: Duration = Duration::from_secs(2);
 
 /// Longest such pause.
-const FAILED_MAX: Duration = Duration::from_secs(60);
+const RETRY_PAUSE_MAX: Duration = Duration::from_secs(60);
 
 /// Time after which an engine that was ordered and is not ready yet counts as failed.
-const LOADING_MAX: Duration = Duration::from_secs(600);
+const LOADING_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// A model as an engine is to hold it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 }
 
 /// Returns what the file wants of an engine.
-pub fn desired(fleet: &Fleet, server: &BackendServer) -> DesiredState {
+pub fn desired_state(fleet: &Fleet, server: &BackendServer) -> DesiredState {
     let names = fleet.services.get(&server.service).map_or(&[][..], |service| &service.models);
     let models = names.iter().filter_map(|name| fleet.models.get(name)).map(|model| OrderedModel {
         id: model.id.to_string(),
@@ -64,13 +64,13 @@
 
 /// What was last seen of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum Observation {
     /// It did not answer.
     Unreachable,
     /// It answered.
-    Answered {
+    Responded {
         /// Whether it holds and is what is wanted.
-        as_wanted: bool,
+        up_to_date: bool,
         /// Whether it takes requests.
         ready: bool,
     },
@@ -78,7 +78,7 @@
 
 /// How a rollout is staged.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RolloutTerms {
+pub struct RolloutLimits {
     /// Most engines loading at once, for the weight store's sake.
     pub loads_at_once: usize,
     /// Least share of the engines that go on serving.
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Failure {
     count: u32,
-    again_at: Instant,
+    retry_at: Instant,
 }
 
 /// The rollout of one shard.
@@ -114,62 +114,67 @@
 
 impl Rollout {
     /// Returns the engines to be ordered now.
-    pub fn next(&mut self, now: Instant, engines: &[(Tag, Seen)], terms: RolloutTerms) -> Vec<Tag> {
+    pub fn next_engines(
+        &mut self,
+        now: Instant,
+        engines: &[(Tag, Observation)],
+        terms: RolloutLimits,
+    ) -> Vec<Tag> {
         let mut progress = Progress::default();
         let mut due = Vec::new();
         // Those that load something else already: ordering them takes no engine out of service.
-        let mut reordered = Vec::new();
+        let mut already_loading = Vec::new();
         let mut serving = 0;
         for (engine, seen) in engines {
             match *seen {
-                Seen::Unreachable => progress.failed += 1,
-                Seen::Answered { as_wanted: true, ready: true } => {
+                Observation::Unreachable => progress.failed += 1,
+                Observation::Responded { up_to_date: true, ready: true } => {
                     progress.done += 1;
                     serving += 1;
                     self.ordered.remove(engine);
                     self.failures.remove(engine);
                 }
-                Seen::Answered { as_wanted: true, ready: false } => progress.loading += 1,
-                Seen::Answered { as_wanted: false, ready } => {
+                Observation::Responded { up_to_date: true, ready: false } => progress.loading += 1,
+                Observation::Responded { up_to_date: false, ready } => {
                     serving += usize::from(ready);
                     progress.loading += usize::from(!ready);
-                    match (self.waits(now, *engine), ready) {
+                    match (self.is_paused(now, *engine), ready) {
                         (true, _) => progress.failed += 1,
                         (false, true) => due.push(*engine),
-                        (false, false) => reordered.push(*engine),
+                        (false, false) => already_loading.push(*engine),
                     }
                 }
             }
         }
-        progress.due = due.len() + reordered.len();
+        progress.due = due.len() + already_loading.len();
         self.progress = progress;
         let least = (terms.min_serving * engines.len() as f64).floor() as usize;
-        let room = terms.loads_at_once.saturating_sub(progress.loading);
-        due.truncate(room.min(serving.saturating_sub(least)));
-        reordered.extend(due);
-        reordered
+        let headroom = terms.loads_at_once.saturating_sub(progress.loading);
+        due.truncate(headroom.min(serving.saturating_sub(least)));
+        already_loading.extend(due);
+        already_loading
     }
 
-    fn waits(&mut self, now: Instant, engine: Tag) -> bool {
+    fn is_paused(&mut self, now: Instant, engine: Tag) -> bool {
         let stuck =
-            self.ordered.get(&engine).is_some_and(|at| now.duration_since(*at) >= LOADING_MAX);
+            self.ordered.get(&engine).is_some_and(|at| now.duration_since(*at) >= LOADING_TIMEOUT);
         if stuck {
-            self.failed(now, engine);
+            self.note_failure(now, engine);
         }
-        self.failures.get(&engine).is_some_and(|failure| now < failure.again_at)
+        self.failures.get(&engine).is_some_and(|failure| now < failure.retry_at)
     }
 
     /// Notes that an order was taken.
-    pub fn ordered(&mut self, now: Instant, engine: Tag) {
+    pub fn note_ordered(&mut self, now: Instant, engine: Tag) {
         self.ordered.insert(engine, now);
     }
 
     /// Notes that an order failed.
-    pub fn failed(&mut self, now: Instant, engine: Tag) {
+    pub fn note_failure(&mut self, now: Instant, engine: Tag) {
         let count = self.failures.get(&engine).map_or(0, |failure| failure.count);
-        let pause = FAILED_FIRST.saturating_mul(1 << count.min(10)).min(FAILED_MAX);
+        let pause = RETRY_PAUSE_FIRST.saturating_mul(1 << count.min(10)).min(RETRY_PAUSE_MAX);
         self.ordered.remove(&engine);
-        self.failures.insert(engine, Failure { count: count + 1, again_at: now + pause });
+        self.failures.insert(engine, Failure { count: count + 1, retry_at: now + pause });
     }
 
     /// Returns how far the rollout had come when it was last looked at.
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -11,7 +11,9 @@
     },
     contract::{
         lease::{Lease, LeaseRow, LeaseStep, ORDERS_PREFIX},
-        orders::{DesiredState, EngineOrder, Progress, Rollout, RolloutTerms, Seen, desired},
+        orders::{
+            DesiredState, EngineOrder, Observation, Progress, Rollout, RolloutLimits, desired_state,
+        },
     },
     instance::{
         homes::engines,
@@ -116,12 +118,12 @@
     let write = Operation { key, expect, write: Write::Put(encode(&lease)) };
     match shared.platform.table.transact(vec![write]) {
         Ok(TransactReply::Committed) => {
-            orders.lease.written(began, &lease);
+            orders.lease.note_written(began, &lease);
             orders.held_since.get_or_insert(began);
         }
         // A lost reply shows itself at the next renewal as an own row.
         Ok(TransactReply::Conflict { .. }) | Err(_) => {
-            orders.lease.not_written();
+            orders.lease.note_not_written();
             orders.held_since = None;
             orders.renewed = now.checked_sub(RENEWAL - RENEWAL_RETRY);
         }
@@ -145,17 +147,17 @@
     let servers = shard.engines.iter().filter_map(|engine| snapshot.server(engine.tag));
     let wanted: Vec<Wanted<'_>> = servers
         .filter(|server| server.reports_load && !server.leaving)
-        .map(|server| Wanted { server, state: desired(&snapshot.fleet, server) })
+        .map(|server| Wanted { server, state: desired_state(&snapshot.fleet, server) })
         .collect();
     let seen = at_once(&wanted, |wanted| look(shared, wanted));
-    let engines: Vec<(Tag, Seen)> =
+    let engines: Vec<(Tag, Observation)> =
         wanted.iter().zip(seen).map(|(w, seen)| (w.server.id.tag(), seen)).collect();
-    let terms = RolloutTerms {
+    let terms = RolloutLimits {
         loads_at_once: service.loads_at_once as usize,
         min_serving: service.min_serving,
     };
     let now = shared.clock.now();
-    let due = orders.rollout.next(now, &engines, terms);
+    let due = orders.rollout.next_engines(now, &engines, terms);
     let due: Vec<&Wanted<'_>> =
         wanted.iter().filter(|w| due.contains(&w.server.id.tag())).collect();
     for wanted in due {
@@ -178,11 +180,11 @@
     all
 }
 
-fn look(shared: &Shared, wanted: &Wanted<'_>) -> Seen {
+fn look(shared: &Shared, wanted: &Wanted<'_>) -> Observation {
     match engines::status(shared, wanted.server.address) {
-        None => Seen::Unreachable,
-        Some(status) => Seen::Answered {
-            as_wanted: status.order.state == wanted.state,
+        None => Observation::Unreachable,
+        Some(status) => Observation::Responded {
+            up_to_date: status.order.state == wanted.state,
             ready: status.is_ready(),
         },
     }
@@ -195,14 +197,14 @@
     let tag = wanted.server.id.tag();
     let detail = match result {
         Ok(()) => {
-            orders.rollout.ordered(now, tag);
+            orders.rollout.note_ordered(now, tag);
             "taken".to_owned()
         }
         Err(fault) => {
-            orders.rollout.failed(now, tag);
+            orders.rollout.note_failure(now, tag);
             if fault.is_fenced() {
                 // Somebody holds a newer lease.
-                orders.lease.not_written();
+                orders.lease.note_not_written();
             }
             fault.to_string()
         }
--- a/tests/suite/machines.rs
+++ b/tests/suite/machines.rs
@@ -10,7 +10,7 @@
     contract::{
         claim::{Claim, ClaimState, ClaimVerdict, StoredAnswer, judge},
         fair_queue::FairQueue,
-        lease::{LEASE_LIFE, LEASE_MARGIN, Lease, LeaseRow, LeaseStep},
+        lease::{LEASE_MARGIN, LEASE_TTL, Lease, LeaseRow, LeaseStep},
         membership::Membership,
         outcome::{AttemptFault, Outcome, Repeat, may_retry},
         retry::{RetryBudget, backoff},
@@ -211,9 +211,9 @@
             let holds = version == self.0.as_ref().map(|(_, version)| *version);
             if holds {
                 self.0 = Some((row.clone(), version.unwrap_or(0) + 1));
-                lease.written(now, &row);
+                lease.note_written(now, &row);
             } else {
-                lease.not_written();
+                lease.note_not_written();
             }
         }
     }
@@ -232,8 +232,8 @@
         table.step(&mut b, now);
         assert!(a.fencing(now).is_none() || b.fencing(now).is_none(), "two at once");
     }
-    assert!(now - start >= LEASE_LIFE, "taken over only once it stood still for its life");
-    assert_eq!(a.fencing(start + LEASE_LIFE - LEASE_MARGIN), None);
+    assert!(now - start >= LEASE_TTL, "taken over only once it stood still for its life");
+    assert_eq!(a.fencing(start + LEASE_TTL - LEASE_MARGIN), None);
     assert_eq!(b.fencing(now), Some(2), "the number grows with the holder");
     table.step(&mut a, now);
     assert_eq!(a.fencing(now), None, "the holder before finds that it is no longer");
@@ -249,8 +249,8 @@
     let mut again = Lease::new(id("a"), 2);
     table.step(&mut again, now);
     assert_eq!(again.fencing(now), None);
-    table.step(&mut again, now + LEASE_LIFE);
-    assert_eq!(again.fencing(now + LEASE_LIFE), Some(2));
+    table.step(&mut again, now + LEASE_TTL);
+    assert_eq!(again.fencing(now + LEASE_TTL), Some(2));
 }
 
 #[test]
--- a/tests/suite/orders.rs
+++ b/tests/suite/orders.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    contract::orders::{Progress, Rollout, RolloutTerms, Seen},
+    contract::orders::{Observation, Progress, Rollout, RolloutLimits},
     names::Tag,
 };
 use rustix::process::Signal;
@@ -11,54 +11,54 @@
 
 use crate::support::{chat, chat_call, eventually, fleet, send, small};
 
-const READY: Seen = Seen::Answered { as_wanted: true, ready: true };
-const LOADING: Seen = Seen::Answered { as_wanted: true, ready: false };
-const DUE: Seen = Seen::Answered { as_wanted: false, ready: true };
+const READY: Observation = Observation::Responded { up_to_date: true, ready: true };
+const LOADING: Observation = Observation::Responded { up_to_date: true, ready: false };
+const DUE: Observation = Observation::Responded { up_to_date: false, ready: true };
 
-fn engines(seen: &[Seen]) -> Vec<(Tag, Seen)> {
+fn engines(seen: &[Observation]) -> Vec<(Tag, Observation)> {
     seen.iter().enumerate().map(|(at, seen)| (Tag(at as u32), *seen)).collect()
 }
 
 #[test]
 fn a_rollout_keeps_enough_serving_and_loads_few_at_once() {
-    let terms = RolloutTerms { loads_at_once: 2, min_serving: 0.5 };
-    let table: [(&[Seen], usize); 8] = [
+    let terms = RolloutLimits { loads_at_once: 2, min_serving: 0.5 };
+    let table: [(&[Observation], usize); 8] = [
         // Two at once: one loads something else already and is ordered anew, and one more follows.
-        (&[DUE, DUE, DUE, Seen::Answered { as_wanted: false, ready: false }], 2),
+        (&[DUE, DUE, DUE, Observation::Responded { up_to_date: false, ready: false }], 2),
         (&[DUE; 8], 2),
         (&[DUE, DUE, DUE, LOADING], 1),
         (&[DUE, DUE, LOADING, LOADING], 0),
-        (&[DUE, DUE, Seen::Unreachable, Seen::Unreachable], 0),
+        (&[DUE, DUE, Observation::Unreachable, Observation::Unreachable], 0),
         (&[READY, READY, READY, DUE], 1),
         (&[READY; 4], 0),
         (&[DUE], 1),
     ];
     for (seen, count) in table {
-        let due = Rollout::default().next(Instant::now(), &engines(seen), terms);
+        let due = Rollout::default().next_engines(Instant::now(), &engines(seen), terms);
         assert_eq!(due.len(), count, "{seen:?}");
     }
 }
 
 #[test]
 fn an_order_that_failed_is_given_again_later_and_later() {
-    let terms = RolloutTerms { loads_at_once: 1, min_serving: 0.0 };
+    let terms = RolloutLimits { loads_at_once: 1, min_serving: 0.0 };
     let mut rollout = Rollout::default();
     let mut now = Instant::now();
     let mut pauses = Vec::new();
     for _ in 0..3 {
-        rollout.failed(now, Tag(0));
+        rollout.note_failure(now, Tag(0));
         let began = now;
-        while rollout.next(now, &engines(&[DUE]), terms).is_empty() {
+        while rollout.next_engines(now, &engines(&[DUE]), terms).is_empty() {
             assert_eq!(rollout.progress(), Progress { failed: 1, ..Progress::default() });
             now += Duration::from_millis(500);
         }
         pauses.push(now - began);
     }
     assert!(pauses[0] < pauses[1] && pauses[1] < pauses[2], "{pauses:?}");
-    rollout.next(now, &engines(&[READY]), terms);
-    rollout.failed(now, Tag(0));
+    rollout.next_engines(now, &engines(&[READY]), terms);
+    rollout.note_failure(now, Tag(0));
     assert!(
-        !rollout.next(now + pauses[0], &engines(&[DUE]), terms).is_empty(),
+        !rollout.next_engines(now + pauses[0], &engines(&[DUE]), terms).is_empty(),
         "success forgets failures"
     );
 }
