--- a/src/contract/claim.rs
+++ b/src/contract/claim.rs
@@ -13,7 +13,7 @@
 
 /// What a stored answer repeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// Status.
     pub status: u16,
     /// End-to-end headers.
@@ -29,7 +29,7 @@
     /// It may be running, or may have run without its answer being known.
     Running,
     /// It ran; the answer is kept.
-    Done(StoredAnswer),
+    Done(StoredResponse),
     /// It ran; the answer was too large to keep.
     DoneTooLarge,
     /// It may have run; its answer is not known and it is never run again.
@@ -63,7 +63,7 @@
     /// Run: the claim is this attempt's own.
     Run,
     /// Give the stored answer again.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// Take the expired row away (of this version) and claim anew.
     Renew,
     /// Refuse.
@@ -71,7 +71,7 @@
 }
 
 /// Decides what `own` may do, given the row that was found in its place.
-pub fn judge(own: &Claim, found: &Claim, now_millis: u64) -> ClaimVerdict {
+pub fn decide(own: &Claim, found: &Claim, now_millis: u64) -> ClaimVerdict {
     if found.attempt == own.attempt {
         // The reply to the own write was lost, and the write took effect.
         return ClaimVerdict::Run;
--- a/src/contract/outcome.rs
+++ b/src/contract/outcome.rs
@@ -72,13 +72,13 @@
     }
 
     /// Returns whether the fault speaks against the backend server itself.
-    pub fn blames_server(self) -> bool {
+    pub fn counts_against_server(self) -> bool {
         !matches!(self, AttemptFault::CallerGone | AttemptFault::Refused | AttemptFault::Withheld)
     }
 
     /// Returns whether the connection ended while the request may have been running: the server may have ended
     /// with it.
-    pub fn ends_connection(self) -> bool {
+    pub fn is_disconnect(self) -> bool {
         matches!(self, AttemptFault::AfterSend | AttemptFault::CutBody)
     }
 
@@ -112,7 +112,7 @@
 
 /// What a request is, as far as repeating it goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Running it twice does no harm.
     Idempotent,
     /// It must run at most once.
@@ -121,12 +121,12 @@
 
 /// Decides whether a request may be tried again after `fault`.
 ///
-/// `body_started` says whether part of an answer has already reached the caller.
-pub fn may_retry(fault: AttemptFault, repeat: Repeat, body_started: bool) -> bool {
-    if body_started || fault == AttemptFault::CallerGone {
+/// `response_started` says whether part of an answer has already reached the caller.
+pub fn may_retry(fault: AttemptFault, retry_safety: RetrySafety, response_started: bool) -> bool {
+    if response_started || fault == AttemptFault::CallerGone {
         return false;
     }
-    fault.outcome() == Outcome::NotRun || repeat == Repeat::Idempotent
+    fault.outcome() == Outcome::NotRun || retry_safety == RetrySafety::Idempotent
 }
 
 /// A final answer that the router itself gives.
@@ -167,7 +167,7 @@
     }
 
     /// Returns the refusal that ends a request after its last attempt failed with `fault`.
-    pub fn of_fault(fault: AttemptFault, retry_after: Duration) -> Refusal {
+    pub fn from_fault(fault: AttemptFault, retry_after: Duration) -> Refusal {
         let status = match fault {
             AttemptFault::HeadTimeout | AttemptFault::StalledBody => 504,
             AttemptFault::Connect
--- a/src/contract/retry.rs
+++ b/src/contract/retry.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 /// Most retries saved up by a budget.
-const SAVED_MAX: f64 = 10.0;
+const TOKENS_MAX: f64 = 10.0;
 
 /// Retries that a budget holds at the start.
-const SAVED_FIRST: f64 = 1.0;
+const TOKENS_FIRST: f64 = 1.0;
 
 /// Longest first pause before a retry.
 const BACKOFF_FIRST: Duration = Duration::from_millis(20);
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: f64,
-    saved: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
     /// Returns a budget of `share` retries for each request.
     pub fn new(share: f64) -> RetryBudget {
-        RetryBudget { share, saved: SAVED_FIRST }
+        RetryBudget { share, tokens: TOKENS_FIRST }
     }
 
     /// Sets the share.
@@ -33,16 +33,16 @@
     }
 
     /// Notes a first attempt.
-    pub fn request(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED_MAX);
+    pub fn note_request(&mut self) {
+        self.tokens = (self.tokens + self.share).min(TOKENS_MAX);
     }
 
     /// Takes one retry, if the budget has it.
     pub fn take(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/src/contract/revision.rs
+++ b/src/contract/revision.rs
@@ -24,29 +24,29 @@
 
 /// What an instance knows of the file in force.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct ActiveRevision {
     installed: Option<Head>,
-    learned: Option<Head>,
+    newest: Option<Head>,
 }
 
-impl InForce {
+impl ActiveRevision {
     /// Takes in a head learned from the store or a peer; older ones change nothing.
     ///
     /// Returns the head to fetch, if there is a newer one than the one installed.
-    pub fn learn(&mut self, head: Head) -> Option<&Head> {
+    pub fn note_head(&mut self, head: Head) -> Option<&Head> {
         let newer =
             |known: &Option<Head>| known.as_ref().is_none_or(|k| k.revision < head.revision);
-        if newer(&self.learned) && newer(&self.installed) {
-            self.learned = Some(head);
+        if newer(&self.newest) && newer(&self.installed) {
+            self.newest = Some(head);
         }
-        self.wanted()
+        self.pending()
     }
 
     /// Returns the head to fetch.
-    pub fn wanted(&self) -> Option<&Head> {
-        let learned = self.learned.as_ref()?;
+    pub fn pending(&self) -> Option<&Head> {
+        let newest = self.newest.as_ref()?;
         let installed = self.installed.as_ref().map_or(Revision::default(), |h| h.revision);
-        (learned.revision > installed).then_some(learned)
+        (newest.revision > installed).then_some(newest)
     }
 
     /// Notes that the content of `head` has been fetched and checked.
--- a/src/contract/team_limits.rs
+++ b/src/contract/team_limits.rs
@@ -46,12 +46,12 @@
     }
 
     /// Counts a request in flight.
-    pub fn began(&mut self, team: Tag) {
+    pub fn start_request(&mut self, team: Tag) {
         *self.in_flight.entry(team).or_default() += 1;
     }
 
     /// Counts a request as ended.
-    pub fn ended(&mut self, team: Tag) {
+    pub fn finish_request(&mut self, team: Tag) {
         if let Some(count) = self.in_flight.get_mut(&team) {
             *count = count.saturating_sub(1);
             if *count == 0 {
--- a/src/contract/token_bucket.rs
+++ b/src/contract/token_bucket.rs
@@ -8,23 +8,23 @@
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate: Rate,
-    most: f64,
+    capacity: f64,
     tokens: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl TokenBucket {
     /// Returns a full bucket that holds one second's tokens, at least one.
     pub fn new(rate: Rate, now: Instant) -> TokenBucket {
-        let most = rate.0.max(1.0);
-        TokenBucket { rate, most, tokens: most, at: now }
+        let capacity = rate.0.max(1.0);
+        TokenBucket { rate, capacity, tokens: capacity, updated_at: now }
     }
 
     /// Takes one token, or says how long until there is one.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate.0).min(self.most);
-        self.at = now;
+        let passed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + passed * self.rate.0).min(self.capacity);
+        self.updated_at = now;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -35,13 +35,13 @@
     /// Changes the rate; tokens already there stay, up to the new most.
     pub fn set_rate(&mut self, rate: Rate) {
         self.rate = rate;
-        self.most = rate.0.max(1.0);
-        self.tokens = self.tokens.min(self.most);
+        self.capacity = rate.0.max(1.0);
+        self.tokens = self.tokens.min(self.capacity);
     }
 
     /// Returns whether the bucket would be full at `now`.
     pub fn is_full(&self, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.tokens + passed * self.rate.0 >= self.most
+        let passed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.tokens + passed * self.rate.0 >= self.capacity
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -155,12 +155,12 @@
         drop(picker);
         self.note_version_fault(picked, fault);
         self.tries.failed(server, fault);
-        if fault.ends_connection() {
+        if fault.is_disconnect() {
             self.note_lost(picked);
         }
         self.gateway.metrics.attempt(&self.request.service, Some(fault));
         if fault != AttemptFault::CallerGone {
-            let ended = if fault.ends_connection() {
+            let ended = if fault.is_disconnect() {
                 format!(" digest={} ran_on={}", self.request.digest(), self.has_run_on())
             } else {
                 String::new()
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -10,7 +10,7 @@
 use crate::{
     configs::settings::{Platform as PlatformSettings, Settings},
     context::Context,
-    contract::{membership::Membership, revision::InForce},
+    contract::{membership::Membership, revision::ActiveRevision},
     instance::{
         homes::{
             links::HomeLinks, order_state::Orders, shards::HomeShards, streams, table::HomeTable,
@@ -94,7 +94,7 @@
         platform,
         peers,
         snapshot: ArcSwapOption::empty(),
-        in_force: Mutex::new(InForce::default()),
+        in_force: Mutex::new(ActiveRevision::default()),
         objects: ObjectCache::default(),
         home_table: Mutex::new(HomeTable::default()),
         membership: Mutex::new(Membership::new(own)),
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/knowledge/config.rs
@@ -102,9 +102,9 @@
     let wanted = {
         let mut in_force = lock(&shared.in_force);
         for head in heads {
-            in_force.learn(head);
+            in_force.note_head(head);
         }
-        in_force.wanted().cloned()
+        in_force.pending().cloned()
     };
     match wanted {
         Some(head) => install(shared, head),
--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -10,7 +10,7 @@
     clock::Clock,
     configs::fleet::chunks::{decode, encode},
     contract::{
-        claim::{Claim, ClaimState, ClaimVerdict, StoredAnswer, judge},
+        claim::{Claim, ClaimState, ClaimVerdict, StoredResponse, decide},
         outcome::Refusal,
     },
     platform::{Expect, Operation, PlatformFault, Row, Table, TransactReply, Write},
@@ -59,7 +59,7 @@
     /// Run, and finish the claim afterwards.
     Run(HeldClaim),
     /// Give the stored answer again.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// Refuse.
     Refuse(Refusal),
 }
@@ -136,7 +136,7 @@
                 "the claim of this Idempotency-Key was written by another version; it is not run again",
             ));
         };
-        match judge(own, &found, self.clock.wall_millis()) {
+        match decide(own, &found, self.clock.wall_millis()) {
             ClaimVerdict::Run => held(key, own, row.version),
             ClaimVerdict::Replay(answer) => Begun::Replay(answer),
             ClaimVerdict::Refuse(refusal) => Begun::Refuse(refusal),
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -10,8 +10,8 @@
 use crate::{
     configs::fleet::{BackendServer, ServiceKind, chunks::Digest},
     contract::{
-        claim::{Claim, ClaimState, StoredAnswer, row_key},
-        outcome::{AttemptFault, Outcome, Refusal, Repeat, may_retry},
+        claim::{Claim, ClaimState, StoredResponse, row_key},
+        outcome::{AttemptFault, Outcome, Refusal, RetrySafety, may_retry},
         permit::ReleaseKind,
         retry::{RetryBudget, backoff},
     },
@@ -167,7 +167,7 @@
     /// Tries backend servers until one answers or no further try is allowed.
     fn attempts(&mut self, conn: &mut Conn) -> Ended {
         let service = &self.view.service;
-        self.with_budget(RetryBudget::request);
+        self.with_budget(RetryBudget::note_request);
         let mut avoid = Vec::new();
         // Whether an earlier attempt may have run the request.
         let mut in_doubt = false;
@@ -198,7 +198,7 @@
             );
             let last = number + 1 == service.attempts;
             if last || !self.may_try_again(fault, number) {
-                return Ended::Refused(doubt(Refusal::of_fault(fault, RETRY_AFTER), in_doubt));
+                return Ended::Refused(doubt(Refusal::from_fault(fault, RETRY_AFTER), in_doubt));
             }
             self.shared.metrics.retry(&service.id);
             avoid.push(server.id.tag());
@@ -208,7 +208,7 @@
 
     /// Decides on another attempt and pauses before it.
     fn may_try_again(&self, fault: AttemptFault, number: u32) -> bool {
-        if !may_retry(fault, self.request.repeat, false) {
+        if !may_retry(fault, self.request.retry_safety, false) {
             return false;
         }
         let pause = backoff(number, fastrand::f64());
@@ -264,7 +264,7 @@
             None if report.leaving => ReleaseKind::Leaving,
             None => ReleaseKind::Done,
             Some(AttemptFault::Refused) => ReleaseKind::Refused,
-            Some(fault) if fault.blames_server() => ReleaseKind::Failed,
+            Some(fault) if fault.counts_against_server() => ReleaseKind::Failed,
             Some(_) => ReleaseKind::Unused,
         };
         place::release(self.shared, service, place, kind, report.load);
@@ -298,7 +298,7 @@
             headers: &headers,
             body: &request.body,
             id,
-            fresh: request.repeat == Repeat::AtMostOnce,
+            fresh: request.retry_safety == RetrySafety::AtMostOnce,
             until: request.deadline,
         };
         let mut watch = CallerWatch::new(self.shared, request, self.claim.is_some());
@@ -442,7 +442,7 @@
         let Some(held) = self.claim.take() else { return };
         let most = self.shared.settings.limits.stored_answer.bytes();
         let state = match body {
-            Some(body) if body.len() <= most => ClaimState::Done(StoredAnswer {
+            Some(body) if body.len() <= most => ClaimState::Done(StoredResponse {
                 status: status.as_u16(),
                 headers: text_headers(headers),
                 body: body.to_vec(),
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/place.rs
@@ -107,7 +107,10 @@
         Place::Permit(permit) => shared.desk.release(permit, kind, load),
         Place::Alone(engine) => {
             let now = shared.clock.now();
-            lock(&shared.baselines).entry(service.id.clone()).or_default().ended(now, engine, load);
+            lock(&shared.baselines)
+                .entry(service.id.clone())
+                .or_default()
+                .finish_request(now, engine, load);
         }
     }
 }
@@ -130,7 +133,7 @@
             view.service.id.as_str(),
         )
     })?;
-    baseline.started(engine);
+    baseline.start_request(engine);
     Ok(Place::Alone(engine))
 }
 
--- a/src/instance/requests/replay.rs
+++ b/src/instance/requests/replay.rs
@@ -3,7 +3,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
 use crate::{
-    contract::{claim::StoredAnswer, outcome::Outcome},
+    contract::{claim::StoredResponse, outcome::Outcome},
     instance::{
         requests::{forward::Ended, request::Request},
         shared::Shared,
@@ -20,7 +20,7 @@
     conn: &mut Conn,
     request: &Request,
     note: &AnswerNote,
-    answer: &StoredAnswer,
+    answer: &StoredResponse,
 ) -> Ended {
     let mut headers = HeaderMap::new();
     for (name, value) in &answer.headers {
--- a/src/instance/requests/request.rs
+++ b/src/instance/requests/request.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     configs::fleet::{Priority, Service, ServiceKind, Team},
-    contract::outcome::{Refusal, Repeat},
+    contract::outcome::{Refusal, RetrySafety},
     link::http1::{RequestHead, head::drop_hop_by_hop},
     zone::rendezvous::ChatKey,
 };
@@ -52,7 +52,7 @@
     /// Placement hint sent along by the caller.
     pub hint: Option<String>,
     /// Whether it may run twice.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Idempotency key.
     pub key: Option<String>,
     /// When it had been read.
@@ -90,7 +90,8 @@
         let key = idempotency_key(&head)?;
         let ruled =
             service.non_idempotent.iter().any(|rule| rule.covers(head.method.as_str(), path));
-        let repeat = if ruled || key.is_some() { Repeat::AtMostOnce } else { Repeat::Idempotent };
+        let retry_safety =
+            if ruled || key.is_some() { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
         let deadline = now + deadline(&head, service)?;
         let chat = chat_key(&head, &body, service, team)?;
         let hint = head.header(PLACEMENT_HEADER).map(str::to_owned);
@@ -104,7 +105,7 @@
             body,
             chat,
             hint,
-            repeat,
+            retry_safety,
             key,
             began: now,
             deadline,
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock::Clock,
     configs::settings::Settings,
-    contract::{membership::Membership, retry::RetryBudget, revision::InForce},
+    contract::{membership::Membership, retry::RetryBudget, revision::ActiveRevision},
     instance::{
         homes::{links::HomeLinks, order_state::Orders, shards::HomeShards, table::HomeTable},
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
@@ -57,7 +57,7 @@
     /// The file in force, ready for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
     /// Which file is in force.
-    pub in_force: Mutex<InForce>,
+    pub in_force: Mutex<ActiveRevision>,
     /// Objects of the file in force and the one before.
     pub objects: ObjectCache,
     /// Which instance is the home of which shard.
--- a/src/zone/baseline.rs
+++ b/src/zone/baseline.rs
@@ -76,12 +76,12 @@
     }
 
     /// Notes that a request goes to `engine`.
-    pub fn started(&mut self, engine: Tag) {
+    pub fn start_request(&mut self, engine: Tag) {
         *self.in_flight.entry(engine).or_default() += 1;
     }
 
     /// Notes that a request at `engine` ended, and the load it reported.
-    pub fn ended(&mut self, now: Instant, engine: Tag, load: Option<u32>) {
+    pub fn finish_request(&mut self, now: Instant, engine: Tag, load: Option<u32>) {
         if let Some(count) = self.in_flight.get_mut(&engine) {
             *count = count.saturating_sub(1);
         }
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -294,7 +294,7 @@
         if let Some(engine) = self.engines.get_mut(&permit.engine) {
             engine.permits += 1;
         }
-        self.teams.began(permit.team);
+        self.teams.start_request(permit.team);
         self.permits.insert(id, permit);
     }
 
@@ -303,7 +303,7 @@
         if let Some(engine) = self.engines.get_mut(&permit.engine) {
             engine.permits = engine.permits.saturating_sub(1);
         }
-        self.teams.ended(permit.team);
+        self.teams.finish_request(permit.team);
         Some(permit)
     }
 
--- a/tests/suite/machines.rs
+++ b/tests/suite/machines.rs
@@ -8,13 +8,13 @@
 use cartvane::{
     configs::fleet::{Fleet, chunks::Digest},
     contract::{
-        claim::{Claim, ClaimState, ClaimVerdict, StoredAnswer, judge},
+        claim::{Claim, ClaimState, ClaimVerdict, StoredResponse, decide},
         fair_queue::FairQueue,
         lease::{LEASE_MARGIN, LEASE_TTL, Lease, LeaseRow, LeaseStep},
         membership::Membership,
-        outcome::{AttemptFault, Outcome, Repeat, may_retry},
+        outcome::{AttemptFault, Outcome, RetrySafety, may_retry},
         retry::{RetryBudget, backoff},
-        revision::{Head, InForce},
+        revision::{ActiveRevision, Head},
         token_bucket::TokenBucket,
     },
     instance::{homes::table::HomeTable, knowledge::snapshot::Snapshot},
@@ -175,14 +175,14 @@
         ..Config::default()
     };
     let done = TestRunner::new(config).run(&strategy, |events| {
-        let mut in_force = InForce::default();
+        let mut in_force = ActiveRevision::default();
         let mut greatest = 0;
         let mut before = Revision::default();
         for (learns, revision) in events {
             if learns {
                 greatest = greatest.max(revision);
-                in_force.learn(head(revision));
-            } else if let Some(wanted) = in_force.wanted().cloned() {
+                in_force.note_head(head(revision));
+            } else if let Some(wanted) = in_force.pending().cloned() {
                 prop_assert!(wanted.revision > in_force.revision());
                 prop_assert!(in_force.install(wanted));
             } else if in_force.installed().is_some() {
@@ -192,7 +192,7 @@
             prop_assert!(in_force.revision() >= before);
             before = in_force.revision();
         }
-        while let Some(wanted) = in_force.wanted().cloned() {
+        while let Some(wanted) = in_force.pending().cloned() {
             in_force.install(wanted);
         }
         prop_assert_eq!(in_force.revision(), Revision(greatest));
@@ -262,9 +262,9 @@
         deadline_at: 100,
         expires_at: 1000,
     };
-    let answer = StoredAnswer { status: 200, headers: Vec::new(), body: b"x".to_vec() };
+    let answer = StoredResponse { status: 200, headers: Vec::new(), body: b"x".to_vec() };
     let other = |state| Claim { attempt: "other".to_owned(), state, ..own.clone() };
-    let status = |found: &Claim, now| match judge(&own, found, now) {
+    let status = |found: &Claim, now| match decide(&own, found, now) {
         ClaimVerdict::Run => "run".to_owned(),
         ClaimVerdict::Renew => "renew".to_owned(),
         ClaimVerdict::Replay(_) => "replay".to_owned(),
@@ -301,13 +301,20 @@
     let unknown = [AfterSend, HeadTimeout, Garbage, Foreign, CutBody, StalledBody, CallerGone];
     for fault in not_run {
         assert_eq!(fault.outcome(), Outcome::NotRun, "{fault:?}");
-        assert!(may_retry(fault, Repeat::AtMostOnce, false), "{fault:?}");
+        assert!(may_retry(fault, RetrySafety::AtMostOnce, false), "{fault:?}");
     }
     for fault in unknown {
         assert_eq!(fault.outcome(), Outcome::Unknown, "{fault:?}");
-        assert!(!may_retry(fault, Repeat::AtMostOnce, false), "{fault:?}");
-        assert_eq!(may_retry(fault, Repeat::Idempotent, false), fault != CallerGone, "{fault:?}");
-        assert!(!may_retry(fault, Repeat::Idempotent, true), "{fault:?}: part of an answer is out");
+        assert!(!may_retry(fault, RetrySafety::AtMostOnce, false), "{fault:?}");
+        assert_eq!(
+            may_retry(fault, RetrySafety::Idempotent, false),
+            fault != CallerGone,
+            "{fault:?}"
+        );
+        assert!(
+            !may_retry(fault, RetrySafety::Idempotent, true),
+            "{fault:?}: part of an answer is out"
+        );
     }
 }
 
@@ -315,7 +322,7 @@
 fn retries_stay_under_their_share_and_pauses_in_their_range() {
     let mut budget = RetryBudget::new(0.1);
     let retries = (0..10_000).filter(|_| {
-        budget.request();
+        budget.note_request();
         budget.take()
     });
     assert!(retries.count() <= 1002);
