--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -160,12 +160,12 @@
         drop(picker);
         self.note_version_fault(picked, fault);
         self.attempts.note_failure(server, fault);
-        if fault.ends_connection() {
+        if fault.is_disconnect() {
             self.note_connection_lost(picked);
         }
         self.gateway.metrics.attempt(&self.request.service, Some(fault));
         if fault != AttemptFault::CallerGone {
-            let suspect = if fault.ends_connection() {
+            let suspect = if fault.is_disconnect() {
                 format!(" digest={} ran_on={}", self.request.digest(), self.has_survived())
             } else {
                 String::new()
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -14,24 +14,27 @@
 
 use crate::{
     contract::{
-        permit::{Ask, Held, PermitId, RefuseReason, Release, ReleaseKind, Reply, TeamTerms},
+        permit::{
+            AnnouncedPermit, PermitId, PermitRequest, RefuseReason, Release, ReleaseKind, Reply,
+            TeamPolicy,
+        },
         team_limits::TeamLimits,
     },
     names::Tag,
     zone::{
-        engine::{EngineSlot, EngineSpec},
-        hand_over::{ContextMove, HandOver},
-        ledger::{Permit, PermitLedger},
+        chat_locations::ChatLocations,
+        context_moves::{ContextMove, ContextMoveQueue},
+        engine::{EngineSpec, EngineState},
         load_view::LoadView,
-        memory::ChatMemory,
+        permit_table::{Permit, PermitTable},
         rendezvous::{ChatKey, score},
         waiting::{Patient, Waiting, WaitingLine},
     },
 };
 
 pub use crate::zone::{
-    home_event::{Action, Event, HomeTerms, ShardLoad},
-    ledger::{ENTRY_CUT_SILENCE, ENTRY_SILENCE},
+    home_event::{Action, Event, HomeSettings, ShardLoad},
+    permit_table::{DISCONNECTED_ENTRY_TIMEOUT, ENTRY_TIMEOUT},
 };
 
 /// Time in which a new home also counts what engines report, until entries have announced theirs.
@@ -49,12 +52,12 @@
 /// The home of one shard.
 #[derive(Debug)]
 pub struct Home {
-    terms: HomeTerms,
-    engines: IndexMap<Tag, EngineSlot>,
-    permits: PermitLedger,
+    terms: HomeSettings,
+    engines: IndexMap<Tag, EngineState>,
+    permits: PermitTable,
     waiting: WaitingLine,
-    memory: ChatMemory,
-    hand_over: HandOver,
+    chats: ChatLocations,
+    move_queue: ContextMoveQueue,
     teams: TeamLimits,
     elsewhere: HashMap<Tag, (ShardLoad, Instant)>,
     guarded_until: Option<Instant>,
@@ -63,14 +66,14 @@
 
 impl Home {
     /// Returns a home that has just taken over its shard.
-    pub fn new(terms: HomeTerms, engines: Vec<EngineSpec>, now: Instant) -> Home {
+    pub fn new(terms: HomeSettings, engines: Vec<EngineSpec>, now: Instant) -> Home {
         Home {
             terms,
-            engines: engines.into_iter().map(|spec| (spec.tag, EngineSlot::new(spec))).collect(),
-            permits: PermitLedger::default(),
+            engines: engines.into_iter().map(|spec| (spec.tag, EngineState::new(spec))).collect(),
+            permits: PermitTable::default(),
             waiting: WaitingLine::default(),
-            memory: ChatMemory::new(terms.remembered),
-            hand_over: HandOver::default(),
+            chats: ChatLocations::new(terms.chats_max),
+            move_queue: ContextMoveQueue::default(),
             teams: TeamLimits::default(),
             elsewhere: HashMap::new(),
             guarded_until: Some(now + WARM_UP),
@@ -82,29 +85,29 @@
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Ask(ask, terms) => self.ask(now, ask, terms, &mut actions),
+            Event::PermitRequest(ask, terms) => self.ask(now, ask, terms, &mut actions),
             Event::Release(entry, release) => self.release(now, entry, release, &mut actions),
-            Event::EntryCut(entry) => self.permits.entry_cut(now, entry),
-            Event::Count(entry, held) => self.count(now, entry, held, &mut actions),
+            Event::EntryDisconnected(entry) => self.permits.note_disconnect(now, entry),
+            Event::HeldCount(entry, held) => self.count(now, entry, held, &mut actions),
             Event::Announce(entry, held, pending) => {
                 self.announce(now, entry, held, &pending, &mut actions)
             }
             Event::Engines(specs) => self.set_engines(now, specs, &mut actions),
-            Event::Terms(terms) => self.terms = terms,
+            Event::Settings(terms) => self.terms = terms,
             Event::Probed(engine, load) => self.with_engine(engine, |e| e.probed(now, load)),
             Event::ProbeFailed(engine) => self.with_engine(engine, |e| e.failed(now)),
-            Event::Listed(engine, leaving) => {
+            Event::ListedLeaving(engine, leaving) => {
                 self.with_engine(engine, |e| e.listed_leaving = leaving)
             }
-            Event::Leaving(engine, leaving) => {
-                self.with_engine(engine, |e| e.says_leaving = leaving)
+            Event::AnnouncedLeaving(engine, leaving) => {
+                self.with_engine(engine, |e| e.announced_leaving = leaving)
             }
-            Event::Elsewhere(home, load) => {
+            Event::OtherShardLoad(home, load) => {
                 self.elsewhere.insert(home, (load, now));
             }
-            Event::Moved(moves) => self.contexts_moved(moves),
-            Event::KeepsContexts(engine) => self.hand_over.give_up(engine),
-            Event::Remember(chats) => self.memory.learn(chats, self.is_home),
+            Event::ContextsMoved(moves) => self.contexts_moved(moves),
+            Event::ContextsNotMoved(engine) => self.move_queue.give_up(engine),
+            Event::ReplicatedChats(chats) => self.chats.learn(chats, self.is_home),
             Event::Role(is_home) => self.set_role(now, is_home),
             Event::Tick => self.tick(now, &mut actions),
         }
@@ -137,7 +140,7 @@
     }
 
     /// Returns the engines and their loads.
-    pub fn engines(&self) -> impl Iterator<Item = &EngineSlot> {
+    pub fn engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines.values()
     }
 
@@ -157,20 +160,26 @@
     }
 
     /// Returns the number of chats remembered.
-    pub fn remembered(&self) -> usize {
-        self.memory.len()
+    pub fn chat_count(&self) -> usize {
+        self.chats.len()
     }
 
     /// Returns the engine that `chat` was last on, and the engine it would go to now.
     pub fn explain(&self, now: Instant, chat: ChatKey) -> (Option<Tag>, Option<Tag>) {
-        (self.memory.get(chat), self.choose(now, chat, None, &[]))
+        (self.chats.get(chat), self.choose(now, chat, None, &[]))
     }
 
     fn is_guarded(&self, now: Instant) -> bool {
         !self.is_home || self.guarded_until.is_some_and(|until| now < until)
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask, terms: TeamTerms, actions: &mut Vec<Action>) {
+    fn ask(
+        &mut self,
+        now: Instant,
+        ask: PermitRequest,
+        terms: TeamPolicy,
+        actions: &mut Vec<Action>,
+    ) {
         self.permits.heard(now, ask.id.entry);
         if let Some(permit) = self.permits.get(&ask.id) {
             // The answer to the same ask was lost on its way.
@@ -183,7 +192,8 @@
         }
         if let Some(engine) = self.worth_waiting_for(now, &ask, &terms) {
             actions.push(Action::Reply(ask.id, Reply::Queued));
-            let (until, leaves) = (now + ask.left, now + self.terms.patience.min(ask.left / 4));
+            let (until, leaves) =
+                (now + ask.time_left, now + self.terms.affinity_wait.min(ask.time_left / 4));
             let waiting = Waiting { ask, terms, until };
             self.waiting.push_patient(Patient { waiting, engine, leaves });
             return;
@@ -202,11 +212,17 @@
 
     /// Returns the engine with the chat's context when it is full just now and a place on it is
     /// likely within the service's patience.
-    fn worth_waiting_for(&self, now: Instant, ask: &Ask, terms: &TeamTerms) -> Option<Tag> {
-        if self.terms.patience.is_zero() || terms.reserved || !self.waiting.queue().is_empty() {
+    fn worth_waiting_for(
+        &self,
+        now: Instant,
+        ask: &PermitRequest,
+        terms: &TeamPolicy,
+    ) -> Option<Tag> {
+        if self.terms.affinity_wait.is_zero() || terms.reserved || !self.waiting.queue().is_empty()
+        {
             return None;
         }
-        let known = [self.memory.get(ask.chat), ask.hint].into_iter().flatten();
+        let known = [self.chats.get(ask.chat), ask.hint].into_iter().flatten();
         let engine = known.filter_map(|tag| self.engines.get(&tag)).next()?;
         let (tag, view) = (engine.spec.tag, self.view(now));
         if !view.is_usable(engine) || ask.avoid.contains(&tag) || view.takes(engine) {
@@ -214,7 +230,7 @@
         }
         let ahead = self.waiting.patients_of(tag);
         let wait = self.waiting.expected_wait(ahead + 1, view.load(engine));
-        (wait < self.terms.patience.as_secs_f64()).then_some(tag)
+        (wait < self.terms.affinity_wait.as_secs_f64()).then_some(tag)
     }
 
     /// Grants to patients whose engine has room; those whose patience is over go elsewhere.
@@ -230,7 +246,7 @@
                 continue;
             }
             let Waiting { ask, terms, until } = self.waiting.take_patient(at);
-            let ask = Ask { left: until.saturating_duration_since(now), ..ask };
+            let ask = PermitRequest { time_left: until.saturating_duration_since(now), ..ask };
             let elsewhere = || self.choose(now, ask.chat, ask.hint, &ask.avoid);
             match granted.or_else(elsewhere) {
                 Some(engine) => self.grant(now, &ask, engine, actions),
@@ -243,42 +259,42 @@
     /// the first under the bound in the chat's own rank; a new chat fills the least loaded.
     fn choose(&self, now: Instant, chat: ChatKey, hint: Option<Tag>, avoid: &[Tag]) -> Option<Tag> {
         let view = self.view(now);
-        let takes = |engine: &&EngineSlot| view.takes(engine) && !avoid.contains(&engine.spec.tag);
-        let known = [self.memory.get(chat), hint];
+        let takes = |engine: &&EngineState| view.takes(engine) && !avoid.contains(&engine.spec.tag);
+        let known = [self.chats.get(chat), hint];
         let mut known_engines = known.iter().flatten().filter_map(|tag| self.engines.get(tag));
         if let Some(engine) = known_engines.find(takes) {
             return Some(engine.spec.tag);
         }
         let free = self.engines.values().filter(takes);
-        let ranked = |engine: &EngineSlot| score(chat.0, engine.spec.tag, engine.spec.weight);
+        let ranked = |engine: &EngineState| score(chat.0, engine.spec.tag, engine.spec.weight);
         if known.iter().any(Option::is_some) {
             return free.max_by(|a, b| ranked(a).total_cmp(&ranked(b))).map(|e| e.spec.tag);
         }
         // A new chat has no context to go to: it fills up the least loaded engine.
-        let order = |a: &&EngineSlot, b: &&EngineSlot| {
+        let order = |a: &&EngineState, b: &&EngineState| {
             view.filled(a).total_cmp(&view.filled(b)).then_with(|| ranked(b).total_cmp(&ranked(a)))
         };
         free.min_by(order).map(|e| e.spec.tag)
     }
 
-    fn grant(&mut self, now: Instant, ask: &Ask, engine: Tag, actions: &mut Vec<Action>) {
-        let expires = now + ask.left + PERMIT_MARGIN;
+    fn grant(&mut self, now: Instant, ask: &PermitRequest, engine: Tag, actions: &mut Vec<Action>) {
+        let expires = now + ask.time_left + PERMIT_MARGIN;
         let permit = Permit { engine, team: ask.team, granted: now, expires };
         self.add_permit(ask.id, permit);
-        self.memory.put(ask.chat, engine);
+        self.chats.put(ask.chat, engine);
         actions.push(Action::Reply(ask.id, Reply::Granted(engine)));
     }
 
     /// Returns what is remembered of chats.
-    pub fn memory_mut(&mut self) -> &mut ChatMemory {
-        &mut self.memory
+    pub fn chat_locations_mut(&mut self) -> &mut ChatLocations {
+        &mut self.chats
     }
 
     fn add_permit(&mut self, id: PermitId, permit: Permit) {
         if let Some(engine) = self.engines.get_mut(&permit.engine) {
             engine.permits += 1;
         }
-        self.teams.began(permit.team);
+        self.teams.start_request(permit.team);
         self.permits.insert(id, permit);
     }
 
@@ -287,7 +303,7 @@
         if let Some(engine) = self.engines.get_mut(&permit.engine) {
             engine.permits = engine.permits.saturating_sub(1);
         }
-        self.teams.ended(permit.team);
+        self.teams.finish_request(permit.team);
         Some(permit)
     }
 
@@ -295,8 +311,8 @@
     fn enqueue(
         &mut self,
         now: Instant,
-        ask: Ask,
-        terms: TeamTerms,
+        ask: PermitRequest,
+        terms: TeamPolicy,
         told: bool,
         actions: &mut Vec<Action>,
     ) {
@@ -306,14 +322,14 @@
         }
         let ahead = self.waiting.queue().ahead_of(ask.team, terms.weight, terms.reserved);
         let wait = self.expected_wait(ahead + 1);
-        if !terms.reserved && self.waiting.queue().len() >= self.terms.queue {
+        if !terms.reserved && self.waiting.queue().len() >= self.terms.queue_max {
             actions.push(Action::Reply(
                 ask.id,
                 refused(RefuseReason::QueueFull, wait.max(RETRY_AFTER)),
             ));
             return;
         }
-        if wait >= ask.left {
+        if wait >= ask.time_left {
             actions.push(Action::Reply(
                 ask.id,
                 refused(RefuseReason::Deadline, wait.max(RETRY_AFTER)),
@@ -323,7 +339,7 @@
         if !told {
             actions.push(Action::Reply(ask.id, Reply::Queued));
         }
-        let until = now + ask.left;
+        let until = now + ask.time_left;
         self.waiting.push(Waiting { ask, terms, until });
     }
 
@@ -352,7 +368,7 @@
             }
             match release.kind {
                 ReleaseKind::Done => engine.succeeded(),
-                ReleaseKind::Leaving => engine.says_leaving = true,
+                ReleaseKind::Leaving => engine.announced_leaving = true,
                 ReleaseKind::Failed | ReleaseKind::Refused => engine.failed(now),
                 ReleaseKind::Unused => {}
             }
@@ -375,7 +391,7 @@
                 self.waiting.push_front(waiting);
                 return;
             };
-            let ask = Ask { left: until.duration_since(now), ..ask.clone() };
+            let ask = PermitRequest { time_left: until.duration_since(now), ..ask.clone() };
             self.grant(now, &ask, engine, actions);
         }
     }
@@ -383,7 +399,7 @@
     fn count(&mut self, now: Instant, entry: Tag, held: usize, actions: &mut Vec<Action>) {
         self.permits.heard(now, entry);
         if self.permits.held_by(entry) != held {
-            actions.push(Action::WantAnnouncement(entry));
+            actions.push(Action::RequestAnnouncement(entry));
         }
     }
 
@@ -391,7 +407,7 @@
         &mut self,
         now: Instant,
         entry: Tag,
-        held: Vec<Held>,
+        held: Vec<AnnouncedPermit>,
         pending: &[u64],
         actions: &mut Vec<Action>,
     ) {
@@ -403,14 +419,14 @@
         for id in gone {
             self.remove_permit(id);
         }
-        for Held { number, engine, chat, team, left_ms } in held {
+        for AnnouncedPermit { number, engine, chat, team, left_ms } in held {
             let id = PermitId { entry, number };
             if self.permits.get(&id).is_some() {
                 continue;
             }
             let expires = now + Duration::from_millis(u64::from(left_ms)) + PERMIT_MARGIN;
             self.add_permit(id, Permit { engine, team, granted: now, expires });
-            self.memory.put(chat, engine);
+            self.chats.put(chat, engine);
         }
         self.serve_queue(now, actions);
     }
@@ -418,7 +434,7 @@
     fn set_engines(&mut self, now: Instant, specs: Vec<EngineSpec>, actions: &mut Vec<Action>) {
         let mut old = std::mem::take(&mut self.engines);
         for spec in specs {
-            let mut slot = old.swap_remove(&spec.tag).unwrap_or_else(|| EngineSlot::new(spec));
+            let mut slot = old.swap_remove(&spec.tag).unwrap_or_else(|| EngineState::new(spec));
             slot.spec = spec;
             slot.permits = self.permits.on_engine(spec.tag);
             self.engines.insert(spec.tag, slot);
@@ -426,7 +442,7 @@
         self.serve_queue(now, actions);
     }
 
-    fn with_engine(&mut self, engine: Tag, f: impl FnOnce(&mut EngineSlot)) {
+    fn with_engine(&mut self, engine: Tag, f: impl FnOnce(&mut EngineState)) {
         self.engines.get_mut(&engine).map(f);
     }
 
@@ -440,8 +456,8 @@
 
     fn contexts_moved(&mut self, moves: Vec<(ChatKey, Tag, Tag)>) {
         for (chat, from, to) in moves {
-            if self.memory.get(chat) == Some(from) {
-                self.memory.put(chat, to);
+            if self.chats.get(chat) == Some(from) {
+                self.chats.put(chat, to);
             }
         }
     }
@@ -453,19 +469,19 @@
         }
         let leaving: Vec<Tag> =
             self.engines.values().filter(|e| e.is_leaving()).map(|e| e.spec.tag).collect();
-        self.hand_over.retain(|engine| leaving.contains(&engine));
+        self.move_queue.retain(|engine| leaving.contains(&engine));
         for engine in leaving {
-            if !self.hand_over.knows(engine) {
-                let all = self.memory.all();
+            if !self.move_queue.knows(engine) {
+                let all = self.chats.all();
                 let own = all.into_iter().rev().filter(|(_, on)| *on == engine);
-                self.hand_over.begin(engine, own.map(|(chat, _)| chat));
+                self.move_queue.begin(engine, own.map(|(chat, _)| chat));
             }
         }
         let view = self.view(now);
         let usable = self.engines.values().filter(|e| view.is_usable(e));
         let targets: Vec<(Tag, f64)> = usable.map(|e| (e.spec.tag, e.spec.weight)).collect();
-        let memory = &self.memory;
-        self.hand_over.next(most, &targets, |chat, engine| memory.get(chat) == Some(engine))
+        let chats = &self.chats;
+        self.move_queue.next(most, &targets, |chat, engine| chats.get(chat) == Some(engine))
     }
 
     fn set_role(&mut self, now: Instant, is_home: bool) {
--- a/tests/suite/machines.rs
+++ b/tests/suite/state_machines.rs
@@ -8,13 +8,13 @@
 use cartvane::{
     configs::fleet::{Fleet, chunks::Digest},
     contract::{
-        claim::{Claim, ClaimState, ClaimVerdict, StoredAnswer, judge},
+        claim::{Claim, ClaimState, ClaimVerdict, StoredResponse, decide},
         fair_queue::FairQueue,
-        lease::{LEASE_LIFE, LEASE_MARGIN, Lease, LeaseRow, LeaseStep},
+        lease::{LEASE_MARGIN, LEASE_TTL, Lease, LeaseRow, LeaseStep},
         membership::Membership,
-        outcome::{AttemptFault, Outcome, Repeat, may_retry},
+        outcome::{AttemptFault, Outcome, RetrySafety, may_retry},
         retry::{RetryBudget, backoff},
-        revision::{Head, InForce},
+        revision::{ActiveRevision, Head},
         token_bucket::TokenBucket,
     },
     instance::{homes::table::HomeTable, knowledge::snapshot::Snapshot},
@@ -22,9 +22,9 @@
     platform::{Member, MemberKind, MemberState},
     units::{Rate, Revision},
     zone::{
+        chat_locations::ChatLocations,
         homes::{Candidate, home_of},
-        memory::ChatMemory,
-        recency::Recency,
+        recent_chats::RecentChats,
         rendezvous::{ChatKey, ranked, score},
         shard::{Shard, ShardId},
     },
@@ -63,17 +63,17 @@
 fn a_peer_that_fails_is_passed_over_until_heard_and_longer_the_more_it_flaps() {
     let mut view = Membership::new(candidate("a"));
     let mut now = Instant::now();
-    view.listed(1, vec![member("a", 1, MemberState::Live), member("b", 2, MemberState::Live)]);
+    view.apply_list(1, vec![member("a", 1, MemberState::Live), member("b", 2, MemberState::Live)]);
     assert_eq!(home_names(&view, now), ["a", "b"]);
     let b = id("b").tag();
-    view.failed(now, b);
+    view.note_failure(now, b);
     assert_eq!(home_names(&view, now + Duration::from_secs(3600)), ["a"], "silence heals nothing");
-    view.heard(now, b, 1, false);
+    view.note_contact(now, b, 1, false);
     assert_eq!(home_names(&view, now), ["a", "b"], "one failure is forgiven at once");
     let mut pauses = Vec::new();
     for _ in 0..3 {
-        view.failed(now, b);
-        view.heard(now, b, 1, false);
+        view.note_failure(now, b);
+        view.note_contact(now, b, 1, false);
         let began = now;
         while home_names(&view, now) == ["a"] {
             now += Duration::from_millis(100);
@@ -82,8 +82,8 @@
     }
     assert!(pauses[0] < pauses[1] && pauses[1] < pauses[2], "{pauses:?}");
     now += Duration::from_secs(200);
-    view.failed(now, b);
-    view.heard(now, b, 1, false);
+    view.note_failure(now, b);
+    view.note_contact(now, b, 1, false);
     assert_eq!(home_names(&view, now), ["a", "b"], "what was long ago no longer counts");
 }
 
@@ -91,14 +91,14 @@
 fn a_peer_that_is_down_is_tried_ever_less_often() {
     let mut view = Membership::new(candidate("a"));
     let mut now = Instant::now();
-    view.listed(1, vec![member("b", 2, MemberState::Live)]);
+    view.apply_list(1, vec![member("b", 2, MemberState::Live)]);
     let b = id("b").tag();
     let mut tries = 0;
     let until = now + Duration::from_secs(120);
     while now < until {
-        if view.peer(b).expect("known").may_be_tried(now) {
+        if view.peer(b).expect("known").may_be_contacted(now) {
             tries += 1;
-            view.failed(now, b);
+            view.note_failure(now, b);
         }
         now += Duration::from_millis(100);
     }
@@ -109,12 +109,12 @@
 fn a_rumour_counts_only_where_nothing_was_heard_lately() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
-    view.listed(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Live)]);
-    view.heard(now, id("b").tag(), 1, false);
-    view.rumour(now, id("b").tag());
-    view.rumour(now, id("c").tag());
+    view.apply_list(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Live)]);
+    view.note_contact(now, id("b").tag(), 1, false);
+    view.note_reported_suspect(now, id("b").tag());
+    view.note_reported_suspect(now, id("c").tag());
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    assert!(view.suspected(now).is_empty(), "a rumour is not passed on as own evidence");
+    assert!(view.own_suspects(now).is_empty(), "a rumour is not passed on as own evidence");
     assert_eq!(home_names(&view, now + Duration::from_secs(3)), ["a", "b", "c"]);
 }
 
@@ -122,17 +122,20 @@
 fn leaving_and_replaced_instances_are_known_as_such() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
-    view.listed(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Leaving)]);
+    view.apply_list(
+        1,
+        vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Leaving)],
+    );
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    view.heard(now, id("b").tag(), 7, true);
+    view.note_contact(now, id("b").tag(), 7, true);
     assert_eq!(home_names(&view, now), ["a"]);
-    view.heard(now, id("b").tag(), 6, false);
+    view.note_contact(now, id("b").tag(), 6, false);
     assert_eq!(home_names(&view, now), ["a"], "what an older process said no longer counts");
-    view.heard(now, id("b").tag(), 8, false);
+    view.note_contact(now, id("b").tag(), 8, false);
     assert_eq!(home_names(&view, now), ["a", "b"], "the same address, a new process");
-    view.listed(2, vec![member("b", 9, MemberState::Live)]);
+    view.apply_list(2, vec![member("b", 9, MemberState::Live)]);
     assert_eq!(view.peer(id("b").tag()).expect("known").address.port(), 9);
-    view.listed(3, vec![member("b", 9, MemberState::Gone)]);
+    view.apply_list(3, vec![member("b", 9, MemberState::Gone)]);
     assert_eq!(home_names(&view, now), ["a"]);
     view.leave();
     assert_eq!(home_names(&view, now), ["a"], "the last one stays its own home");
@@ -144,11 +147,11 @@
     let now = Instant::now();
     view.introduce(now, member("b", 2, MemberState::Live));
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    assert_eq!(view.introduced(now).len(), 1);
+    assert_eq!(view.recent_introductions(now).len(), 1);
     view.introduce(now, member("b", 2, MemberState::Live));
     view.introduce(now, member("a", 1, MemberState::Live));
-    assert_eq!(view.introduced(now).len(), 1, "neither twice nor back to itself");
-    assert!(view.introduced(now + Duration::from_secs(60)).is_empty());
+    assert_eq!(view.recent_introductions(now).len(), 1, "neither twice nor back to itself");
+    assert!(view.recent_introductions(now + Duration::from_secs(60)).is_empty());
 }
 
 fn head(revision: u64) -> Head {
@@ -172,14 +175,14 @@
         ..Config::default()
     };
     let done = TestRunner::new(config).run(&strategy, |events| {
-        let mut in_force = InForce::default();
+        let mut in_force = ActiveRevision::default();
         let mut greatest = 0;
         let mut before = Revision::default();
         for (learns, revision) in events {
             if learns {
                 greatest = greatest.max(revision);
-                in_force.learn(head(revision));
-            } else if let Some(wanted) = in_force.wanted().cloned() {
+                in_force.note_head(head(revision));
+            } else if let Some(wanted) = in_force.pending().cloned() {
                 prop_assert!(wanted.revision > in_force.revision());
                 prop_assert!(in_force.install(wanted));
             } else if in_force.installed().is_some() {
@@ -189,7 +192,7 @@
             prop_assert!(in_force.revision() >= before);
             before = in_force.revision();
         }
-        while let Some(wanted) = in_force.wanted().cloned() {
+        while let Some(wanted) = in_force.pending().cloned() {
             in_force.install(wanted);
         }
         prop_assert_eq!(in_force.revision(), Revision(greatest));
@@ -208,9 +211,9 @@
             let holds = version == self.0.as_ref().map(|(_, version)| *version);
             if holds {
                 self.0 = Some((row.clone(), version.unwrap_or(0) + 1));
-                lease.written(now, &row);
+                lease.note_written(now, &row);
             } else {
-                lease.not_written();
+                lease.note_not_written();
             }
         }
     }
@@ -229,8 +232,8 @@
         table.step(&mut b, now);
         assert!(a.fencing(now).is_none() || b.fencing(now).is_none(), "two at once");
     }
-    assert!(now - start >= LEASE_LIFE, "taken over only once it stood still for its life");
-    assert_eq!(a.fencing(start + LEASE_LIFE - LEASE_MARGIN), None);
+    assert!(now - start >= LEASE_TTL, "taken over only once it stood still for its life");
+    assert_eq!(a.fencing(start + LEASE_TTL - LEASE_MARGIN), None);
     assert_eq!(b.fencing(now), Some(2), "the number grows with the holder");
     table.step(&mut a, now);
     assert_eq!(a.fencing(now), None, "the holder before finds that it is no longer");
@@ -246,8 +249,8 @@
     let mut again = Lease::new(id("a"), 2);
     table.step(&mut again, now);
     assert_eq!(again.fencing(now), None);
-    table.step(&mut again, now + LEASE_LIFE);
-    assert_eq!(again.fencing(now + LEASE_LIFE), Some(2));
+    table.step(&mut again, now + LEASE_TTL);
+    assert_eq!(again.fencing(now + LEASE_TTL), Some(2));
 }
 
 #[test]
@@ -259,9 +262,9 @@
         deadline_at: 100,
         expires_at: 1000,
     };
-    let answer = StoredAnswer { status: 200, headers: Vec::new(), body: b"x".to_vec() };
+    let answer = StoredResponse { status: 200, headers: Vec::new(), body: b"x".to_vec() };
     let other = |state| Claim { attempt: "other".to_owned(), state, ..own.clone() };
-    let status = |found: &Claim, now| match judge(&own, found, now) {
+    let status = |found: &Claim, now| match decide(&own, found, now) {
         ClaimVerdict::Run => "run".to_owned(),
         ClaimVerdict::Renew => "renew".to_owned(),
         ClaimVerdict::Replay(_) => "replay".to_owned(),
@@ -298,13 +301,20 @@
     let unknown = [AfterSend, HeadTimeout, Garbage, Foreign, CutBody, StalledBody, CallerGone];
     for fault in not_run {
         assert_eq!(fault.outcome(), Outcome::NotRun, "{fault:?}");
-        assert!(may_retry(fault, Repeat::AtMostOnce, false), "{fault:?}");
+        assert!(may_retry(fault, RetrySafety::AtMostOnce, false), "{fault:?}");
     }
     for fault in unknown {
         assert_eq!(fault.outcome(), Outcome::Unknown, "{fault:?}");
-        assert!(!may_retry(fault, Repeat::AtMostOnce, false), "{fault:?}");
-        assert_eq!(may_retry(fault, Repeat::Idempotent, false), fault != CallerGone, "{fault:?}");
-        assert!(!may_retry(fault, Repeat::Idempotent, true), "{fault:?}: part of an answer is out");
+        assert!(!may_retry(fault, RetrySafety::AtMostOnce, false), "{fault:?}");
+        assert_eq!(
+            may_retry(fault, RetrySafety::Idempotent, false),
+            fault != CallerGone,
+            "{fault:?}"
+        );
+        assert!(
+            !may_retry(fault, RetrySafety::Idempotent, true),
+            "{fault:?}: part of an answer is out"
+        );
     }
 }
 
@@ -312,7 +322,7 @@
 fn retries_stay_under_their_share_and_pauses_in_their_range() {
     let mut budget = RetryBudget::new(0.1);
     let retries = (0..10_000).filter(|_| {
-        budget.request();
+        budget.note_request();
         budget.take()
     });
     assert!(retries.count() <= 1002);
@@ -399,7 +409,7 @@
 
 #[test]
 fn memory_keeps_the_most_recent_and_tells_only_news() {
-    let mut recency = Recency::new(1000);
+    let mut recency = RecentChats::new(1000);
     for chat in 0..5000 {
         recency.put(ChatKey(chat), Tag(1));
     }
@@ -408,17 +418,17 @@
             && recency.get(ChatKey(4999)).is_some()
             && recency.get(ChatKey(0)).is_none()
     );
-    let mut memory = ChatMemory::new(1000);
+    let mut memory = ChatLocations::new(1000);
     for _ in 0..3 {
         memory.put(ChatKey(1), Tag(1));
         memory.put(ChatKey(2), Tag(1));
     }
     memory.put(ChatKey(1), Tag(2));
-    assert_eq!(memory.take_untold(10).len(), 3, "two chats, one of which moved");
-    memory.tell_all();
-    let all = memory.take_untold(10);
+    assert_eq!(memory.take_unreplicated(10).len(), 3, "two chats, one of which moved");
+    memory.mark_all_unreplicated();
+    let all = memory.take_unreplicated(10);
     assert_eq!(all.len(), 2);
-    let mut replica = ChatMemory::new(1000);
+    let mut replica = ChatLocations::new(1000);
     replica.learn(all, false);
     assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)));
     replica.learn(vec![(ChatKey(1), Tag(3))], true);
@@ -444,7 +454,7 @@
         }
     };
     check(&view, now, "alone");
-    view.listed(
+    view.apply_list(
         1,
         (0..20)
             .map(|n| member(&format!("r{n}"), 10 + n, MemberState::Live))
@@ -452,14 +462,14 @@
             .collect(),
     );
     check(&view, now, "listed");
-    view.failed(now, b);
+    view.note_failure(now, b);
     check(&view, now, "failed");
-    view.heard(now, b, 1, false);
+    view.note_contact(now, b, 1, false);
     check(&view, now, "heard");
-    view.heard(now, b, 1, true);
+    view.note_contact(now, b, 1, true);
     check(&view, now, "leaving");
     for n in 0..20 {
-        view.rumour(now, id(&format!("r{n}")).tag());
+        view.note_reported_suspect(now, id(&format!("r{n}")).tag());
     }
     check(&view, now, "rumours");
     now += Duration::from_secs(3);
