--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -132,7 +132,7 @@
         // From now on the next in line is the home of every shard held here.
         lock(&shared.membership).leave();
     }
-    shared.desk.flush(|id| shared.home_of_id(id));
+    shared.permit_client.send_due(|id| shared.home_of_id(id));
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     shared.homes.tick(&snapshot, |shard| shared.home_of(shard) == shared.tag);
     if !ticks.is_multiple_of(SLOW_TICKS) {
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -18,7 +18,7 @@
         knowledge::{config::Waker, objects::ObjectCache},
         requests::{
             claims::Claims,
-            desk::{Desk, DeskLinks},
+            permit_client::{HomeTransport, PermitClient},
         },
         shared::{DrainState, Shared},
     },
@@ -71,13 +71,14 @@
     // The desk and the homes speak to each other through the instance, which holds both.
     let this: Arc<OnceLock<Weak<Shared>>> = Arc::default();
     let reply_time = settings.timeouts.peer.0;
-    let desk = Desk::new(tag, incarnation, reply_time, clock.clone(), desk_links(&this));
+    let permit_client =
+        PermitClient::new(tag, incarnation, reply_time, clock.clone(), home_transport(&this));
     let late = Arc::clone(&this);
     let remembered = settings.limits.remembered_chats as usize;
     let homes = HomeShards::new(clock.clone(), remembered, move |id, reply| {
         let Some(shared) = upgrade(&late) else { return };
         if id.entry == tag {
-            shared.desk.take_own(id, reply);
+            shared.permit_client.handle_own_reply(id, reply);
         } else {
             shared.home_links.reply(shared.hello(), id, reply);
         }
@@ -98,7 +99,7 @@
         objects: ObjectCache::default(),
         home_table: Mutex::new(HomeTable::default()),
         membership: Mutex::new(Membership::new(own)),
-        desk,
+        permit_client,
         homes,
         home_links: HomeLinks::default(),
         orders: Orders::default(),
@@ -120,19 +121,19 @@
     this.get()?.upgrade()
 }
 
-fn desk_links(this: &Arc<OnceLock<Weak<Shared>>>) -> DeskLinks {
+fn home_transport(this: &Arc<OnceLock<Weak<Shared>>>) -> HomeTransport {
     let (sends, cuts) = (Arc::clone(this), Arc::clone(this));
-    DeskLinks {
+    HomeTransport {
         send: Box::new(move |home, batches| {
             let Some(shared) = upgrade(&sends) else { return false };
             if home != shared.tag {
                 return streams::send(&shared, home, batches);
             }
             let answer = streams::take_batches(&shared, &shared.hello(), batches);
-            shared.desk.take(home, answer);
+            shared.permit_client.handle_message(home, answer);
             true
         }),
-        cut: Box::new(move |home| {
+        disconnect: Box::new(move |home| {
             if let Some(shared) = upgrade(&cuts) {
                 shared.home_links.cut(home);
             }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -122,7 +122,7 @@
         if let Some(hello) = &message.hello {
             shared.greeted(hello);
         }
-        shared.desk.take(home, message);
+        shared.permit_client.handle_message(home, message);
     }
     end.sender.cut();
     {
@@ -132,7 +132,7 @@
         }
     }
     if let Some(shared) = shared.upgrade().filter(|shared| !shared.drain.is_stopped()) {
-        shared.desk.home_lost(home);
+        shared.permit_client.note_home_lost(home);
         // A home whose process has ended refuses at once; permits then move without waiting for
         // the next ask to find out.
         if open(&shared, home).is_none() {
--- a/src/instance/operators/status.rs
+++ b/src/instance/operators/status.rs
@@ -88,7 +88,7 @@
         ready: shared.is_ready(),
         draining: shared.drain.is_draining(),
         requests: shared.usage.requests(),
-        permits: shared.desk.held(),
+        permits: shared.permit_client.held(),
         shards: shared.homes.status().into_iter().map(|shard| named(shared, shard)).collect(),
     }
 }
--- a/src/instance/requests/mod.rs
+++ b/src/instance/requests/mod.rs
@@ -1,14 +1,14 @@
 //! The way of a request: read and admitted (`entry`, `request`), claimed by its key (`claims`), given a
-//! place at an engine (`place`, `desk`), sent and answered (`forward`, `replay`).
+//! place at an engine (`place`, `permit_client`), sent and answered (`forward`, `replay`).
 
 pub mod answer_parts;
 pub mod caller_watch;
 pub mod claims;
-pub mod desk;
 pub mod engine_report;
 pub mod engine_streams;
 pub mod entry;
 pub mod forward;
+pub mod permit_client;
 pub mod place;
 pub mod replay;
 pub mod request;
--- a/src/instance/requests/desk.rs
+++ b/src/instance/requests/permit_client.rs
@@ -28,11 +28,11 @@
 const LOOK_PERIOD: Duration = Duration::from_millis(100);
 
 /// How homes are reached.
-pub struct DeskLinks {
+pub struct HomeTransport {
     /// Hands batches to a home; false when it is not reached.
     pub send: Box<dyn Fn(Tag, Vec<ShardBatch>) -> bool + Send + Sync>,
     /// Cuts the stream to a home that does not answer.
-    pub cut: Box<dyn Fn(Tag) + Send + Sync>,
+    pub disconnect: Box<dyn Fn(Tag) + Send + Sync>,
 }
 
 /// A permit in hand.
@@ -46,7 +46,7 @@
 
 /// How an ask ended without a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskEnd {
+pub enum PermitError {
     /// The home answered otherwise.
     Reply(Reply),
     /// The home was not reached or did not answer.
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 struct PendingAsk {
     shard: ShardId,
-    ask: AskWire,
+    request: AskWire,
     slot: Arc<Slot>,
 }
 
@@ -118,16 +118,16 @@
 }
 
 /// An entry's permits and the asks for more.
-pub struct Desk {
+pub struct PermitClient {
     clock: Clock,
     incarnation: u32,
     own: Tag,
     reply_time: Duration,
     state: Mutex<State>,
-    links: DeskLinks,
+    links: HomeTransport,
 }
 
-impl Desk {
+impl PermitClient {
     /// Returns the desk of an entry that holds nothing.
     ///
     /// A home that gives no first reply within `reply_time` counts as lost.
@@ -136,13 +136,13 @@
         incarnation: u32,
         reply_time: Duration,
         clock: Clock,
-        links: DeskLinks,
-    ) -> Desk {
-        Desk { clock, incarnation, own, reply_time, state: Mutex::default(), links }
+        links: HomeTransport,
+    ) -> PermitClient {
+        PermitClient { clock, incarnation, own, reply_time, state: Mutex::default(), links }
     }
 
     /// Returns the identity of a new ask.
-    pub fn next_id(&self) -> PermitId {
+    pub fn next_permit_id(&self) -> PermitId {
         let mut state = lock(&self.state);
         state.counter = state.counter.wrapping_add(1);
         PermitId {
@@ -157,54 +157,57 @@
     ///
     /// # Errors
     ///
-    /// See [`AskEnd`]; whatever the home granted meanwhile is given back.
-    pub fn ask(
+    /// See [`PermitError`]; whatever the home granted meanwhile is given back.
+    pub fn request(
         &self,
         home: Tag,
         shard: ShardId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<Permit, AskEnd> {
+    ) -> Result<Permit, PermitError> {
         let began = self.clock.now();
         let slot = Arc::new(Slot { state: Mutex::new(SlotState::Asked), changed: Condvar::new() });
-        let number = short(ask.id.number);
-        let wire = AskWire::of(ask);
+        let number = short(request.id.number);
+        let wire = AskWire::of(request);
         let sent = self.tell(home, |_, link| {
-            let pending = PendingAsk { shard, ask: wire.clone(), slot: Arc::clone(&slot) };
+            let pending = PendingAsk { shard, request: wire.clone(), slot: Arc::clone(&slot) };
             link.pending.insert(number, pending);
             vec![ShardBatch { asks: vec![wire], ..ShardBatch::new(shard) }]
         });
         if !sent {
-            self.home_lost(home);
+            self.note_home_lost(home);
         }
         let end = loop {
             let state = *lock(&slot.state);
             match state {
                 SlotState::Answered(Reply::Granted(engine)) => {
-                    return Ok(Permit { number: ask.id.number, engine });
+                    return Ok(Permit { number: request.id.number, engine });
                 }
-                SlotState::Answered(reply) => return Err(AskEnd::Reply(reply)),
-                SlotState::HomeLost => return Err(AskEnd::HomeLost),
+                SlotState::Answered(reply) => return Err(PermitError::Reply(reply)),
+                SlotState::HomeLost => return Err(PermitError::HomeLost),
                 SlotState::Asked | SlotState::Queued => {}
             }
             let reply_until = if state == SlotState::Asked {
                 began + self.reply_time
             } else {
-                began + ask.time_left
+                began + request.time_left
             };
             if let Some(end) =
-                self.wait_a_little(&slot, state, reply_until.min(began + ask.time_left), go_on)
+                self.wait_a_little(&slot, state, reply_until.min(began + request.time_left), go_on)
             {
                 break end;
             }
         };
         self.give_up(home, shard, number);
         let unanswered = *lock(&slot.state) == SlotState::Asked;
-        if end == AskEnd::Deadline && unanswered && self.clock.now() < began + ask.time_left {
+        if end == PermitError::Deadline
+            && unanswered
+            && self.clock.now() < began + request.time_left
+        {
             // No first reply in time: the home is frozen or cut off.
-            (self.links.cut)(home);
-            self.home_lost(home);
-            return Err(AskEnd::HomeLost);
+            (self.links.disconnect)(home);
+            self.note_home_lost(home);
+            return Err(PermitError::HomeLost);
         }
         Err(end)
     }
@@ -215,18 +218,18 @@
         seen: SlotState,
         until: Instant,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Option<AskEnd> {
+    ) -> Option<PermitError> {
         let state = lock(&slot.state);
         if *state != seen {
             return None;
         }
         let time_left = until.saturating_duration_since(self.clock.now());
         if time_left.is_zero() {
-            return Some(AskEnd::Deadline);
+            return Some(PermitError::Deadline);
         }
         // Woken or not, the state is looked at again by the caller.
         drop(slot.changed.wait_timeout(state, time_left.min(LOOK_PERIOD)));
-        (!go_on()).then_some(AskEnd::CallerGone)
+        (!go_on()).then_some(PermitError::CallerGone)
     }
 
     /// Withdraws an ask: what the home granted or queued for it is given back.
@@ -273,7 +276,7 @@
     }
 
     /// Takes in a home's message.
-    pub fn take(&self, home: Tag, message: HomeMessage) {
+    pub fn handle_message(&self, home: Tag, message: HomeMessage) {
         let mut state = lock(&self.state);
         let State { held, links, .. } = &mut *state;
         let link = links.entry(home).or_default();
@@ -286,12 +289,20 @@
                 pending.slot.set(SlotState::Queued);
                 continue;
             }
-            if let Some(PendingAsk { shard, ask, slot }) = link.pending.remove(&number) {
+            if let Some(PendingAsk { shard, request, slot }) = link.pending.remove(&number) {
                 if let Reply::Granted(engine) = reply {
-                    let until = self.clock.now() + Duration::from_millis(u64::from(ask.left_ms));
+                    let until =
+                        self.clock.now() + Duration::from_millis(u64::from(request.left_ms));
                     held.insert(
                         number,
-                        HeldPermit { shard, home, engine, chat: ask.chat, team: ask.team, until },
+                        HeldPermit {
+                            shard,
+                            home,
+                            engine,
+                            chat: request.chat,
+                            team: request.team,
+                            until,
+                        },
                     );
                 }
                 slot.set(SlotState::Answered(reply));
@@ -300,13 +311,16 @@
     }
 
     /// Takes in a late reply of this instance's own home.
-    pub fn take_own(&self, id: PermitId, reply: Reply) {
+    pub fn handle_own_reply(&self, id: PermitId, reply: Reply) {
         let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
-        self.take(self.own, HomeMessage { replies: vec![reply], ..HomeMessage::default() });
+        self.handle_message(
+            self.own,
+            HomeMessage { replies: vec![reply], ..HomeMessage::default() },
+        );
     }
 
     /// Notes that `home` is lost: what waits there is asked again elsewhere.
-    pub fn home_lost(&self, home: Tag) {
+    pub fn note_home_lost(&self, home: Tag) {
         let mut state = lock(&self.state);
         let link = state.links.entry(home).or_default();
         for (_, pending) in link.pending.drain() {
@@ -319,7 +333,7 @@
     ///
     /// `home_of` returns the home of a shard by the view of the moment; permits whose shard has
     /// moved are announced to the new home.
-    pub fn flush(&self, home_of: impl Fn(ShardId) -> Option<Tag>) {
+    pub fn send_due(&self, home_of: impl Fn(ShardId) -> Option<Tag>) {
         let now = self.clock.now();
         let shards: HashSet<ShardId> = lock(&self.state).held.values().map(|h| h.shard).collect();
         let moved: HashMap<ShardId, Tag> =
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/place.rs
@@ -11,7 +11,7 @@
     instance::{
         knowledge::snapshot::ServiceView,
         requests::{
-            desk::{AskEnd, Permit},
+            permit_client::{Permit, PermitError},
             request::Request,
             tokens,
         },
@@ -82,12 +82,12 @@
     let mut end = None;
     for (at, shard) in ranked.iter().enumerate() {
         end = Some(asker.ask(shard, at + 1 < ranked.len(), go_on));
-        if !matches!(end, Some(Err(AskEnd::Reply(Reply::Spill)))) {
+        if !matches!(end, Some(Err(PermitError::Reply(Reply::Spill)))) {
             break;
         }
     }
     let took = shared.clock.now() - began;
-    let end = end.unwrap_or(Err(AskEnd::Reply(Reply::Refused {
+    let end = end.unwrap_or(Err(PermitError::Reply(Reply::Refused {
         reason: RefuseReason::NoEngine,
         retry_after_ms: 1000,
     })));
@@ -104,7 +104,7 @@
     load: Option<u32>,
 ) {
     match place {
-        Place::Permit(permit) => shared.desk.release(permit, kind, load),
+        Place::Permit(permit) => shared.permit_client.release(permit, kind, load),
         Place::Alone(engine) => {
             let now = shared.clock.now();
             lock(&shared.baselines)
@@ -129,7 +129,10 @@
         baseline.choose(now, service.placement, &view.engines, chat, avoid, service.load_bound);
     let engine = chosen.ok_or_else(|| {
         refusal_of(
-            AskEnd::Reply(Reply::Refused { reason: RefuseReason::NoEngine, retry_after_ms: 1000 }),
+            PermitError::Reply(Reply::Refused {
+                reason: RefuseReason::NoEngine,
+                retry_after_ms: 1000,
+            }),
             view.service.id.as_str(),
         )
     })?;
@@ -154,13 +157,13 @@
         shard: &Shard,
         may_spill: bool,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<Permit, AskEnd> {
-        let id = self.shared.desk.next_id();
+    ) -> Result<Permit, PermitError> {
+        let id = self.shared.permit_client.next_permit_id();
         loop {
             let now = self.shared.clock.now();
             let time_left = self.request.deadline.saturating_duration_since(now);
             if time_left.is_zero() {
-                return Err(AskEnd::Deadline);
+                return Err(PermitError::Deadline);
             }
             let ask = PermitRequest {
                 id,
@@ -172,8 +175,8 @@
                 may_spill,
             };
             let home = self.shared.home_of(shard);
-            let end = self.shared.desk.ask(home, shard.id, &ask, go_on);
-            if end != Err(AskEnd::HomeLost) || self.lost >= LOST_HOMES_MAX {
+            let end = self.shared.permit_client.request(home, shard.id, &ask, go_on);
+            if end != Err(PermitError::HomeLost) || self.lost >= LOST_HOMES_MAX {
                 return end;
             }
             self.lost += 1;
@@ -182,43 +185,43 @@
     }
 }
 
-fn reply_name(end: &Result<Permit, AskEnd>) -> &'static str {
+fn reply_name(end: &Result<Permit, PermitError>) -> &'static str {
     match end {
         Ok(_) => "granted",
-        Err(AskEnd::Reply(Reply::Refused { reason, .. })) => match reason {
+        Err(PermitError::Reply(Reply::Refused { reason, .. })) => match reason {
             RefuseReason::TeamInFlight => "team-in-flight",
             RefuseReason::TeamRate => "team-rate",
             RefuseReason::QueueFull => "queue-full",
             RefuseReason::Deadline => "deadline",
             RefuseReason::NoEngine => "no-engine",
         },
-        Err(AskEnd::Reply(_)) => "spill",
-        Err(AskEnd::HomeLost) => "home-lost",
-        Err(AskEnd::Deadline) => "deadline",
-        Err(AskEnd::CallerGone) => "caller-gone",
+        Err(PermitError::Reply(_)) => "spill",
+        Err(PermitError::HomeLost) => "home-lost",
+        Err(PermitError::Deadline) => "deadline",
+        Err(PermitError::CallerGone) => "caller-gone",
     }
 }
 
-fn refusal_of(end: AskEnd, service: &str) -> NoPlace {
+fn refusal_of(end: PermitError, service: &str) -> NoPlace {
     let retry = |ms: u32| Duration::from_millis(u64::from(ms));
     let refusal = match end {
-        AskEnd::CallerGone => return NoPlace::CallerGone,
-        AskEnd::Deadline => Refusal::not_run(
+        PermitError::CallerGone => return NoPlace::CallerGone,
+        PermitError::Deadline => Refusal::not_run(
             503,
             "no room in time",
             format!("no engine of {service} had room before the deadline; send it again or give it more time"),
         )
         .retry_after(RETRY_AFTER),
-        AskEnd::HomeLost => Refusal::not_run(
+        PermitError::HomeLost => Refusal::not_run(
             503,
             "no permit",
             format!("no instance could grant a permit for {service}; send it again"),
         )
         .retry_after(RETRY_AFTER),
-        AskEnd::Reply(Reply::Refused { reason, retry_after_ms }) => {
+        PermitError::Reply(Reply::Refused { reason, retry_after_ms }) => {
             refusal_for(reason, service).retry_after(retry(retry_after_ms))
         }
-        AskEnd::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(RETRY_AFTER),
+        PermitError::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(RETRY_AFTER),
     };
     NoPlace::Refused(refusal)
 }
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -19,7 +19,7 @@
     instance::{
         homes::{links::HomeLinks, order_state::Orders, shards::HomeShards, table::HomeTable},
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
-        requests::{claims::Claims, desk::Desk},
+        requests::{claims::Claims, permit_client::PermitClient},
     },
     link::{backend::BackendLinks, peer::PeerLinks, traffic::Traffic, wire::Hello},
     metrics::Metrics,
@@ -65,7 +65,7 @@
     /// Which instances are live.
     pub membership: Mutex<Membership>,
     /// The entry's permits.
-    pub desk: Desk,
+    pub permit_client: PermitClient,
     /// The homes held here.
     pub homes: HomeShards,
     /// Streams between entries and homes.
