--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,7 +1,7 @@
 //! `cartvane drain`: takes an instance or a backend server out without cutting a request.
 
 use super::{Command, CommandResult, Options, operator::Operator, options::print_json};
-use crate::{context::Context, instance::operators::api::Drained};
+use crate::{context::Context, instance::operators::api::DrainResult};
 
 pub(super) const COMMAND: Command = Command {
     name: "drain",
@@ -17,7 +17,7 @@
     let operator = Operator::open(&mut options, cx)?;
     let target = options.free("INSTANCE|BACKEND_SERVER")?;
     options.done()?;
-    let drained: Drained = operator.post("/v1/drain", &[("target", &target)], "")?;
+    let drained: DrainResult = operator.post("/v1/drain", &[("target", &target)], "")?;
     if json {
         return print_json(&drained);
     }
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,7 +1,7 @@
 //! `cartvane show`: the file in force, or an earlier one.
 
 use super::{Command, CommandResult, Options, operator::Operator, options::print_json};
-use crate::{context::Context, instance::operators::api::Shown, units::Revision};
+use crate::{context::Context, instance::operators::api::RevisionSource, units::Revision};
 
 pub(super) const COMMAND: Command = Command {
     name: "show",
@@ -21,7 +21,7 @@
     options.done()?;
     let revision = revision.map(|revision| revision.to_string());
     let query: Vec<(&str, &str)> = revision.iter().map(|r| ("revision", r.as_str())).collect();
-    let shown: Shown = operator.get("/v1/show", &query)?;
+    let shown: RevisionSource = operator.get("/v1/show", &query)?;
     if json {
         return print_json(&shown);
     }
--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -146,7 +146,7 @@
 }
 
 fn show_homes(shared: &Shared) {
-    let mut status = status::own(shared);
+    let mut status = status::instance_status(shared);
     status.shards.retain(|shard| shard.is_home);
     shared.metrics.homes(status.shards.len());
     for shard in &status.shards {
--- a/src/instance/knowledge/peers.rs
+++ b/src/instance/knowledge/peers.rs
@@ -48,10 +48,12 @@
             Ok(encode(&()))
         }
         FETCH => Ok(encode(&fetch(shared, &decode(body).map_err(bad)?))),
-        STATUS => Ok(encode(&status::own(shared))),
+        STATUS => Ok(encode(&status::instance_status(shared))),
         EXPLAIN => {
             let name = decode(body).map_err(bad)?;
-            explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|fault| fault.status())
+            explain::explain_locally(shared, &name)
+                .map(|e| encode(&e))
+                .map_err(|fault| fault.status())
         }
         DRAIN => {
             shared.drain.start(shared.clock.now());
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -67,7 +67,7 @@
         let callers = serve_callers(&shared, limits.connections as usize)?;
         let operator_shared = Arc::clone(&shared);
         let server = rouille::Server::new(listen.operators, move |request| {
-            api::answer(&operator_shared, request)
+            api::respond(&operator_shared, request)
         })
         .map_err(|e| anyhow::anyhow!("{e}"))
         .with_context(|| format!("cannot listen for operators on {}", listen.operators))?
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -62,7 +62,7 @@
 }
 
 /// Answers one request of an operator.
-pub fn answer(shared: &Arc<Shared>, request: &Request) -> Response {
+pub fn respond(shared: &Arc<Shared>, request: &Request) -> Response {
     let path = request.url();
     match (request.method(), path.as_str()) {
         ("GET", "/healthz") => Response::text("ok\n"),
@@ -89,7 +89,7 @@
         return problem(403, "this credential may only read; use one of credentials.operators");
     }
     match (method, path) {
-        ("GET", "/v1/status") => Response::json(&status::fleet(shared)),
+        ("GET", "/v1/status") => Response::json(&status::fleet_status(shared)),
         ("GET", "/v1/show") => show(shared, request),
         ("GET", "/v1/audit") => audit(shared, request),
         ("GET", "/v1/explain") => explain(shared, request),
@@ -190,7 +190,7 @@
 
 /// A revision's file as it was applied.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Shown {
+pub struct RevisionSource {
     /// Revision.
     pub revision: Revision,
     /// The text as it was applied.
@@ -206,7 +206,7 @@
         return problem(404, "no file is in force; apply one");
     }
     match source_of(shared, revision) {
-        Ok(Some(text)) => Response::json(&Shown { revision, text }),
+        Ok(Some(text)) => Response::json(&RevisionSource { revision, text }),
         Ok(None) => problem(404, format!("there is no revision {revision}; see `cartvane audit`")),
         Err(fault) => store_out(&fault),
     }
@@ -259,7 +259,7 @@
 
 /// What a drain did.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Drained {
+pub struct DrainResult {
     /// What was told to drain.
     pub target: String,
     /// Revision that takes a backend server out, where the target is one.
@@ -288,7 +288,7 @@
     }
     let action = AuditAction::Drain { instance: target.clone() };
     append(shared, &AuditRow { at: shared.clock.wall_millis(), by, action });
-    Response::json(&Drained { target, revision: None })
+    Response::json(&DrainResult { target, revision: None })
 }
 
 fn unknown_target(target: &str) -> String {
@@ -316,7 +316,7 @@
     };
     match apply(shared, &text, Some(head), by) {
         Ok(applied) => {
-            Response::json(&Drained { target: id.to_owned(), revision: Some(applied.revision) })
+            Response::json(&DrainResult { target: id.to_owned(), revision: Some(applied.revision) })
         }
         Err(fault) => Response::json(&Problem { detail: fault.to_string(), apply: Some(fault) })
             .with_status_code(409),
--- a/src/instance/operators/explain.rs
+++ b/src/instance/operators/explain.rs
@@ -51,22 +51,22 @@
 
 /// Why nothing can be told.
 #[derive(Debug, thiserror::Error)]
-pub enum ExplainFault {
+pub enum ExplainError {
     /// No file is in force.
     #[error("no file is in force here yet; try again, or ask another instance")]
-    NoFile,
+    NoConfiguration,
     /// The file has no such service.
     #[error("no service is called {0:?}; see `cartvane show`")]
-    NoService(String),
+    UnknownService(String),
     /// The home did not answer.
     #[error(transparent)]
     Home(#[from] PeerFault),
 }
 
-impl ExplainFault {
+impl ExplainError {
     /// Returns the HTTP status that goes with it.
     pub fn status(&self) -> u16 {
-        if matches!(self, ExplainFault::NoService(_)) { 404 } else { 503 }
+        if matches!(self, ExplainError::UnknownService(_)) { 404 } else { 503 }
     }
 }
 
@@ -74,17 +74,17 @@
 ///
 /// # Errors
 ///
-/// See [`ExplainFault`].
-pub fn explain(shared: &Shared, name: &ChatName) -> Result<Explanation, ExplainFault> {
-    let snapshot = shared.snapshot.load_full().ok_or(ExplainFault::NoFile)?;
-    let unknown = || ExplainFault::NoService(name.service.clone());
+/// See [`ExplainError`].
+pub fn explain(shared: &Shared, name: &ChatName) -> Result<Explanation, ExplainError> {
+    let snapshot = shared.snapshot.load_full().ok_or(ExplainError::NoConfiguration)?;
+    let unknown = || ExplainError::UnknownService(name.service.clone());
     let view = snapshot.service(&name.service).ok_or_else(unknown)?;
     let key = key_of(name);
     let home = shared.home_of(view.ranked_shards(key)[0]);
     let address = lock(&shared.membership).peer(home).map(|p| p.address);
     match address {
         Some(address) => Ok(shared.peers.call(Purpose::Operators, address, EXPLAIN, name)?),
-        None => explain_here(shared, name),
+        None => explain_locally(shared, name),
     }
 }
 
@@ -92,10 +92,10 @@
 ///
 /// # Errors
 ///
-/// See [`ExplainFault`].
-pub fn explain_here(shared: &Shared, name: &ChatName) -> Result<Explanation, ExplainFault> {
-    let snapshot = shared.snapshot.load_full().ok_or(ExplainFault::NoFile)?;
-    let unknown = || ExplainFault::NoService(name.service.clone());
+/// See [`ExplainError`].
+pub fn explain_locally(shared: &Shared, name: &ChatName) -> Result<Explanation, ExplainError> {
+    let snapshot = shared.snapshot.load_full().ok_or(ExplainError::NoConfiguration)?;
+    let unknown = || ExplainError::UnknownService(name.service.clone());
     let view = snapshot.service(&name.service).ok_or_else(unknown)?;
     let key = key_of(name);
     let shards = view.ranked_shards(key);
--- a/src/instance/operators/status.rs
+++ b/src/instance/operators/status.rs
@@ -79,7 +79,7 @@
 }
 
 /// Returns this instance's own status.
-pub fn own(shared: &Shared) -> InstanceStatus {
+pub fn instance_status(shared: &Shared) -> InstanceStatus {
     let settings = &shared.settings;
     InstanceStatus {
         id: settings.id.clone(),
@@ -125,10 +125,10 @@
 }
 
 /// Asks every known instance for its status.
-pub fn fleet(shared: &Shared) -> FleetStatus {
+pub fn fleet_status(shared: &Shared) -> FleetStatus {
     let peers: Vec<_> =
         lock(&shared.membership).peers().map(|p| (p.candidate.id.clone(), p.address)).collect();
-    let mut status = FleetStatus { instances: vec![own(shared)], silent: Vec::new() };
+    let mut status = FleetStatus { instances: vec![instance_status(shared)], silent: Vec::new() };
     for (id, address) in peers {
         match shared.peers.call::<InstanceStatus>(Purpose::Operators, address, STATUS, &()) {
             Ok(answer) => status.instances.push(answer),
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -11,7 +11,7 @@
     configs::fleet::chunks::Digest,
     instance::{
         knowledge::apply::Applied,
-        operators::api::{Problem, Shown},
+        operators::api::{Problem, RevisionSource},
     },
     platform::http::agent,
     units::{Rate, Revision},
@@ -336,7 +336,7 @@
     let fleet = three();
     apply_as(&fleet, 0, "rana", "", &file_with_team(&fleet, "night")).expect("applied");
     apply_as(&fleet, 1, "yusuf", "", "nonsense = 1").expect_err("refused");
-    let first: Shown = get(&fleet, 2, "/v1/show?revision=1");
+    let first: RevisionSource = get(&fleet, 2, "/v1/show?revision=1");
     let back = apply_as(&fleet, 2, "rana", "?base=2", &first.text).expect("applied");
     assert_eq!(back.revision, Revision(3), "going back is a new revision");
     let rows = audit(&fleet);
@@ -441,7 +441,7 @@
         let file = file_with_team(&fleet, &format!("half-{n}"));
         last = apply_as(&fleet, n % 2, "rana", "", &file).expect("applied").revision;
     }
-    let at = |router: usize| get::<Shown>(&fleet, router, "/v1/show").revision;
+    let at = |router: usize| get::<RevisionSource>(&fleet, router, "/v1/show").revision;
     eventually("in force at the other half", || at(0) == last && at(1) == last);
     for cut_off in [2, 3] {
         fleet.routers[cut_off].signal(Signal::CONT);
