--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -189,7 +189,7 @@
     let listen = shared.settings.listen.callers;
     let (serving, refusing) = (Arc::clone(shared), Arc::clone(shared));
     let serve = move |conn| entry::serve(&serving, conn);
-    let refuse = move |conn| entry::refuse_connection(&refusing, conn);
+    let refuse = move |conn| entry::reject_connection(&refusing, conn);
     Listener::bind(listen, shared.clock.clone(), most, serve, refuse)
         .with_context(|| format!("cannot listen for callers on {listen}"))
 }
--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -55,7 +55,7 @@
 
 /// What a request with a key may do.
 #[derive(Debug)]
-pub enum Begun {
+pub enum ClaimDecision {
     /// Run, and finish the claim afterwards.
     Run(HeldClaim),
     /// Give the stored answer again.
@@ -98,7 +98,7 @@
     /// Claims `key` for a request before it is sent on.
     ///
     /// Returns what the request may do. A table that is out means that it may not run.
-    pub fn begin(&self, key: &str, own: &Claim) -> Begun {
+    pub fn begin(&self, key: &str, own: &Claim) -> ClaimDecision {
         match self.write(Operation::create(key, encode(own))) {
             Written::Yes => held(key, own, 1),
             Written::Conflict(row) => self.judge_row(key, own, row, true),
@@ -107,9 +107,9 @@
     }
 
     /// The own write failed or its reply was lost; in the second case the row tells.
-    fn after_fault(&self, key: &str, own: &Claim, fault: &PlatformFault) -> Begun {
+    fn after_fault(&self, key: &str, own: &Claim, fault: &PlatformFault) -> ClaimDecision {
         if !fault.may_have_taken_effect() {
-            return Begun::Refuse(table_out(fault));
+            return ClaimDecision::Refuse(table_out(fault));
         }
         match self.table.get(key) {
             Ok(Some(row)) => self.judge_row(key, own, Some(row), false),
@@ -117,20 +117,26 @@
             // appears later is taken away.
             Ok(None) | Err(_) => {
                 self.defer(key, own, None);
-                Begun::Refuse(table_out(fault))
+                ClaimDecision::Refuse(table_out(fault))
             }
         }
     }
 
-    fn judge_row(&self, key: &str, own: &Claim, row: Option<Row>, may_renew: bool) -> Begun {
+    fn judge_row(
+        &self,
+        key: &str,
+        own: &Claim,
+        row: Option<Row>,
+        may_renew: bool,
+    ) -> ClaimDecision {
         let changing = || {
-            Begun::Refuse(table_out(&PlatformFault::Unavailable(
+            ClaimDecision::Refuse(table_out(&PlatformFault::Unavailable(
                 "the claim is changing".to_owned(),
             )))
         };
         let Some(row) = row else { return changing() };
         let Ok(found) = decode::<Claim>(&row.value) else {
-            return Begun::Refuse(Refusal::unknown(
+            return ClaimDecision::Refuse(Refusal::unknown(
                 409,
                 "outcome unknown",
                 "the claim of this Idempotency-Key was written by another version; it is not run again",
@@ -138,8 +144,8 @@
         };
         match decide(own, &found, self.clock.wall_millis()) {
             ClaimVerdict::Run => held(key, own, row.version),
-            ClaimVerdict::Replay(answer) => Begun::Replay(answer),
-            ClaimVerdict::Refuse(refusal) => Begun::Refuse(refusal),
+            ClaimVerdict::Replay(answer) => ClaimDecision::Replay(answer),
+            ClaimVerdict::Refuse(refusal) => ClaimDecision::Refuse(refusal),
             ClaimVerdict::Renew if may_renew => {
                 match self.write(Operation::replace(key, row.version, encode(own))) {
                     Written::Yes => held(key, own, row.version + 1),
@@ -257,8 +263,8 @@
     group
 }
 
-fn held(key: &str, claim: &Claim, version: u64) -> Begun {
-    Begun::Run(HeldClaim { key: key.to_owned(), claim: claim.clone(), version })
+fn held(key: &str, claim: &Claim, version: u64) -> ClaimDecision {
+    ClaimDecision::Run(HeldClaim { key: key.to_owned(), claim: claim.clone(), version })
 }
 
 fn finishing(key: &str, claim: &Claim, version: u64, state: &Option<ClaimState>) -> Operation {
--- a/src/instance/requests/engine_report.rs
+++ b/src/instance/requests/engine_report.rs
@@ -1,7 +1,7 @@
 //! What an engine tells of itself with an answer.
 
 use crate::{
-    instance::requests::answer_parts::{LOAD_HEADER, RESUMABLE_HEADER, STATE_HEADER},
+    instance::requests::response_parts::{LOAD_HEADER, RESUMABLE_HEADER, STATE_HEADER},
     link::backend::Answer,
 };
 
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/engine_slot.rs
@@ -12,8 +12,8 @@
         knowledge::snapshot::ServiceView,
         requests::{
             permit_client::{Permit, PermitError},
+            placement_hint,
             request::Request,
-            tokens,
         },
         shared::Shared,
     },
@@ -30,26 +30,26 @@
 
 /// A place at an engine.
 #[derive(Debug)]
-pub enum Place {
+pub enum EngineSlot {
     /// Granted by a home.
     Permit(Permit),
     /// Chosen by this entry alone.
-    Alone(Tag),
+    Baseline(Tag),
 }
 
-impl Place {
+impl EngineSlot {
     /// Returns the engine.
     pub fn engine(&self) -> Tag {
         match self {
-            Place::Permit(permit) => permit.engine,
-            Place::Alone(engine) => *engine,
+            EngineSlot::Permit(permit) => permit.engine,
+            EngineSlot::Baseline(engine) => *engine,
         }
     }
 }
 
 /// Why there is no place.
 #[derive(Debug)]
-pub enum NoPlace {
+pub enum SlotError {
     /// The caller is to be told this.
     Refused(Refusal),
     /// The caller went away.
@@ -61,21 +61,21 @@
 /// # Errors
 ///
 /// The request is refused and has not run, or its caller went away.
-pub fn obtain(
+pub fn acquire(
     shared: &Shared,
     view: &ServiceView,
     team: Tag,
     request: &Request,
     avoid: &[Tag],
     go_on: &mut dyn FnMut() -> bool,
-) -> Result<Place, NoPlace> {
+) -> Result<EngineSlot, SlotError> {
     // A request that belongs to no chat is spread evenly.
     let chat = request.chat.unwrap_or_else(|| ChatKey(fastrand::u64(..)));
     if view.service.placement != Placement::Permit {
         return alone(shared, view, chat, avoid);
     }
     let key = &shared.settings.credentials.placement;
-    let hint = request.hint.as_deref().and_then(|hint| tokens::engine_of(key, chat, hint));
+    let hint = request.hint.as_deref().and_then(|hint| placement_hint::decode(key, chat, hint));
     let began = shared.clock.now();
     let ranked = view.ranked_shards(chat);
     let mut asker = Asker { shared, team, request, chat, hint, avoid, lost: 0 };
@@ -92,20 +92,20 @@
         retry_after_ms: 1000,
     })));
     shared.metrics.permit_reply(reply_name(&end), took);
-    end.map(Place::Permit).map_err(|end| refusal_of(end, view.service.id.as_str()))
+    end.map(EngineSlot::Permit).map_err(|end| refusal_of(end, view.service.id.as_str()))
 }
 
 /// Gives a place back.
 pub fn release(
     shared: &Shared,
     service: &Service,
-    place: Place,
+    place: EngineSlot,
     kind: ReleaseKind,
     load: Option<u32>,
 ) {
     match place {
-        Place::Permit(permit) => shared.permit_client.release(permit, kind, load),
-        Place::Alone(engine) => {
+        EngineSlot::Permit(permit) => shared.permit_client.release(permit, kind, load),
+        EngineSlot::Baseline(engine) => {
             let now = shared.clock.now();
             lock(&shared.baselines)
                 .entry(service.id.clone())
@@ -120,7 +120,7 @@
     view: &ServiceView,
     chat: ChatKey,
     avoid: &[Tag],
-) -> Result<Place, NoPlace> {
+) -> Result<EngineSlot, SlotError> {
     let service = &view.service;
     let now = shared.clock.now();
     let mut baselines = lock(&shared.baselines);
@@ -137,7 +137,7 @@
         )
     })?;
     baseline.start_request(engine);
-    Ok(Place::Alone(engine))
+    Ok(EngineSlot::Baseline(engine))
 }
 
 struct Asker<'a> {
@@ -202,10 +202,10 @@
     }
 }
 
-fn refusal_of(end: PermitError, service: &str) -> NoPlace {
+fn refusal_of(end: PermitError, service: &str) -> SlotError {
     let retry = |ms: u32| Duration::from_millis(u64::from(ms));
     let refusal = match end {
-        PermitError::CallerGone => return NoPlace::CallerGone,
+        PermitError::CallerGone => return SlotError::CallerGone,
         PermitError::Deadline => Refusal::not_run(
             503,
             "no room in time",
@@ -223,7 +223,7 @@
         }
         PermitError::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(RETRY_AFTER),
     };
-    NoPlace::Refused(refusal)
+    SlotError::Refused(refusal)
 }
 
 fn refusal_for(reason: RefuseReason, service: &str) -> Refusal {
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     configs::fleet::BackendServer,
-    instance::{requests::answer_parts::OFFSET_HEADER, shared::Shared},
+    instance::{requests::response_parts::OFFSET_HEADER, shared::Shared},
     link::backend::{Answer, Attempt},
 };
 
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -49,7 +49,7 @@
 }
 
 /// Answers a connection beyond the limit.
-pub fn refuse_connection(shared: &Shared, mut conn: Conn) {
+pub fn reject_connection(shared: &Shared, mut conn: Conn) {
     let refusal = Refusal::not_run(
         503,
         "too many connections",
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -18,17 +18,15 @@
     instance::{
         knowledge::snapshot::{ServiceView, Snapshot},
         requests::{
-            answer_parts::{
-                RESUMABLE_HEADER, answer_headers, error_event, is_event_stream, text_headers,
-            },
             caller_watch::CallerWatch,
-            claims::{Begun, HeldClaim},
+            claims::{ClaimDecision, HeldClaim},
             engine_report::EngineReport,
-            engine_streams,
-            place::{self, NoPlace, Place},
-            replay,
+            engine_slot::{self, EngineSlot, SlotError},
+            engine_streams, placement_hint, replay,
             request::{CHAT_HEADER, DEADLINE_HEADER, Request},
-            tokens,
+            response_parts::{
+                RESUMABLE_HEADER, error_event, is_event_stream, response_headers, text_headers,
+            },
         },
         shared::Shared,
     },
@@ -116,11 +114,11 @@
     let mut job = Job { shared, snapshot, view, team: *team, request, note, claim: None };
     if let Some(key) = &request.key {
         match job.claim(key) {
-            Begun::Run(held) => job.claim = Some(held),
-            Begun::Replay(answer) => {
+            ClaimDecision::Run(held) => job.claim = Some(held),
+            ClaimDecision::Replay(answer) => {
                 return replay::replay(shared, conn, request, &job.note, &answer);
             }
-            Begun::Refuse(refusal) => return Ended::Refused(refusal),
+            ClaimDecision::Refuse(refusal) => return Ended::Refused(refusal),
         }
     }
     let ended = job.attempts(conn);
@@ -129,7 +127,7 @@
 }
 
 impl Job<'_> {
-    fn claim(&self, key: &str) -> Begun {
+    fn claim(&self, key: &str) -> ClaimDecision {
         let Request { method, target, body, .. } = self.request;
         let digest =
             Digest::of(&[method.as_str().as_bytes(), target.as_bytes(), body].join(&b'\n'));
@@ -146,9 +144,9 @@
         let team = self.snapshot.team_id(self.team);
         let begun = self.shared.claims.begin(&row_key(&self.view.service.id, team, key), &claim);
         self.shared.metrics.claim(match &begun {
-            Begun::Run(_) => "run",
-            Begun::Replay(_) => "replay",
-            Begun::Refuse(_) => "refuse",
+            ClaimDecision::Run(_) => "run",
+            ClaimDecision::Replay(_) => "replay",
+            ClaimDecision::Refuse(_) => "refuse",
         });
         begun
     }
@@ -177,7 +175,7 @@
                 Err(refusal) => return Ended::Refused(doubt(refusal, in_doubt)),
             };
             let Some(server) = self.snapshot.server(place.engine()).cloned() else {
-                place::release(self.shared, service, place, ReleaseKind::Unused, None);
+                engine_slot::release(self.shared, service, place, ReleaseKind::Unused, None);
                 return Ended::Refused(doubt(no_server(), in_doubt));
             };
             let tried = self.attempt(conn, &server, number, place);
@@ -229,15 +227,17 @@
         f(budget)
     }
 
-    fn place(&self, conn: &mut Conn, avoid: &[Tag]) -> Result<Place, Refusal> {
+    fn place(&self, conn: &mut Conn, avoid: &[Tag]) -> Result<EngineSlot, Refusal> {
         let watch = &mut CallerWatch::new(self.shared, self.request, self.claim.is_some());
         let go_on = &mut || watch.waits(conn);
-        place::obtain(self.shared, self.view, self.team, self.request, avoid, go_on).map_err(|no| {
-            match no {
-                NoPlace::Refused(refusal) => refusal,
-                NoPlace::CallerGone => Refusal::not_run(499, "caller gone", "the caller went away"),
-            }
-        })
+        engine_slot::acquire(self.shared, self.view, self.team, self.request, avoid, go_on).map_err(
+            |no| match no {
+                SlotError::Refused(refusal) => refusal,
+                SlotError::CallerGone => {
+                    Refusal::not_run(499, "caller gone", "the caller went away")
+                }
+            },
+        )
     }
 
     /// Makes one attempt and gives its place back.
@@ -246,7 +246,7 @@
         conn: &mut Conn,
         server: &BackendServer,
         number: u32,
-        place: Place,
+        place: EngineSlot,
     ) -> Tried {
         let service = &self.view.service;
         let id = format!("{}-{number}", self.request.id);
@@ -267,7 +267,7 @@
             Some(fault) if fault.counts_against_server() => ReleaseKind::Failed,
             Some(_) => ReleaseKind::Unused,
         };
-        place::release(self.shared, service, place, kind, report.load);
+        engine_slot::release(self.shared, service, place, kind, report.load);
         tried
     }
 
@@ -276,7 +276,7 @@
         conn: &mut Conn,
         server: &BackendServer,
         id: &str,
-        place: &Place,
+        place: &EngineSlot,
         report: &mut EngineReport,
     ) -> Tried {
         let request = self.request;
@@ -310,7 +310,11 @@
         report.read(&answer);
         if let Some(own) = &mut self.note.own {
             own.placement = chat.map(|chat| {
-                tokens::hint(&self.shared.settings.credentials.placement, chat, place.engine())
+                placement_hint::encode(
+                    &self.shared.settings.credentials.placement,
+                    chat,
+                    place.engine(),
+                )
             });
             own.outcome = Outcome::Run;
         }
@@ -341,7 +345,7 @@
             }
         }
         let status = answer.head.status;
-        let headers = answer_headers(&answer.head.headers);
+        let headers = response_headers(&answer.head.headers);
         self.keep_answer(status, &headers, Some(&body));
         self.shared.backends.finish(answer);
         let stall = self.shared.settings.timeouts.slow_reader.0;
@@ -361,7 +365,7 @@
         id: &str,
     ) -> Tried {
         let status = answer.head.status;
-        let headers = answer_headers(&answer.head.headers);
+        let headers = response_headers(&answer.head.headers);
         let events = is_event_stream(&headers);
         let resumable = answer.head.header(RESUMABLE_HEADER).is_some();
         let stall = self.shared.settings.timeouts.slow_reader.0;
--- a/src/instance/requests/tokens.rs
+++ b/src/instance/requests/placement_hint.rs
@@ -10,14 +10,14 @@
 const CODE_BYTES: usize = 8;
 
 /// Returns the hint that says that `chat` was on `engine`.
-pub fn hint(key: &Secret, chat: ChatKey, engine: Tag) -> String {
+pub fn encode(key: &Secret, chat: ChatKey, engine: Tag) -> String {
     let mut bytes = engine.0.to_le_bytes().to_vec();
     bytes.extend_from_slice(&code(key, chat, engine));
     hex::encode(bytes)
 }
 
 /// Returns the engine that a hint for `chat` names; a forged or foreign hint names none.
-pub fn engine_of(key: &Secret, chat: ChatKey, hint: &str) -> Option<Tag> {
+pub fn decode(key: &Secret, chat: ChatKey, hint: &str) -> Option<Tag> {
     let bytes = hex::decode(hint).ok()?;
     let (tag, given) = bytes.split_first_chunk::<4>()?;
     let engine = Tag(u32::from_le_bytes(*tag));
--- a/src/instance/requests/answer_parts.rs
+++ b/src/instance/requests/response_parts.rs
@@ -14,7 +14,7 @@
 pub const OFFSET_HEADER: &str = "engine-offset";
 
 /// Returns the answer's end-to-end headers.
-pub fn answer_headers(headers: &HeaderMap) -> HeaderMap {
+pub fn response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     drop_hop_by_hop(&mut headers);
     let internal = [
