--- a/src/instance/requests/engine_slot.rs
+++ b/src/instance/requests/engine_slot.rs
@@ -67,7 +67,7 @@
     team: Tag,
     request: &Request,
     avoid: &[Tag],
-    go_on: &mut dyn FnMut() -> bool,
+    keep_waiting: &mut dyn FnMut() -> bool,
 ) -> Result<EngineSlot, SlotError> {
     // A request that belongs to no chat is spread evenly.
     let chat = request.chat.unwrap_or_else(|| ChatKey(fastrand::u64(..)));
@@ -81,7 +81,7 @@
     let mut asker = Asker { shared, team, request, chat, hint, avoid, lost: 0 };
     let mut end = None;
     for (at, shard) in ranked.iter().enumerate() {
-        end = Some(asker.ask(shard, at + 1 < ranked.len(), go_on));
+        end = Some(asker.ask(shard, at + 1 < ranked.len(), keep_waiting));
         if !matches!(end, Some(Err(PermitError::Reply(Reply::Spill)))) {
             break;
         }
@@ -156,7 +156,7 @@
         &mut self,
         shard: &Shard,
         may_spill: bool,
-        go_on: &mut dyn FnMut() -> bool,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<Permit, PermitError> {
         let id = self.shared.permit_client.next_permit_id();
         loop {
@@ -175,7 +175,7 @@
                 may_spill,
             };
             let home = self.shared.home_of(shard);
-            let end = self.shared.permit_client.request(home, shard.id, &ask, go_on);
+            let end = self.shared.permit_client.request(home, shard.id, &ask, keep_waiting);
             if end != Err(PermitError::HomeLost) || self.lost >= LOST_HOMES_MAX {
                 return end;
             }
--- a/src/instance/requests/permit_client.rs
+++ b/src/instance/requests/permit_client.rs
@@ -22,10 +22,10 @@
 };
 
 /// Silence towards a home that holds permits of this entry, after which it is told their number.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Pause of a waiting thread before it looks again whether it should go on waiting.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const POLL_PERIOD: Duration = Duration::from_millis(100);
 
 /// How homes are reached.
 pub struct HomeTransport {
@@ -58,26 +58,26 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum SlotState {
+enum RequestState {
     /// The home has not answered yet.
-    Asked,
+    Sent,
     /// The home has put the ask in its queue.
     Queued,
     /// The home has decided.
-    Answered(Reply),
+    Decided(Reply),
     /// The home was lost.
     HomeLost,
 }
 
 /// Where one asking thread waits.
 #[derive(Debug)]
-struct Slot {
-    state: Mutex<SlotState>,
+struct ReplySlot {
+    state: Mutex<RequestState>,
     changed: Condvar,
 }
 
-impl Slot {
-    fn set(&self, state: SlotState) {
+impl ReplySlot {
+    fn set(&self, state: RequestState) {
         *lock(&self.state) = state;
         self.changed.notify_all();
     }
@@ -90,22 +90,22 @@
     engine: Tag,
     chat: ChatKey,
     team: Tag,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// An ask that its home has not decided.
 #[derive(Debug)]
-struct PendingAsk {
+struct PendingRequest {
     shard: ShardId,
     request: AskWire,
-    slot: Arc<Slot>,
+    slot: Arc<ReplySlot>,
 }
 
 /// What is known of one home.
 #[derive(Debug, Default)]
-struct Link {
-    order: Arc<Mutex<()>>,
-    pending: HashMap<u32, PendingAsk>,
+struct HomeLink {
+    send_lock: Arc<Mutex<()>>,
+    pending: HashMap<u32, PendingRequest>,
     announce: HashSet<ShardId>,
     last_sent: Option<Instant>,
 }
@@ -114,7 +114,7 @@
 struct State {
     counter: u32,
     held: HashMap<u32, HeldPermit>,
-    links: HashMap<Tag, Link>,
+    links: HashMap<Tag, HomeLink>,
 }
 
 /// An entry's permits and the asks for more.
@@ -122,23 +122,23 @@
     clock: Clock,
     incarnation: u32,
     own: Tag,
-    reply_time: Duration,
+    reply_timeout: Duration,
     state: Mutex<State>,
-    links: HomeTransport,
+    transport: HomeTransport,
 }
 
 impl PermitClient {
     /// Returns the desk of an entry that holds nothing.
     ///
-    /// A home that gives no first reply within `reply_time` counts as lost.
+    /// A home that gives no first reply within `reply_timeout` counts as lost.
     pub fn new(
         own: Tag,
         incarnation: u32,
-        reply_time: Duration,
+        reply_timeout: Duration,
         clock: Clock,
-        links: HomeTransport,
+        transport: HomeTransport,
     ) -> PermitClient {
-        PermitClient { clock, incarnation, own, reply_time, state: Mutex::default(), links }
+        PermitClient { clock, incarnation, own, reply_timeout, state: Mutex::default(), transport }
     }
 
     /// Returns the identity of a new ask.
@@ -153,7 +153,7 @@
 
     /// Asks `home` for a permit and waits for its answer.
     ///
-    /// `go_on` is asked every 100 ms of waiting.
+    /// `keep_waiting` is asked every 100 ms of waiting.
     ///
     /// # Errors
     ///
@@ -163,14 +163,15 @@
         home: Tag,
         shard: ShardId,
         request: &PermitRequest,
-        go_on: &mut dyn FnMut() -> bool,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<Permit, PermitError> {
-        let began = self.clock.now();
-        let slot = Arc::new(Slot { state: Mutex::new(SlotState::Asked), changed: Condvar::new() });
+        let sent_at = self.clock.now();
+        let slot =
+            Arc::new(ReplySlot { state: Mutex::new(RequestState::Sent), changed: Condvar::new() });
         let number = short(request.id.number);
         let wire = AskWire::of(request);
-        let sent = self.tell(home, |_, link| {
-            let pending = PendingAsk { shard, request: wire.clone(), slot: Arc::clone(&slot) };
+        let sent = self.send_batches(home, |_, link| {
+            let pending = PendingRequest { shard, request: wire.clone(), slot: Arc::clone(&slot) };
             link.pending.insert(number, pending);
             vec![ShardBatch { asks: vec![wire], ..ShardBatch::new(shard) }]
         });
@@ -180,62 +181,65 @@
         let end = loop {
             let state = *lock(&slot.state);
             match state {
-                SlotState::Answered(Reply::Granted(engine)) => {
+                RequestState::Decided(Reply::Granted(engine)) => {
                     return Ok(Permit { number: request.id.number, engine });
                 }
-                SlotState::Answered(reply) => return Err(PermitError::Reply(reply)),
-                SlotState::HomeLost => return Err(PermitError::HomeLost),
-                SlotState::Asked | SlotState::Queued => {}
+                RequestState::Decided(reply) => return Err(PermitError::Reply(reply)),
+                RequestState::HomeLost => return Err(PermitError::HomeLost),
+                RequestState::Sent | RequestState::Queued => {}
             }
-            let reply_until = if state == SlotState::Asked {
-                began + self.reply_time
+            let deadline = if state == RequestState::Sent {
+                sent_at + self.reply_timeout
             } else {
-                began + request.time_left
+                sent_at + request.time_left
             };
-            if let Some(end) =
-                self.wait_a_little(&slot, state, reply_until.min(began + request.time_left), go_on)
-            {
+            if let Some(end) = self.wait_for_change(
+                &slot,
+                state,
+                deadline.min(sent_at + request.time_left),
+                keep_waiting,
+            ) {
                 break end;
             }
         };
-        self.give_up(home, shard, number);
-        let unanswered = *lock(&slot.state) == SlotState::Asked;
+        self.withdraw(home, shard, number);
+        let unanswered = *lock(&slot.state) == RequestState::Sent;
         if end == PermitError::Deadline
             && unanswered
-            && self.clock.now() < began + request.time_left
+            && self.clock.now() < sent_at + request.time_left
         {
             // No first reply in time: the home is frozen or cut off.
-            (self.links.disconnect)(home);
+            (self.transport.disconnect)(home);
             self.note_home_lost(home);
             return Err(PermitError::HomeLost);
         }
         Err(end)
     }
 
-    fn wait_a_little(
+    fn wait_for_change(
         &self,
-        slot: &Slot,
-        seen: SlotState,
-        until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
+        slot: &ReplySlot,
+        last_state: RequestState,
+        deadline: Instant,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Option<PermitError> {
         let state = lock(&slot.state);
-        if *state != seen {
+        if *state != last_state {
             return None;
         }
-        let time_left = until.saturating_duration_since(self.clock.now());
+        let time_left = deadline.saturating_duration_since(self.clock.now());
         if time_left.is_zero() {
             return Some(PermitError::Deadline);
         }
         // Woken or not, the state is looked at again by the caller.
-        drop(slot.changed.wait_timeout(state, time_left.min(LOOK_PERIOD)));
-        (!go_on()).then_some(PermitError::CallerGone)
+        drop(slot.changed.wait_timeout(state, time_left.min(POLL_PERIOD)));
+        (!keep_waiting()).then_some(PermitError::CallerGone)
     }
 
     /// Withdraws an ask: what the home granted or queued for it is given back.
-    fn give_up(&self, home: Tag, shard: ShardId, number: u32) {
+    fn withdraw(&self, home: Tag, shard: ShardId, number: u32) {
         let release = Release { number: u64::from(number), kind: ReleaseKind::Unused, load: None };
-        self.tell(home, |held, link| {
+        self.send_batches(home, |held, link| {
             link.pending.remove(&number);
             held.remove(&number);
             vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
@@ -251,20 +255,20 @@
         };
         let release = Release { number: permit.number, kind, load };
         // A home that is not reached learns by the count, or drops what it hears no more of.
-        self.tell(home, |held, _| {
+        self.send_batches(home, |held, _| {
             held.remove(&number);
             vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
         });
     }
 
     /// Puts batches together and hands them over, one message to a home at a time.
-    fn tell(
+    fn send_batches(
         &self,
         home: Tag,
-        make: impl FnOnce(&mut HashMap<u32, HeldPermit>, &mut Link) -> Vec<ShardBatch>,
+        make: impl FnOnce(&mut HashMap<u32, HeldPermit>, &mut HomeLink) -> Vec<ShardBatch>,
     ) -> bool {
-        let order = Arc::clone(&lock(&self.state).links.entry(home).or_default().order);
-        let _in_order = lock(&order);
+        let send_lock = Arc::clone(&lock(&self.state).links.entry(home).or_default().send_lock);
+        let _send_guard = lock(&send_lock);
         let batches = {
             let mut state = lock(&self.state);
             let State { held, links, .. } = &mut *state;
@@ -272,7 +276,7 @@
             link.last_sent = Some(self.clock.now());
             make(held, link)
         };
-        batches.is_empty() || (self.links.send)(home, batches)
+        batches.is_empty() || (self.transport.send)(home, batches)
     }
 
     /// Takes in a home's message.
@@ -286,12 +290,12 @@
             let Some(pending) = link.pending.get(&number) else { continue };
             let reply = reply.reply();
             if reply == Reply::Queued {
-                pending.slot.set(SlotState::Queued);
+                pending.slot.set(RequestState::Queued);
                 continue;
             }
-            if let Some(PendingAsk { shard, request, slot }) = link.pending.remove(&number) {
+            if let Some(PendingRequest { shard, request, slot }) = link.pending.remove(&number) {
                 if let Reply::Granted(engine) = reply {
-                    let until =
+                    let expires_at =
                         self.clock.now() + Duration::from_millis(u64::from(request.left_ms));
                     held.insert(
                         number,
@@ -301,11 +305,11 @@
                             engine,
                             chat: request.chat,
                             team: request.team,
-                            until,
+                            expires_at,
                         },
                     );
                 }
-                slot.set(SlotState::Answered(reply));
+                slot.set(RequestState::Decided(reply));
             }
         }
     }
@@ -324,7 +328,7 @@
         let mut state = lock(&self.state);
         let link = state.links.entry(home).or_default();
         for (_, pending) in link.pending.drain() {
-            pending.slot.set(SlotState::HomeLost);
+            pending.slot.set(RequestState::HomeLost);
         }
     }
 
@@ -336,14 +340,14 @@
     pub fn send_due(&self, home_of: impl Fn(ShardId) -> Option<Tag>) {
         let now = self.clock.now();
         let shards: HashSet<ShardId> = lock(&self.state).held.values().map(|h| h.shard).collect();
-        let moved: HashMap<ShardId, Tag> =
+        let homes: HashMap<ShardId, Tag> =
             shards.into_iter().filter_map(|id| Some((id, home_of(id)?))).collect();
-        let mut due = Vec::new();
+        let mut due_homes = Vec::new();
         {
             let mut state = lock(&self.state);
             let State { held, links, .. } = &mut *state;
             for permit in held.values_mut() {
-                let Some(&home) = moved.get(&permit.shard) else { continue };
+                let Some(&home) = homes.get(&permit.shard) else { continue };
                 if home != permit.home {
                     permit.home = home;
                     links.entry(home).or_default().announce.insert(permit.shard);
@@ -351,14 +355,15 @@
             }
             let holding: HashSet<Tag> = held.values().map(|h| h.home).collect();
             for (home, link) in links.iter() {
-                let silent = link.last_sent.is_none_or(|at| now.duration_since(at) >= KEEPALIVE);
-                if !link.announce.is_empty() || (silent && holding.contains(home)) {
-                    due.push(*home);
+                let keepalive_due =
+                    link.last_sent.is_none_or(|at| now.duration_since(at) >= KEEPALIVE_PERIOD);
+                if !link.announce.is_empty() || (keepalive_due && holding.contains(home)) {
+                    due_homes.push(*home);
                 }
             }
         }
-        for home in due {
-            self.tell(home, |held, link| standing(home, held, link, now));
+        for home in due_homes {
+            self.send_batches(home, |held, link| status_batches(home, held, link, now));
         }
     }
 
@@ -369,43 +374,43 @@
 }
 
 /// Returns what stands at a home: announcements where they are wanted, else counts.
-fn standing(
+fn status_batches(
     home: Tag,
     held: &HashMap<u32, HeldPermit>,
-    link: &mut Link,
+    link: &mut HomeLink,
     now: Instant,
 ) -> Vec<ShardBatch> {
     let announce = std::mem::take(&mut link.announce);
-    let own = held.values().filter(|h| h.home == home).map(|h| h.shard);
-    let shards: HashSet<ShardId> = own.chain(announce.iter().copied()).collect();
+    let held_shards = held.values().filter(|h| h.home == home).map(|h| h.shard);
+    let shards: HashSet<ShardId> = held_shards.chain(announce.iter().copied()).collect();
     let batch = |shard: ShardId| {
-        let here = || held.iter().filter(move |(_, h)| h.home == home && h.shard == shard);
+        let held_here = || held.iter().filter(move |(_, h)| h.home == home && h.shard == shard);
         let pending: Vec<u32> = link
             .pending
             .iter()
             .filter(|(_, p)| p.shard == shard)
             .map(|(number, _)| *number)
             .collect();
-        let sure = pending.is_empty();
+        let is_exact = pending.is_empty();
         let announcement = announce.contains(&shard).then(|| Announcement {
-            held: here().map(|(number, h)| held_of(*number, h, now)).collect(),
+            held: held_here().map(|(number, h)| announced_permit(*number, h, now)).collect(),
             pending,
         });
         ShardBatch {
             announce: announcement,
-            held: sure.then(|| here().count() as u32),
+            held: is_exact.then(|| held_here().count() as u32),
             ..ShardBatch::new(shard)
         }
     };
     shards.into_iter().map(batch).collect()
 }
 
-fn held_of(number: u32, permit: &HeldPermit, now: Instant) -> AnnouncedPermit {
+fn announced_permit(number: u32, permit: &HeldPermit, now: Instant) -> AnnouncedPermit {
     AnnouncedPermit {
         number: u64::from(number),
         engine: permit.engine,
         chat: permit.chat,
         team: permit.team,
-        left_ms: millis(permit.until.saturating_duration_since(now)),
+        left_ms: millis(permit.expires_at.saturating_duration_since(now)),
     }
 }
