--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -21,25 +21,25 @@
 const GROUP_MAX: usize = 64;
 
 /// Time for which a write that the table did not take is tried again.
-const DEFERRED_FOR: Duration = Duration::from_secs(60);
+const DEFERRED_MAX_AGE: Duration = Duration::from_secs(60);
 
 /// What came of one operation of a group.
 #[derive(Debug, Clone)]
-enum Written {
-    Yes,
+enum WriteResult {
+    Committed,
     Conflict(Option<Row>),
-    Fault(PlatformFault),
+    Failed(PlatformFault),
 }
 
 #[derive(Debug)]
 struct Pending {
     operation: Operation,
-    slot: Arc<(Mutex<Option<Written>>, Condvar)>,
+    slot: Arc<(Mutex<Option<WriteResult>>, Condvar)>,
 }
 
 #[derive(Debug, Default)]
-struct Line {
-    busy: bool,
+struct WriteQueue {
+    is_writing: bool,
     pending: Vec<Pending>,
 }
 
@@ -66,7 +66,7 @@
 
 /// A write that the table did not take.
 #[derive(Debug)]
-struct Deferred {
+struct DeferredWrite {
     key: String,
     claim: Claim,
     /// `None`: the claim is given back.
@@ -78,9 +78,9 @@
 pub struct Claims {
     table: Table,
     clock: Clock,
-    line: Mutex<Line>,
-    freed: Condvar,
-    deferred: Mutex<Vec<Deferred>>,
+    queue: Mutex<WriteQueue>,
+    write_done: Condvar,
+    deferred: Mutex<Vec<DeferredWrite>>,
 }
 
 impl Claims {
@@ -89,8 +89,8 @@
         Claims {
             table,
             clock,
-            line: Mutex::default(),
-            freed: Condvar::new(),
+            queue: Mutex::default(),
+            write_done: Condvar::new(),
             deferred: Mutex::default(),
         }
     }
@@ -100,41 +100,41 @@
     /// Returns what the request may do. A table that is out means that it may not run.
     pub fn begin(&self, key: &str, own: &Claim) -> ClaimDecision {
         match self.write(Operation::create(key, encode(own))) {
-            Written::Yes => held(key, own, 1),
-            Written::Conflict(row) => self.judge_row(key, own, row, true),
-            Written::Fault(fault) => self.after_fault(key, own, &fault),
+            WriteResult::Committed => run_decision(key, own, 1),
+            WriteResult::Conflict(row) => self.decide_by_row(key, own, row, true),
+            WriteResult::Failed(fault) => self.resolve_failed_write(key, own, &fault),
         }
     }
 
     /// The own write failed or its reply was lost; in the second case the row tells.
-    fn after_fault(&self, key: &str, own: &Claim, fault: &PlatformFault) -> ClaimDecision {
+    fn resolve_failed_write(&self, key: &str, own: &Claim, fault: &PlatformFault) -> ClaimDecision {
         if !fault.may_have_taken_effect() {
-            return ClaimDecision::Refuse(table_out(fault));
+            return ClaimDecision::Refuse(claim_not_kept(fault));
         }
         match self.table.get(key) {
-            Ok(Some(row)) => self.judge_row(key, own, Some(row), false),
+            Ok(Some(row)) => self.decide_by_row(key, own, Some(row), false),
             // The write may still be on its way: the request must not run, and a row that
             // appears later is taken away.
             Ok(None) | Err(_) => {
                 self.defer(key, own, None);
-                ClaimDecision::Refuse(table_out(fault))
+                ClaimDecision::Refuse(claim_not_kept(fault))
             }
         }
     }
 
-    fn judge_row(
+    fn decide_by_row(
         &self,
         key: &str,
         own: &Claim,
         row: Option<Row>,
         may_renew: bool,
     ) -> ClaimDecision {
-        let changing = || {
-            ClaimDecision::Refuse(table_out(&PlatformFault::Unavailable(
+        let claim_changing = || {
+            ClaimDecision::Refuse(claim_not_kept(&PlatformFault::Unavailable(
                 "the claim is changing".to_owned(),
             )))
         };
-        let Some(row) = row else { return changing() };
+        let Some(row) = row else { return claim_changing() };
         let Ok(found) = decode::<Claim>(&row.value) else {
             return ClaimDecision::Refuse(Refusal::unknown(
                 409,
@@ -143,17 +143,17 @@
             ));
         };
         match decide(own, &found, self.clock.wall_millis()) {
-            ClaimVerdict::Run => held(key, own, row.version),
+            ClaimVerdict::Run => run_decision(key, own, row.version),
             ClaimVerdict::Replay(answer) => ClaimDecision::Replay(answer),
             ClaimVerdict::Refuse(refusal) => ClaimDecision::Refuse(refusal),
             ClaimVerdict::Renew if may_renew => {
                 match self.write(Operation::replace(key, row.version, encode(own))) {
-                    Written::Yes => held(key, own, row.version + 1),
-                    Written::Conflict(row) => self.judge_row(key, own, row, false),
-                    Written::Fault(fault) => self.after_fault(key, own, &fault),
+                    WriteResult::Committed => run_decision(key, own, row.version + 1),
+                    WriteResult::Conflict(row) => self.decide_by_row(key, own, row, false),
+                    WriteResult::Failed(fault) => self.resolve_failed_write(key, own, &fault),
                 }
             }
-            ClaimVerdict::Renew => changing(),
+            ClaimVerdict::Renew => claim_changing(),
         }
     }
 
@@ -162,15 +162,15 @@
     /// What the table does not take now is tried again by [`Claims::tick`]; until it is written,
     /// repeats are told that the outcome is unknown.
     pub fn finish(&self, held: &HeldClaim, state: Option<ClaimState>) {
-        let operation = finishing(&held.key, &held.claim, held.version, &state);
-        if !matches!(self.write(operation), Written::Yes) {
+        let operation = finish_operation(&held.key, &held.claim, held.version, &state);
+        if !matches!(self.write(operation), WriteResult::Committed) {
             self.defer(&held.key, &held.claim, state);
         }
     }
 
     fn defer(&self, key: &str, claim: &Claim, state: Option<ClaimState>) {
-        let until = self.clock.now() + DEFERRED_FOR;
-        let deferred = Deferred { key: key.to_owned(), claim: claim.clone(), state, until };
+        let until = self.clock.now() + DEFERRED_MAX_AGE;
+        let deferred = DeferredWrite { key: key.to_owned(), claim: claim.clone(), state, until };
         lock(&self.deferred).push(deferred);
     }
 
@@ -178,9 +178,9 @@
     pub fn tick(&self) {
         let deferred = std::mem::take(&mut *lock(&self.deferred));
         let now = self.clock.now();
-        let left: Vec<Deferred> =
-            deferred.into_iter().filter(|d| d.until > now && !self.settle_deferred(d)).collect();
-        lock(&self.deferred).extend(left);
+        let remaining: Vec<DeferredWrite> =
+            deferred.into_iter().filter(|d| d.until > now && !self.retry_deferred(d)).collect();
+        lock(&self.deferred).extend(remaining);
     }
 
     /// Returns the number of writes that the table has not taken yet.
@@ -189,7 +189,7 @@
     }
 
     /// Returns whether nothing is left to do.
-    fn settle_deferred(&self, Deferred { key, claim, state, .. }: &Deferred) -> bool {
+    fn retry_deferred(&self, DeferredWrite { key, claim, state, .. }: &DeferredWrite) -> bool {
         let Ok(row) = self.table.get(key) else { return false };
         // A claim that is being given back may appear later; one with a result was there.
         let Some(row) = row else { return state.is_some() };
@@ -197,30 +197,33 @@
         if found.attempt != claim.attempt || found.state != ClaimState::Running {
             return true;
         }
-        matches!(self.write(finishing(key, claim, row.version, state)), Written::Yes)
+        matches!(
+            self.write(finish_operation(key, claim, row.version, state)),
+            WriteResult::Committed
+        )
     }
 
     /// Writes one operation together with those of other requests.
-    fn write(&self, operation: Operation) -> Written {
+    fn write(&self, operation: Operation) -> WriteResult {
         let slot = Arc::new((Mutex::new(None), Condvar::new()));
-        let mut line = lock(&self.line);
-        line.pending.push(Pending { operation, slot: Arc::clone(&slot) });
+        let mut queue = lock(&self.queue);
+        queue.pending.push(Pending { operation, slot: Arc::clone(&slot) });
         loop {
-            if let Some(written) = lock(&slot.0).take() {
-                return written;
+            if let Some(result) = lock(&slot.0).take() {
+                return result;
             }
-            if !line.busy {
-                line.busy = true;
-                let group = take_group(&mut line.pending);
-                drop(line);
+            if !queue.is_writing {
+                queue.is_writing = true;
+                let group = take_group(&mut queue.pending);
+                drop(queue);
                 self.write_group(group);
-                line = lock(&self.line);
-                line.busy = false;
-                self.freed.notify_all();
+                queue = lock(&self.queue);
+                queue.is_writing = false;
+                self.write_done.notify_all();
                 continue;
             }
-            line = match self.freed.wait(line) {
-                Ok(line) => line,
+            queue = match self.write_done.wait(queue) {
+                Ok(queue) => queue,
                 Err(poisoned) => poisoned.into_inner(),
             };
         }
@@ -232,19 +235,21 @@
             let operations = group.iter().map(|p| p.operation.clone()).collect();
             match self.table.transact(operations) {
                 Ok(TransactReply::Committed) => {
-                    group.drain(..).for_each(|p| settle(&p, Written::Yes));
+                    group.drain(..).for_each(|p| complete(&p, WriteResult::Committed));
                 }
                 Ok(TransactReply::Conflict { key, row }) => {
                     let Some(at) = group.iter().position(|p| p.operation.key == key) else {
                         let fault =
                             PlatformFault::Reply(format!("conflict on {key}, which was not asked"));
-                        group.drain(..).for_each(|p| settle(&p, Written::Fault(fault.clone())));
+                        group
+                            .drain(..)
+                            .for_each(|p| complete(&p, WriteResult::Failed(fault.clone())));
                         return;
                     };
-                    settle(&group.remove(at), Written::Conflict(row));
+                    complete(&group.remove(at), WriteResult::Conflict(row));
                 }
                 Err(fault) => {
-                    group.drain(..).for_each(|p| settle(&p, Written::Fault(fault.clone())));
+                    group.drain(..).for_each(|p| complete(&p, WriteResult::Failed(fault.clone())));
                 }
             }
         }
@@ -263,11 +268,16 @@
     group
 }
 
-fn held(key: &str, claim: &Claim, version: u64) -> ClaimDecision {
+fn run_decision(key: &str, claim: &Claim, version: u64) -> ClaimDecision {
     ClaimDecision::Run(HeldClaim { key: key.to_owned(), claim: claim.clone(), version })
 }
 
-fn finishing(key: &str, claim: &Claim, version: u64, state: &Option<ClaimState>) -> Operation {
+fn finish_operation(
+    key: &str,
+    claim: &Claim,
+    version: u64,
+    state: &Option<ClaimState>,
+) -> Operation {
     let write = match state {
         None => Write::Delete,
         Some(state) => Write::Put(encode(&Claim { state: state.clone(), ..claim.clone() })),
@@ -275,12 +285,12 @@
     Operation { key: key.to_owned(), expect: Expect::Version(version), write }
 }
 
-fn settle(pending: &Pending, written: Written) {
-    *lock(&pending.slot.0) = Some(written);
+fn complete(pending: &Pending, result: WriteResult) {
+    *lock(&pending.slot.0) = Some(result);
     pending.slot.1.notify_all();
 }
 
-fn table_out(fault: &PlatformFault) -> Refusal {
+fn claim_not_kept(fault: &PlatformFault) -> Refusal {
     let detail = format!(
         "the claim of the Idempotency-Key could not be kept ({fault}); send it again with the same key"
     );
