--- a/src/instance/requests/caller_watch.rs
+++ b/src/instance/requests/caller_watch.rs
@@ -18,20 +18,20 @@
     shared: &'w Shared,
     probes: bool,
     /// The request is to be carried through whether or not its caller waits.
-    stays: bool,
+    must_complete: bool,
     last_probe: Option<Instant>,
 }
 
 impl<'w> CallerWatch<'w> {
-    /// Returns a watch over the caller of `request`; with `stays`, the request is carried through
+    /// Returns a watch over the caller of `request`; with `must_complete`, the request is carried through
     /// whether or not its caller waits.
-    pub fn new(shared: &'w Shared, request: &Request, stays: bool) -> CallerWatch<'w> {
-        CallerWatch { shared, probes: !request.http10, stays, last_probe: None }
+    pub fn new(shared: &'w Shared, request: &Request, must_complete: bool) -> CallerWatch<'w> {
+        CallerWatch { shared, probes: !request.http10, must_complete, last_probe: None }
     }
 
     /// Returns whether the caller on `conn` still waits.
-    pub fn waits(&mut self, conn: &mut Conn) -> bool {
-        if self.stays {
+    pub fn is_waiting(&mut self, conn: &mut Conn) -> bool {
+        if self.must_complete {
             return true;
         }
         match conn.state() {
--- a/src/instance/requests/engine_slot.rs
+++ b/src/instance/requests/engine_slot.rs
@@ -26,7 +26,7 @@
 const LOST_HOMES_MAX: u32 = 6;
 
 /// Time to come back after a refusal that has no better estimate.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A place at an engine.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub enum SlotError {
     /// The caller is to be told this.
-    Refused(Refusal),
+    Rejected(Refusal),
     /// The caller went away.
     CallerGone,
 }
@@ -211,19 +211,19 @@
             "no room in time",
             format!("no engine of {service} had room before the deadline; send it again or give it more time"),
         )
-        .retry_after(RETRY_AFTER),
+        .retry_after(DEFAULT_RETRY_AFTER),
         PermitError::HomeLost => Refusal::not_run(
             503,
             "no permit",
             format!("no instance could grant a permit for {service}; send it again"),
         )
-        .retry_after(RETRY_AFTER),
+        .retry_after(DEFAULT_RETRY_AFTER),
         PermitError::Reply(Reply::Refused { reason, retry_after_ms }) => {
             refusal_for(reason, service).retry_after(retry(retry_after_ms))
         }
-        PermitError::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(RETRY_AFTER),
+        PermitError::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(DEFAULT_RETRY_AFTER),
     };
-    SlotError::Refused(refusal)
+    SlotError::Rejected(refusal)
 }
 
 fn refusal_for(reason: RefuseReason, service: &str) -> Refusal {
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -12,7 +12,7 @@
     instance::{
         knowledge::snapshot::{ServiceView, Snapshot},
         requests::{
-            forward::{self, Ended},
+            forward::{self, ForwardResult},
             request::{Request, split_target},
         },
         shared::Shared,
@@ -131,10 +131,10 @@
                 true,
             )
         }
-        Err(refused) => (Ended::Refused(refused.refusal), refused.body_read),
+        Err(refused) => (ForwardResult::Rejected(refused.refusal), refused.body_read),
     };
     match ended {
-        Ended::Answered { status, outcome, reusable, server } => {
+        ForwardResult::Responded { status, outcome, reusable, server } => {
             let took = shared.clock.now() - began;
             shared.metrics.request_ended(&service_name, status, outcome, took);
             let server = server.map_or_else(|| "-".to_owned(), |id| id.to_string());
@@ -144,7 +144,7 @@
             );
             reusable && keep_alive
         }
-        Ended::Refused(refusal) => {
+        ForwardResult::Rejected(refusal) => {
             let keep_alive = keep_alive && body_read;
             refuse(shared, conn, &refusal, id, &service_name, began, keep_alive, head_only)
         }
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -41,18 +41,18 @@
 
 /// Largest answer of known length that is read whole before its first byte goes to the caller, so
 /// that a cut one can be tried again.
-const WHOLE_MAX: u64 = 256 << 10;
+const BUFFERED_MAX: u64 = 256 << 10;
 
 /// Tries to resume a stream whose connection was lost.
 const RESUMES_MAX: u32 = 3;
 
 /// Time to come back after a refusal that has no better estimate.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How a request ended.
-pub enum Ended {
+pub enum ForwardResult {
     /// An answer went to the caller, whole or visibly cut.
-    Answered {
+    Responded {
         /// Its status.
         status: u16,
         /// Whether the request ran.
@@ -63,41 +63,41 @@
         server: Option<BackendId>,
     },
     /// Nothing went to the caller yet: it is to be told this.
-    Refused(Refusal),
+    Rejected(Refusal),
 }
 
 /// An answer that went to the caller.
-struct Answered {
+struct SentResponse {
     status: u16,
     outcome: Outcome,
     reusable: bool,
 }
 
-impl Answered {
-    fn by(self, server: &BackendServer) -> Ended {
-        let Answered { status, outcome, reusable } = self;
-        Ended::Answered { status, outcome, reusable, server: Some(server.id.clone()) }
+impl SentResponse {
+    fn from_server(self, server: &BackendServer) -> ForwardResult {
+        let SentResponse { status, outcome, reusable } = self;
+        ForwardResult::Responded { status, outcome, reusable, server: Some(server.id.clone()) }
     }
 }
 
 /// How one attempt ended.
-enum Tried {
+enum AttemptResult {
     /// An answer went to the caller.
-    Answered(Answered),
+    Responded(SentResponse),
     /// It failed and nothing reached the caller.
-    Fault(AttemptFault),
+    Failed(AttemptFault),
     /// It failed after the answer's head had reached the caller, who has seen the cut.
-    Cut(AttemptFault, u16),
+    Aborted(AttemptFault, u16),
 }
 
 /// One request on its way.
-struct Job<'j> {
-    shared: &'j Shared,
-    snapshot: &'j Snapshot,
-    view: &'j ServiceView,
+struct RequestForwarder<'f> {
+    shared: &'f Shared,
+    snapshot: &'f Snapshot,
+    view: &'f ServiceView,
     team: Tag,
-    request: &'j Request,
-    note: AnswerNote,
+    request: &'f Request,
+    options: AnswerNote,
     claim: Option<HeldClaim>,
 }
 
@@ -109,85 +109,91 @@
     view: &ServiceView,
     team: &Tag,
     request: &Request,
-    note: AnswerNote,
-) -> Ended {
-    let mut job = Job { shared, snapshot, view, team: *team, request, note, claim: None };
+    options: AnswerNote,
+) -> ForwardResult {
+    let mut forwarder =
+        RequestForwarder { shared, snapshot, view, team: *team, request, options, claim: None };
     if let Some(key) = &request.key {
-        match job.claim(key) {
-            ClaimDecision::Run(held) => job.claim = Some(held),
-            ClaimDecision::Replay(answer) => {
-                return replay::replay(shared, conn, request, &job.note, &answer);
+        match forwarder.claim(key) {
+            ClaimDecision::Run(held) => forwarder.claim = Some(held),
+            ClaimDecision::Replay(response) => {
+                return replay::replay(shared, conn, request, &forwarder.options, &response);
             }
-            ClaimDecision::Refuse(refusal) => return Ended::Refused(refusal),
+            ClaimDecision::Refuse(refusal) => return ForwardResult::Rejected(refusal),
         }
     }
-    let ended = job.attempts(conn);
-    job.settle_claim(&ended);
-    ended
+    let result = forwarder.run_attempts(conn);
+    forwarder.finish_claim(&result);
+    result
 }
 
-impl Job<'_> {
+impl RequestForwarder<'_> {
     fn claim(&self, key: &str) -> ClaimDecision {
         let Request { method, target, body, .. } = self.request;
         let digest =
             Digest::of(&[method.as_str().as_bytes(), target.as_bytes(), body].join(&b'\n'));
         let now = self.shared.clock.wall_millis();
-        let left = self.request.deadline.saturating_duration_since(self.shared.clock.now());
-        let life = self.shared.settings.timeouts.claim.0;
+        let time_left = self.request.deadline.saturating_duration_since(self.shared.clock.now());
+        let ttl = self.shared.settings.timeouts.claim.0;
         let claim = Claim {
             attempt: self.request.id.clone(),
             request: digest,
             state: ClaimState::Running,
-            deadline_at: now + left.as_millis() as u64,
-            expires_at: now + life.as_millis() as u64,
+            deadline_at: now + time_left.as_millis() as u64,
+            expires_at: now + ttl.as_millis() as u64,
         };
         let team = self.snapshot.team_id(self.team);
-        let begun = self.shared.claims.begin(&row_key(&self.view.service.id, team, key), &claim);
-        self.shared.metrics.claim(match &begun {
+        let decision = self.shared.claims.begin(&row_key(&self.view.service.id, team, key), &claim);
+        self.shared.metrics.claim(match &decision {
             ClaimDecision::Run(_) => "run",
             ClaimDecision::Replay(_) => "replay",
             ClaimDecision::Refuse(_) => "refuse",
         });
-        begun
+        decision
     }
 
     /// Gives back or closes a claim that no answer has closed.
-    fn settle_claim(&mut self, ended: &Ended) {
+    fn finish_claim(&mut self, result: &ForwardResult) {
         let Some(held) = self.claim.take() else { return };
-        let outcome = match ended {
-            Ended::Answered { outcome, .. } => *outcome,
-            Ended::Refused(refusal) => refusal.outcome,
+        let outcome = match result {
+            ForwardResult::Responded { outcome, .. } => *outcome,
+            ForwardResult::Rejected(refusal) => refusal.outcome,
         };
         let state = if outcome == Outcome::NotRun { None } else { Some(ClaimState::Unknown) };
         self.shared.claims.finish(&held, state);
     }
 
     /// Tries backend servers until one answers or no further try is allowed.
-    fn attempts(&mut self, conn: &mut Conn) -> Ended {
+    fn run_attempts(&mut self, conn: &mut Conn) -> ForwardResult {
         let service = &self.view.service;
-        self.with_budget(RetryBudget::note_request);
+        self.with_retry_budget(RetryBudget::note_request);
         let mut avoid = Vec::new();
         // Whether an earlier attempt may have run the request.
-        let mut in_doubt = false;
+        let mut may_have_run = false;
         for number in 0..service.attempts {
-            let place = match self.place(conn, &avoid) {
-                Ok(place) => place,
-                Err(refusal) => return Ended::Refused(doubt(refusal, in_doubt)),
+            let slot = match self.acquire_slot(conn, &avoid) {
+                Ok(slot) => slot,
+                Err(refusal) => {
+                    return ForwardResult::Rejected(with_unknown_outcome(refusal, may_have_run));
+                }
             };
-            let Some(server) = self.snapshot.server(place.engine()).cloned() else {
-                engine_slot::release(self.shared, service, place, ReleaseKind::Unused, None);
-                return Ended::Refused(doubt(no_server(), in_doubt));
+            let Some(server) = self.snapshot.server(slot.engine()).cloned() else {
+                engine_slot::release(self.shared, service, slot, ReleaseKind::Unused, None);
+                return ForwardResult::Rejected(with_unknown_outcome(
+                    no_backend_server(),
+                    may_have_run,
+                ));
             };
-            let tried = self.attempt(conn, &server, number, place);
-            let fault = match tried {
-                Tried::Answered(answered) => return answered.by(&server),
-                Tried::Cut(fault, status) => {
-                    return Answered { status, outcome: fault.outcome(), reusable: false }
-                        .by(&server);
+            let result = self.attempt(conn, &server, number, slot);
+            let fault = match result {
+                AttemptResult::Responded(response) => return response.from_server(&server),
+                AttemptResult::Aborted(fault, status) => {
+                    return SentResponse { status, outcome: fault.outcome(), reusable: false }
+                        .from_server(&server);
                 }
-                Tried::Fault(fault) => fault,
+                AttemptResult::Failed(fault) => fault,
             };
-            in_doubt |= fault.outcome() != Outcome::NotRun;
+            may_have_run |= fault.outcome() != Outcome::NotRun;
             log::warn!(
                 "attempt id={} service={} backend_server={} fault={fault:?}",
                 self.request.id,
@@ -195,30 +201,33 @@
                 server.id
             );
             let last = number + 1 == service.attempts;
-            if last || !self.may_try_again(fault, number) {
-                return Ended::Refused(doubt(Refusal::from_fault(fault, RETRY_AFTER), in_doubt));
+            if last || !self.prepare_retry(fault, number) {
+                return ForwardResult::Rejected(with_unknown_outcome(
+                    Refusal::from_fault(fault, DEFAULT_RETRY_AFTER),
+                    may_have_run,
+                ));
             }
             self.shared.metrics.retry(&service.id);
             avoid.push(server.id.tag());
         }
-        Ended::Refused(doubt(no_server(), in_doubt))
+        ForwardResult::Rejected(with_unknown_outcome(no_backend_server(), may_have_run))
     }
 
     /// Decides on another attempt and pauses before it.
-    fn may_try_again(&self, fault: AttemptFault, number: u32) -> bool {
+    fn prepare_retry(&self, fault: AttemptFault, number: u32) -> bool {
         if !may_retry(fault, self.request.retry_safety, false) {
             return false;
         }
         let pause = backoff(number, fastrand::f64());
-        let left = self.request.deadline.saturating_duration_since(self.shared.clock.now());
-        if pause >= left || !self.with_budget(RetryBudget::take) {
+        let time_left = self.request.deadline.saturating_duration_since(self.shared.clock.now());
+        if pause >= time_left || !self.with_retry_budget(RetryBudget::take) {
             return false;
         }
         thread::sleep(pause);
         true
     }
 
-    fn with_budget<T>(&self, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with_retry_budget<T>(&self, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let service = &self.view.service;
         let mut budgets = lock(&self.shared.budgets);
         let share = service.retry_budget;
@@ -227,17 +236,16 @@
         f(budget)
     }
 
-    fn place(&self, conn: &mut Conn, avoid: &[Tag]) -> Result<EngineSlot, Refusal> {
+    fn acquire_slot(&self, conn: &mut Conn, avoid: &[Tag]) -> Result<EngineSlot, Refusal> {
         let watch = &mut CallerWatch::new(self.shared, self.request, self.claim.is_some());
-        let go_on = &mut || watch.waits(conn);
-        engine_slot::acquire(self.shared, self.view, self.team, self.request, avoid, go_on).map_err(
-            |no| match no {
-                SlotError::Refused(refusal) => refusal,
+        let keep_waiting = &mut || watch.is_waiting(conn);
+        engine_slot::acquire(self.shared, self.view, self.team, self.request, avoid, keep_waiting)
+            .map_err(|error| match error {
+                SlotError::Rejected(refusal) => refusal,
                 SlotError::CallerGone => {
                     Refusal::not_run(499, "caller gone", "the caller went away")
                 }
-            },
-        )
+            })
     }
 
     /// Makes one attempt and gives its place back.
@@ -246,15 +254,15 @@
         conn: &mut Conn,
         server: &BackendServer,
         number: u32,
-        place: EngineSlot,
-    ) -> Tried {
+        slot: EngineSlot,
+    ) -> AttemptResult {
         let service = &self.view.service;
         let id = format!("{}-{number}", self.request.id);
         let mut report = EngineReport::default();
-        let tried = self.exchange(conn, server, &id, &place, &mut report);
-        let fault = match &tried {
-            Tried::Answered(_) => None,
-            Tried::Fault(fault) | Tried::Cut(fault, _) => Some(*fault),
+        let result = self.send_attempt(conn, server, &id, &slot, &mut report);
+        let fault = match &result {
+            AttemptResult::Responded(_) => None,
+            AttemptResult::Failed(fault) | AttemptResult::Aborted(fault, _) => Some(*fault),
         };
         self.shared.metrics.attempt(&service.id, fault);
         if fault == Some(AttemptFault::CallerGone) && report.resumable {
@@ -267,22 +275,22 @@
             Some(fault) if fault.counts_against_server() => ReleaseKind::Failed,
             Some(_) => ReleaseKind::Unused,
         };
-        engine_slot::release(self.shared, service, place, kind, report.load);
-        tried
+        engine_slot::release(self.shared, service, slot, kind, report.load);
+        result
     }
 
-    fn exchange(
+    fn send_attempt(
         &mut self,
         conn: &mut Conn,
         server: &BackendServer,
         id: &str,
-        place: &EngineSlot,
+        slot: &EngineSlot,
         report: &mut EngineReport,
-    ) -> Tried {
+    ) -> AttemptResult {
         let request = self.request;
-        let left = request.deadline.saturating_duration_since(self.shared.clock.now());
+        let time_left = request.deadline.saturating_duration_since(self.shared.clock.now());
         let mut headers = request.headers.clone();
-        headers.insert(DEADLINE_HEADER, HeaderValue::from(left.as_millis() as u64));
+        headers.insert(DEADLINE_HEADER, HeaderValue::from(time_left.as_millis() as u64));
         if let Ok(value) = HeaderValue::from_str(&request.id) {
             headers.insert("cartvane-request-id", value);
         }
@@ -302,125 +310,134 @@
             until: request.deadline,
         };
         let mut watch = CallerWatch::new(self.shared, request, self.claim.is_some());
-        let sent = self.shared.backends.send(&attempt, &mut || watch.waits(conn));
-        let answer = match sent {
-            Ok(answer) => answer,
-            Err(fault) => return Tried::Fault(fault),
+        let sent = self.shared.backends.send(&attempt, &mut || watch.is_waiting(conn));
+        let response = match sent {
+            Ok(response) => response,
+            Err(fault) => return AttemptResult::Failed(fault),
         };
-        report.read(&answer);
-        if let Some(own) = &mut self.note.own {
+        report.read(&response);
+        if let Some(own) = &mut self.options.own {
             own.placement = chat.map(|chat| {
                 placement_hint::encode(
                     &self.shared.settings.credentials.placement,
                     chat,
-                    place.engine(),
+                    slot.engine(),
                 )
             });
             own.outcome = Outcome::Run;
         }
-        let whole = answer.content_length().is_some_and(|length| length <= WHOLE_MAX);
-        if whole || request.method == Method::HEAD || request.http10 {
-            self.pass_whole(conn, answer, &mut watch)
+        let fits_buffer = response.content_length().is_some_and(|length| length <= BUFFERED_MAX);
+        if fits_buffer || request.method == Method::HEAD || request.http10 {
+            self.send_buffered(conn, response, &mut watch)
         } else {
-            self.pass_stream(conn, answer, server, id)
+            self.send_streamed(conn, response, server, id)
         }
     }
 
     /// Reads the answer whole, then writes it.
-    fn pass_whole(
+    fn send_buffered(
         &mut self,
         conn: &mut Conn,
-        mut answer: Answer,
+        mut response: Answer,
         watch: &mut CallerWatch<'_>,
-    ) -> Tried {
+    ) -> AttemptResult {
         let mut body = Vec::new();
         loop {
-            match answer.next(self.stall_end(), &mut || watch.waits(conn)) {
+            match response.next(self.stall_deadline(), &mut || watch.is_waiting(conn)) {
                 Ok(Some(piece)) => body.extend_from_slice(&piece),
                 Ok(None) => break,
-                Err(fault) => return Tried::Fault(fault),
+                Err(fault) => return AttemptResult::Failed(fault),
             }
             if self.request.http10 && body.len() > self.shared.settings.limits.body.bytes() {
-                return Tried::Fault(AttemptFault::Garbage);
+                return AttemptResult::Failed(AttemptFault::Garbage);
             }
         }
-        let status = answer.head.status;
-        let headers = response_headers(&answer.head.headers);
-        self.keep_answer(status, &headers, Some(&body));
-        self.shared.backends.finish(answer);
+        let status = response.head.status;
+        let headers = response_headers(&response.head.headers);
+        self.store_response(status, &headers, Some(&body));
+        self.shared.backends.finish(response);
         let stall = self.shared.settings.timeouts.slow_reader.0;
         let head_only = self.request.method == Method::HEAD;
-        let sent = send_whole(conn, stall, status, &headers, &self.note, &body, head_only);
+        let sent = send_whole(conn, stall, status, &headers, &self.options, &body, head_only);
         self.note_first_byte();
         let reusable = sent.is_ok();
-        Tried::Answered(Answered { status: status.as_u16(), outcome: Outcome::Run, reusable })
+        AttemptResult::Responded(SentResponse {
+            status: status.as_u16(),
+            outcome: Outcome::Run,
+            reusable,
+        })
     }
 
     /// Passes the answer on as it comes.
-    fn pass_stream(
+    fn send_streamed(
         &mut self,
         conn: &mut Conn,
-        mut answer: Answer,
+        mut response: Answer,
         server: &BackendServer,
         id: &str,
-    ) -> Tried {
-        let status = answer.head.status;
-        let headers = response_headers(&answer.head.headers);
+    ) -> AttemptResult {
+        let status = response.head.status;
+        let headers = response_headers(&response.head.headers);
         let events = is_event_stream(&headers);
-        let resumable = answer.head.header(RESUMABLE_HEADER).is_some();
+        let resumable = response.head.header(RESUMABLE_HEADER).is_some();
         let stall = self.shared.settings.timeouts.slow_reader.0;
         let framing = AnswerBody::Chunked;
-        let mut kept = self.claim.as_ref().map(|_| Vec::new());
-        let mut caller_here = true;
-        let started = AnswerWriter::start(conn, stall, status, &headers, &self.note, framing, &[]);
+        let mut stored_body = self.claim.as_ref().map(|_| Vec::new());
+        let mut caller_connected = true;
+        let started =
+            AnswerWriter::start(conn, stall, status, &headers, &self.options, framing, &[]);
         let mut writer = match started {
             Ok(writer) => writer,
-            Err(_) => return Tried::Cut(AttemptFault::CallerGone, status.as_u16()),
+            Err(_) => return AttemptResult::Aborted(AttemptFault::CallerGone, status.as_u16()),
         };
         let mut received = 0_u64;
         let mut resumes = 0;
         loop {
-            let stays = self.claim.is_some();
-            let mut here = || stays || writer.conn().state() != ConnState::Broken;
-            match answer.next(self.stall_end(), &mut here) {
+            let must_complete = self.claim.is_some();
+            let mut is_connected = || must_complete || writer.conn().state() != ConnState::Broken;
+            match response.next(self.stall_deadline(), &mut is_connected) {
                 Ok(None) => break,
                 Ok(Some(piece)) => {
                     if received == 0 {
                         self.note_first_byte();
                     }
                     received += piece.len() as u64;
-                    self.keep_piece(&mut kept, &piece);
-                    caller_here = caller_here && writer.piece(&piece).is_ok();
-                    if !caller_here && self.claim.is_none() {
-                        return Tried::Cut(AttemptFault::CallerGone, status.as_u16());
+                    self.store_piece(&mut stored_body, &piece);
+                    caller_connected = caller_connected && writer.piece(&piece).is_ok();
+                    if !caller_connected && self.claim.is_none() {
+                        return AttemptResult::Aborted(AttemptFault::CallerGone, status.as_u16());
                     }
                 }
                 Err(AttemptFault::CallerGone) => {
-                    return Tried::Cut(AttemptFault::CallerGone, status.as_u16());
+                    return AttemptResult::Aborted(AttemptFault::CallerGone, status.as_u16());
                 }
                 Err(fault) => {
                     let resumed = (resumable && resumes < RESUMES_MAX)
                         .then(|| engine_streams::resume(self.shared, server, id, received));
                     resumes += 1;
-                    if let Some(Some(rest)) = resumed {
-                        answer = rest;
+                    if let Some(Some(resumed_response)) = resumed {
+                        response = resumed_response;
                         continue;
                     }
-                    let words =
+                    let event =
                         if events { error_event(fault, &self.request.id) } else { Vec::new() };
-                    writer.cut(&words);
-                    return Tried::Cut(fault, status.as_u16());
+                    writer.cut(&event);
+                    return AttemptResult::Aborted(fault, status.as_u16());
                 }
             }
         }
-        self.keep_answer(status, &headers, kept.as_deref());
-        let sent = if caller_here { writer.end().is_ok() } else { false };
-        self.shared.backends.finish(answer);
-        Tried::Answered(Answered { status: status.as_u16(), outcome: Outcome::Run, reusable: sent })
+        self.store_response(status, &headers, stored_body.as_deref());
+        let sent = if caller_connected { writer.end().is_ok() } else { false };
+        self.shared.backends.finish(response);
+        AttemptResult::Responded(SentResponse {
+            status: status.as_u16(),
+            outcome: Outcome::Run,
+            reusable: sent,
+        })
     }
 
     /// Returns when the next byte of the answer must have come.
-    fn stall_end(&self) -> Instant {
+    fn stall_deadline(&self) -> Instant {
         let stall = self.shared.clock.now() + self.shared.settings.timeouts.stall.0;
         stall.min(self.request.deadline)
     }
@@ -430,23 +447,23 @@
         self.shared.metrics.first_byte(&self.view.service.id, took);
     }
 
-    fn keep_piece(&self, kept: &mut Option<Vec<u8>>, piece: &[u8]) {
-        let most = self.shared.settings.limits.stored_answer.bytes();
-        if let Some(body) = kept {
+    fn store_piece(&self, stored_body: &mut Option<Vec<u8>>, piece: &[u8]) {
+        let max_bytes = self.shared.settings.limits.stored_answer.bytes();
+        if let Some(body) = stored_body {
             body.extend_from_slice(piece);
-            if body.len() > most {
-                *kept = None;
+            if body.len() > max_bytes {
+                *stored_body = None;
             }
         }
     }
 
     /// Closes the claim with the whole answer, before its end reaches the caller: from then on a
     /// repeat gets this answer, also when this instance is lost.
-    fn keep_answer(&mut self, status: StatusCode, headers: &HeaderMap, body: Option<&[u8]>) {
+    fn store_response(&mut self, status: StatusCode, headers: &HeaderMap, body: Option<&[u8]>) {
         let Some(held) = self.claim.take() else { return };
-        let most = self.shared.settings.limits.stored_answer.bytes();
+        let max_bytes = self.shared.settings.limits.stored_answer.bytes();
         let state = match body {
-            Some(body) if body.len() <= most => ClaimState::Done(StoredResponse {
+            Some(body) if body.len() <= max_bytes => ClaimState::Done(StoredResponse {
                 status: status.as_u16(),
                 headers: text_headers(headers),
                 body: body.to_vec(),
@@ -457,19 +474,19 @@
     }
 }
 
-fn doubt(refusal: Refusal, in_doubt: bool) -> Refusal {
-    if in_doubt && refusal.outcome == Outcome::NotRun {
+fn with_unknown_outcome(refusal: Refusal, may_have_run: bool) -> Refusal {
+    if may_have_run && refusal.outcome == Outcome::NotRun {
         let detail = format!("{}; an earlier attempt may have run it", refusal.detail);
         return Refusal { outcome: Outcome::Unknown, detail, ..refusal };
     }
     refusal
 }
 
-fn no_server() -> Refusal {
+fn no_backend_server() -> Refusal {
     Refusal::not_run(
         503,
         "no backend server",
         "no backend server can take the request now; send it again later",
     )
-    .retry_after(RETRY_AFTER)
+    .retry_after(DEFAULT_RETRY_AFTER)
 }
--- a/src/instance/requests/replay.rs
+++ b/src/instance/requests/replay.rs
@@ -5,7 +5,7 @@
 use crate::{
     contract::{claim::StoredResponse, outcome::Outcome},
     instance::{
-        requests::{forward::Ended, request::Request},
+        requests::{forward::ForwardResult, request::Request},
         shared::Shared,
     },
     link::{
@@ -21,7 +21,7 @@
     request: &Request,
     note: &AnswerNote,
     answer: &StoredResponse,
-) -> Ended {
+) -> ForwardResult {
     let mut headers = HeaderMap::new();
     for (name, value) in &answer.headers {
         match (HeaderName::try_from(name), HeaderValue::try_from(value)) {
@@ -37,7 +37,7 @@
     let head_only = request.method == http::Method::HEAD;
     let stall = shared.settings.timeouts.slow_reader.0;
     let sent = send_whole(conn, stall, status, &headers, &note, &answer.body, head_only);
-    Ended::Answered {
+    ForwardResult::Responded {
         status: answer.status,
         outcome: Outcome::Run,
         reusable: sent.is_ok(),
