--- a/src/instance/requests/engine_slot.rs
+++ b/src/instance/requests/engine_slot.rs
@@ -72,38 +72,38 @@
     // A request that belongs to no chat is spread evenly.
     let chat = request.chat.unwrap_or_else(|| ChatKey(fastrand::u64(..)));
     if view.service.placement != Placement::Permit {
-        return alone(shared, view, chat, avoid);
+        return choose_by_baseline(shared, view, chat, avoid);
     }
     let key = &shared.settings.credentials.placement;
     let hint = request.hint.as_deref().and_then(|hint| placement_hint::decode(key, chat, hint));
-    let began = shared.clock.now();
+    let started_at = shared.clock.now();
     let ranked = view.ranked_shards(chat);
-    let mut asker = Asker { shared, team, request, chat, hint, avoid, lost: 0 };
-    let mut end = None;
+    let mut requester = PermitRequester { shared, team, request, chat, hint, avoid, lost_homes: 0 };
+    let mut result = None;
     for (at, shard) in ranked.iter().enumerate() {
-        end = Some(asker.ask(shard, at + 1 < ranked.len(), keep_waiting));
-        if !matches!(end, Some(Err(PermitError::Reply(Reply::Spill)))) {
+        result = Some(requester.request_permit(shard, at + 1 < ranked.len(), keep_waiting));
+        if !matches!(result, Some(Err(PermitError::Reply(Reply::Spill)))) {
             break;
         }
     }
-    let took = shared.clock.now() - began;
-    let end = end.unwrap_or(Err(PermitError::Reply(Reply::Refused {
+    let elapsed = shared.clock.now() - started_at;
+    let result = result.unwrap_or(Err(PermitError::Reply(Reply::Refused {
         reason: RefuseReason::NoEngine,
         retry_after_ms: 1000,
     })));
-    shared.metrics.permit_reply(reply_name(&end), took);
-    end.map(EngineSlot::Permit).map_err(|end| refusal_of(end, view.service.id.as_str()))
+    shared.metrics.permit_reply(reply_label(&result), elapsed);
+    result.map(EngineSlot::Permit).map_err(|error| rejection(error, view.service.id.as_str()))
 }
 
 /// Gives a place back.
 pub fn release(
     shared: &Shared,
     service: &Service,
-    place: EngineSlot,
+    slot: EngineSlot,
     kind: ReleaseKind,
     load: Option<u32>,
 ) {
-    match place {
+    match slot {
         EngineSlot::Permit(permit) => shared.permit_client.release(permit, kind, load),
         EngineSlot::Baseline(engine) => {
             let now = shared.clock.now();
@@ -115,7 +115,7 @@
     }
 }
 
-fn alone(
+fn choose_by_baseline(
     shared: &Shared,
     view: &ServiceView,
     chat: ChatKey,
@@ -128,7 +128,7 @@
     let chosen =
         baseline.choose(now, service.placement, &view.engines, chat, avoid, service.load_bound);
     let engine = chosen.ok_or_else(|| {
-        refusal_of(
+        rejection(
             PermitError::Reply(Reply::Refused {
                 reason: RefuseReason::NoEngine,
                 retry_after_ms: 1000,
@@ -140,19 +140,19 @@
     Ok(EngineSlot::Baseline(engine))
 }
 
-struct Asker<'a> {
+struct PermitRequester<'a> {
     shared: &'a Shared,
     team: Tag,
     request: &'a Request,
     chat: ChatKey,
     hint: Option<Tag>,
     avoid: &'a [Tag],
-    lost: u32,
+    lost_homes: u32,
 }
 
-impl Asker<'_> {
+impl PermitRequester<'_> {
     /// Asks the home of `shard`; a home that is not reached is passed over and the next asked.
-    fn ask(
+    fn request_permit(
         &mut self,
         shard: &Shard,
         may_spill: bool,
@@ -165,7 +165,7 @@
             if time_left.is_zero() {
                 return Err(PermitError::Deadline);
             }
-            let ask = PermitRequest {
+            let permit_request = PermitRequest {
                 id,
                 chat: self.chat,
                 team: self.team,
@@ -175,18 +175,19 @@
                 may_spill,
             };
             let home = self.shared.home_of(shard);
-            let end = self.shared.permit_client.request(home, shard.id, &ask, keep_waiting);
-            if end != Err(PermitError::HomeLost) || self.lost >= LOST_HOMES_MAX {
-                return end;
+            let result =
+                self.shared.permit_client.request(home, shard.id, &permit_request, keep_waiting);
+            if result != Err(PermitError::HomeLost) || self.lost_homes >= LOST_HOMES_MAX {
+                return result;
             }
-            self.lost += 1;
+            self.lost_homes += 1;
             lock(&self.shared.membership).note_failure(now, home);
         }
     }
 }
 
-fn reply_name(end: &Result<Permit, PermitError>) -> &'static str {
-    match end {
+fn reply_label(result: &Result<Permit, PermitError>) -> &'static str {
+    match result {
         Ok(_) => "granted",
         Err(PermitError::Reply(Reply::Refused { reason, .. })) => match reason {
             RefuseReason::TeamInFlight => "team-in-flight",
@@ -202,9 +203,9 @@
     }
 }
 
-fn refusal_of(end: PermitError, service: &str) -> SlotError {
+fn rejection(error: PermitError, service: &str) -> SlotError {
     let retry = |ms: u32| Duration::from_millis(u64::from(ms));
-    let refusal = match end {
+    let refusal = match error {
         PermitError::CallerGone => return SlotError::CallerGone,
         PermitError::Deadline => Refusal::not_run(
             503,
@@ -219,14 +220,16 @@
         )
         .retry_after(DEFAULT_RETRY_AFTER),
         PermitError::Reply(Reply::Refused { reason, retry_after_ms }) => {
-            refusal_for(reason, service).retry_after(retry(retry_after_ms))
+            refusal_for_reason(reason, service).retry_after(retry(retry_after_ms))
+        }
+        PermitError::Reply(_) => {
+            refusal_for_reason(RefuseReason::NoEngine, service).retry_after(DEFAULT_RETRY_AFTER)
         }
-        PermitError::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(DEFAULT_RETRY_AFTER),
     };
     SlotError::Rejected(refusal)
 }
 
-fn refusal_for(reason: RefuseReason, service: &str) -> Refusal {
+fn refusal_for_reason(reason: RefuseReason, service: &str) -> Refusal {
     match reason {
         RefuseReason::TeamInFlight => Refusal::not_run(
             429,
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -26,13 +26,13 @@
 };
 
 /// Longest wait for a refused connection's caller to take the answer.
-const REFUSAL_TIME: Duration = Duration::from_millis(500);
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Serves one caller's connection until it ends.
 pub fn serve(shared: &Arc<Shared>, mut conn: Conn) {
     while wait_for_request(shared, &mut conn) {
-        let began = shared.clock.now();
-        let until = began + shared.settings.timeouts.head.0;
+        let received_at = shared.clock.now();
+        let until = received_at + shared.settings.timeouts.head.0;
         let id = shared.next_request_id();
         match RequestHead::read(&mut conn, shared.settings.limits.head.bytes(), until) {
             Ok(head) => {
@@ -41,7 +41,7 @@
                 }
             }
             Err(fault) => {
-                refuse_head(shared, &mut conn, &fault, id);
+                reject_head(shared, &mut conn, &fault, id);
                 return linger(&mut conn);
             }
         }
@@ -56,12 +56,12 @@
         "this instance has as many connections as it may; try again, or another instance",
     )
     .retry_after(Duration::from_secs(1));
-    let note = note(shared.next_request_id(), false);
+    let options = options(shared.next_request_id(), false);
     // Whether the caller still takes the answer changes nothing here.
-    let _ = send_refusal(&mut conn, REFUSAL_TIME, &refusal, &note, false);
+    let _ = send_refusal(&mut conn, REJECTION_TIMEOUT, &refusal, &options, false);
 }
 
-fn note(request_id: String, keep_alive: bool) -> AnswerNote {
+fn options(request_id: String, keep_alive: bool) -> AnswerNote {
     let own = OwnHeaders { request_id, outcome: Outcome::NotRun, placement: None };
     AnswerNote { own: Some(own), keep_alive }
 }
@@ -72,14 +72,14 @@
         return true;
     }
     let until = shared.clock.now() + shared.settings.timeouts.idle.0;
-    let idle_ends = || {
+    let drain_grace_over = || {
         let age = shared.drain.age(shared.clock.now());
         age.is_some_and(|age| age >= shared.settings.timeouts.drain_grace.0)
     };
-    conn.fill(until, &mut || !idle_ends()).is_ok()
+    conn.fill(until, &mut || !drain_grace_over()).is_ok()
 }
 
-fn refuse_head(shared: &Shared, conn: &mut Conn, fault: &HeadFault, id: String) {
+fn reject_head(shared: &Shared, conn: &mut Conn, fault: &HeadFault, id: String) {
     let refusal = match fault {
         HeadFault::Read(ReadFault::Timeout) => Refusal::not_run(
             408,
@@ -101,41 +101,41 @@
         HeadFault::Coding => Refusal::not_run(501, "unknown transfer coding", fault.to_string()),
         HeadFault::Read(_) => return,
     };
-    refuse(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
+    reject(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
 }
 
 /// Serves one request; returns whether the connection may carry another.
 fn serve_request(shared: &Arc<Shared>, conn: &mut Conn, head: RequestHead, id: String) -> bool {
-    let began = shared.clock.now();
+    let received_at = shared.clock.now();
     let keep_alive = head.keep_alive() && !shared.drain.is_draining();
     let head_only = head.method == Method::HEAD;
     let service_name = split_target(&head.target).0.to_owned();
     shared.metrics.request_began();
-    let done = take_in(shared, conn, head, &id, began);
-    let team = done
+    let admission = admit(shared, conn, head, &id, received_at);
+    let team = admission
         .as_ref()
         .map_or_else(|_| "-".to_owned(), |t| t.snapshot.team_id(t.team_tag).to_string());
-    let (ended, body_read) = match done {
-        Ok(taken) => {
-            let note = note(id.clone(), keep_alive);
+    let (result, body_read) = match admission {
+        Ok(admitted) => {
+            let options = options(id.clone(), keep_alive);
             (
                 forward::run(
                     shared,
                     conn,
-                    &taken.snapshot,
-                    taken.service(),
-                    &taken.team_tag,
-                    &taken.request,
-                    note,
+                    &admitted.snapshot,
+                    admitted.service(),
+                    &admitted.team_tag,
+                    &admitted.request,
+                    options,
                 ),
                 true,
             )
         }
-        Err(refused) => (ForwardResult::Rejected(refused.refusal), refused.body_read),
+        Err(rejected) => (ForwardResult::Rejected(rejected.refusal), rejected.body_read),
     };
-    match ended {
+    match result {
         ForwardResult::Responded { status, outcome, reusable, server } => {
-            let took = shared.clock.now() - began;
+            let took = shared.clock.now() - received_at;
             shared.metrics.request_ended(&service_name, status, outcome, took);
             let server = server.map_or_else(|| "-".to_owned(), |id| id.to_string());
             log::info!(
@@ -146,28 +146,29 @@
         }
         ForwardResult::Rejected(refusal) => {
             let keep_alive = keep_alive && body_read;
-            refuse(shared, conn, &refusal, id, &service_name, began, keep_alive, head_only)
+            reject(shared, conn, &refusal, id, &service_name, received_at, keep_alive, head_only)
         }
     }
 }
 
 #[expect(clippy::too_many_arguments, reason = "one answer, described in full")]
-fn refuse(
+fn reject(
     shared: &Shared,
     conn: &mut Conn,
     refusal: &Refusal,
     id: String,
     service: &str,
-    began: Instant,
+    received_at: Instant,
     keep_alive: bool,
     head_only: bool,
 ) -> bool {
     let stall = shared.settings.timeouts.slow_reader.0;
-    let sent = send_refusal(conn, stall, refusal, &note(id.clone(), keep_alive), head_only);
-    let took = shared.clock.now() - began;
+    let sent = send_refusal(conn, stall, refusal, &options(id.clone(), keep_alive), head_only);
+    let took = shared.clock.now() - received_at;
     if service != "-" {
-        let known = shared.snapshot.load().as_ref().is_some_and(|s| s.service(service).is_some());
-        let label = if known { service } else { "-" };
+        let is_configured =
+            shared.snapshot.load().as_ref().is_some_and(|s| s.service(service).is_some());
+        let label = if is_configured { service } else { "-" };
         shared.metrics.request_ended(label, refusal.status, refusal.outcome, took);
     }
     log::info!(
@@ -181,7 +182,7 @@
 }
 
 /// A request taken in, with the limits it holds.
-struct Taken<'s> {
+struct AdmittedRequest<'s> {
     request: Request,
     snapshot: Arc<Snapshot>,
     service_name: String,
@@ -189,7 +190,7 @@
     _usage: UsageGuard<'s>,
 }
 
-impl Taken<'_> {
+impl AdmittedRequest<'_> {
     fn service(&self) -> &ServiceView {
         self.snapshot
             .service(&self.service_name)
@@ -198,41 +199,41 @@
 }
 
 /// A request that is not sent on.
-struct NotTaken {
+struct RejectedRequest {
     refusal: Refusal,
     body_read: bool,
 }
 
-impl NotTaken {
-    fn unread(refusal: Refusal) -> NotTaken {
-        NotTaken { refusal, body_read: false }
+impl RejectedRequest {
+    fn body_unread(refusal: Refusal) -> RejectedRequest {
+        RejectedRequest { refusal, body_read: false }
     }
 }
 
 /// Checks a request against the file in force and reads its body.
-fn take_in<'s>(
+fn admit<'s>(
     shared: &'s Shared,
     conn: &mut Conn,
     head: RequestHead,
     id: &str,
-    now: Instant,
-) -> Result<Taken<'s>, NotTaken> {
+    received_at: Instant,
+) -> Result<AdmittedRequest<'s>, RejectedRequest> {
     let framing = head.framing().map_err(|fault| {
         let status = if matches!(fault, HeadFault::Coding) { 501 } else { 400 };
-        NotTaken::unread(Refusal::not_run(status, "bad request", fault.to_string()))
+        RejectedRequest::body_unread(Refusal::not_run(status, "bad request", fault.to_string()))
     })?;
-    let bodiless = framing == BodyFraming::Length(0);
-    let not_taken = |refusal| NotTaken { refusal, body_read: bodiless };
+    let has_no_body = framing == BodyFraming::Length(0);
+    let rejected = |refusal| RejectedRequest { refusal, body_read: has_no_body };
     let Some(snapshot) = shared.snapshot.load_full() else {
         let refusal = Refusal::not_run(
             503,
             "not ready",
             "this instance has no configuration yet; try another",
         );
-        return Err(not_taken(refusal.retry_after(Duration::from_secs(1))));
+        return Err(rejected(refusal.retry_after(Duration::from_secs(1))));
     };
     if matches!(head.method, Method::CONNECT | Method::TRACE) {
-        return Err(not_taken(Refusal::not_run(
+        return Err(rejected(Refusal::not_run(
             405,
             "method not allowed",
             "CONNECT and TRACE are not passed on",
@@ -240,7 +241,7 @@
     }
     let team = head.bearer().and_then(|key| snapshot.team_of_key(key)).cloned();
     let Some(team) = team else {
-        return Err(not_taken(Refusal::not_run(
+        return Err(rejected(Refusal::not_run(
             401,
             "unknown team",
             "send a team's key as Authorization: Bearer KEY",
@@ -251,19 +252,26 @@
         let detail = format!(
             "no service is called {service_name:?}; the path starts with the service's name"
         );
-        return Err(not_taken(Refusal::not_run(404, "unknown service", detail)));
+        return Err(rejected(Refusal::not_run(404, "unknown service", detail)));
     };
     let Some(mut usage) = shared.usage.enter(shared.settings.limits.requests) else {
         let detail = "this instance has as many requests in flight as it may; try again, or another instance";
         let refusal = Refusal::not_run(503, "too many requests in flight", detail);
-        return Err(not_taken(refusal.retry_after(Duration::from_secs(1))));
+        return Err(rejected(refusal.retry_after(Duration::from_secs(1))));
     };
-    let body = read_body(shared, conn, &head, framing, &mut usage).map_err(NotTaken::unread)?;
-    let after_body = if bodiless { now } else { shared.clock.now() };
-    let request = Request::new(id.to_owned(), head, body, &view.service, &team, after_body)
-        .map_err(|refusal| NotTaken { refusal, body_read: true })?;
+    let body = read_body(shared, conn, &head, framing, &mut usage)
+        .map_err(RejectedRequest::body_unread)?;
+    let body_read_at = if has_no_body { received_at } else { shared.clock.now() };
+    let request = Request::new(id.to_owned(), head, body, &view.service, &team, body_read_at)
+        .map_err(|refusal| RejectedRequest { refusal, body_read: true })?;
     let team_tag = team.id.tag();
-    Ok(Taken { request, snapshot: Arc::clone(&snapshot), service_name, team_tag, _usage: usage })
+    Ok(AdmittedRequest {
+        request,
+        snapshot: Arc::clone(&snapshot),
+        service_name,
+        team_tag,
+        _usage: usage,
+    })
 }
 
 fn read_body(
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -113,7 +113,7 @@
 ) -> ForwardResult {
     let mut forwarder =
         RequestForwarder { shared, snapshot, view, team: *team, request, options, claim: None };
-    if let Some(key) = &request.key {
+    if let Some(key) = &request.idempotency_key {
         match forwarder.claim(key) {
             ClaimDecision::Run(held) => forwarder.claim = Some(held),
             ClaimDecision::Replay(response) => {
@@ -443,7 +443,7 @@
     }
 
     fn note_first_byte(&self) {
-        let took = self.shared.clock.now().saturating_duration_since(self.request.began);
+        let took = self.shared.clock.now().saturating_duration_since(self.request.received_at);
         self.shared.metrics.first_byte(&self.view.service.id, took);
     }
 
--- a/src/instance/requests/request.rs
+++ b/src/instance/requests/request.rs
@@ -18,21 +18,21 @@
 /// Header with the placement hint of an earlier answer.
 pub const PLACEMENT_HEADER: &str = "cartvane-placement";
 /// Header with the caller's idempotency key (draft-ietf-httpapi-idempotency-key-header).
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header that tells backend servers the class of a request.
 pub const PRIORITY_HEADER: &str = "cartvane-priority";
 
 /// Longest idempotency key, in bytes.
-const KEY_MAX: usize = 255;
+const IDEMPOTENCY_KEY_MAX: usize = 255;
 
 /// Longest chat id, in bytes.
-const CHAT_MAX: usize = 255;
+const CHAT_ID_MAX: usize = 255;
 
 /// Leading messages of a chat that identify it when the caller names no chat.
-const CHAT_MESSAGES: usize = 2;
+const CHAT_KEY_MESSAGES: usize = 2;
 
 /// Prefix of headers that belong to the exchange between caller and router.
-const OWN_HEADERS: &str = "cartvane-";
+const OWN_HEADER_PREFIX: &str = "cartvane-";
 
 /// A request to be sent on.
 #[derive(Debug)]
@@ -54,9 +54,9 @@
     /// Whether it may run twice.
     pub retry_safety: RetrySafety,
     /// Idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// When it had been read.
-    pub began: Instant,
+    pub received_at: Instant,
     /// When the answer must be whole.
     pub deadline: Instant,
     /// Whether the caller speaks HTTP/1.0.
@@ -87,11 +87,14 @@
         let (_, rest) = split_target(&head.target);
         let target = if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") };
         let path = target.split('?').next().unwrap_or("/");
-        let key = idempotency_key(&head)?;
-        let ruled =
+        let idempotency_key = idempotency_key(&head)?;
+        let is_non_idempotent =
             service.non_idempotent.iter().any(|rule| rule.covers(head.method.as_str(), path));
-        let retry_safety =
-            if ruled || key.is_some() { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
+        let retry_safety = if is_non_idempotent || idempotency_key.is_some() {
+            RetrySafety::AtMostOnce
+        } else {
+            RetrySafety::Idempotent
+        };
         let deadline = now + deadline(&head, service)?;
         let chat = chat_key(&head, &body, service, team)?;
         let hint = head.header(PLACEMENT_HEADER).map(str::to_owned);
@@ -106,8 +109,8 @@
             chat,
             hint,
             retry_safety,
-            key,
-            began: now,
+            idempotency_key,
+            received_at: now,
             deadline,
             http10,
         })
@@ -121,9 +124,9 @@
     for name in ["authorization", "content-length", "expect", "host"] {
         headers.remove(name);
     }
-    let own: Vec<_> =
-        headers.keys().filter(|n| n.as_str().starts_with(OWN_HEADERS)).cloned().collect();
-    for name in own {
+    let own_headers: Vec<_> =
+        headers.keys().filter(|n| n.as_str().starts_with(OWN_HEADER_PREFIX)).cloned().collect();
+    for name in own_headers {
         headers.remove(name);
     }
     if team.priority == Priority::Reserved {
@@ -147,11 +150,12 @@
 
 fn idempotency_key(head: &RequestHead) -> Result<Option<String>, Refusal> {
     let fault = || {
-        let detail =
-            format!("Idempotency-Key must be one text of 1 to {KEY_MAX} printable characters");
+        let detail = format!(
+            "Idempotency-Key must be one text of 1 to {IDEMPOTENCY_KEY_MAX} printable characters"
+        );
         Refusal::not_run(400, "bad idempotency key", detail)
     };
-    let mut values = head.headers.get_all(KEY_HEADER).iter();
+    let mut values = head.headers.get_all(IDEMPOTENCY_KEY_HEADER).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
         return Err(fault());
@@ -159,7 +163,7 @@
     let text = value.to_str().map_err(|_| fault())?.trim();
     // The draft writes the key as a structured-field string; a bare one is taken as well.
     let key = text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(text);
-    if key.is_empty() || key.len() > KEY_MAX {
+    if key.is_empty() || key.len() > IDEMPOTENCY_KEY_MAX {
         return Err(fault());
     }
     Ok(Some(key.to_owned()))
@@ -172,10 +176,10 @@
     team: &Team,
 ) -> Result<Option<ChatKey>, Refusal> {
     if let Some(value) = head.headers.get(CHAT_HEADER) {
-        let chat = value.to_str().ok().filter(|t| !t.is_empty() && t.len() <= CHAT_MAX);
+        let chat = value.to_str().ok().filter(|t| !t.is_empty() && t.len() <= CHAT_ID_MAX);
         let Some(chat) = chat else {
             let detail =
-                format!("Cartvane-Chat must be a text of 1 to {CHAT_MAX} printable characters");
+                format!("Cartvane-Chat must be a text of 1 to {CHAT_ID_MAX} printable characters");
             return Err(Refusal::not_run(400, "bad chat id", detail));
         };
         return Ok(Some(ChatKey::of(&[service.id.as_str(), team.id.as_str(), chat])));
@@ -198,5 +202,12 @@
     if body.messages.is_empty() {
         return None;
     }
-    Some(body.messages.iter().take(CHAT_MESSAGES).map(|m| m.get()).collect::<Vec<_>>().join("\n"))
+    Some(
+        body.messages
+            .iter()
+            .take(CHAT_KEY_MESSAGES)
+            .map(|m| m.get())
+            .collect::<Vec<_>>()
+            .join("\n"),
+    )
 }
