--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -29,17 +29,17 @@
 };
 
 /// Largest operators' file taken.
-const FILE_MAX: u64 = 64 << 20;
+const FILE_MAX_BYTES: u64 = 64 << 20;
 
 /// Audit rows read from the store at once.
-const AUDIT_PAGE: usize = 500;
+const AUDIT_PAGE_ROWS: usize = 500;
 
 /// Threads that answer operators.
 pub const THREADS: usize = 4;
 
 /// What an operator's credential allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Right {
+enum Access {
     Read,
     Apply,
 }
@@ -57,8 +57,8 @@
     Response::json(&Problem { detail: detail.into(), apply: None }).with_status_code(status)
 }
 
-fn store_out(fault: &PlatformFault) -> Response {
-    problem(503, fault.to_string())
+fn store_unavailable(error: &PlatformFault) -> Response {
+    problem(503, error.to_string())
 }
 
 /// Answers one request of an operator.
@@ -68,24 +68,24 @@
         ("GET", "/healthz") => Response::text("ok\n"),
         ("GET", "/readyz") => ready(shared),
         ("GET", "/metrics") => Response::text(shared.metrics.text()),
-        (method, path) => match right(shared, request) {
+        (method, path) => match granted_access(shared, request) {
             None => {
                 problem(401, "show an operator's credential as Authorization: Bearer CREDENTIAL")
             }
-            Some(right) => with_right(shared, request, method, path, right),
+            Some(access) => respond_authorized(shared, request, method, path, access),
         },
     }
 }
 
-fn with_right(
+fn respond_authorized(
     shared: &Arc<Shared>,
     request: &Request,
     method: &str,
     path: &str,
-    right: Right,
+    access: Access,
 ) -> Response {
-    let needed = if method == "POST" { Right::Apply } else { Right::Read };
-    if right < needed {
+    let needed = if method == "POST" { Access::Apply } else { Access::Read };
+    if access < needed {
         return problem(403, "this credential may only read; use one of credentials.operators");
     }
     match (method, path) {
@@ -103,14 +103,14 @@
     }
 }
 
-fn right(shared: &Shared, request: &Request) -> Option<Right> {
-    let given = request.header("authorization")?.strip_prefix("Bearer ")?;
+fn granted_access(shared: &Shared, request: &Request) -> Option<Access> {
+    let credential = request.header("authorization")?.strip_prefix("Bearer ")?;
     let credentials = &shared.settings.credentials;
-    let apply = any_matches(&credentials.operators, given);
-    let read = any_matches(&credentials.readers, given);
+    let apply = any_matches(&credentials.operators, credential);
+    let read = any_matches(&credentials.readers, credential);
     match (apply, read) {
-        (true, _) => Some(Right::Apply),
-        (false, true) => Some(Right::Read),
+        (true, _) => Some(Access::Apply),
+        (false, true) => Some(Access::Read),
         (false, false) => None,
     }
 }
@@ -119,8 +119,9 @@
     if shared.is_ready() {
         return Response::text("ready\n");
     }
-    let why = if shared.drain.is_draining() { "draining" } else { "no configuration learned yet" };
-    Response::text(format!("not ready: {why}\n")).with_status_code(503)
+    let reason =
+        if shared.drain.is_draining() { "draining" } else { "no configuration learned yet" };
+    Response::text(format!("not ready: {reason}\n")).with_status_code(503)
 }
 
 /// Returns who the operator says they are; the credential says what they may do.
@@ -128,21 +129,21 @@
     request.header("cartvane-operator").unwrap_or("operator").to_owned()
 }
 
-fn body_text(request: &Request) -> Result<String, Response> {
+fn read_body(request: &Request) -> Result<String, Response> {
     let mut text = String::new();
     let body = request.data().ok_or_else(|| problem(400, "the body is missing"))?;
-    let read = body.take(FILE_MAX + 1).read_to_string(&mut text);
+    let read = body.take(FILE_MAX_BYTES + 1).read_to_string(&mut text);
     if read.is_err() {
         return Err(problem(400, "the file is not UTF-8 text"));
     }
-    if text.len() as u64 > FILE_MAX {
-        return Err(problem(413, format!("a file may have {FILE_MAX} bytes")));
+    if text.len() as u64 > FILE_MAX_BYTES {
+        return Err(problem(413, format!("a file may have {FILE_MAX_BYTES} bytes")));
     }
     Ok(text)
 }
 
 fn post_apply(shared: &Shared, request: &Request) -> Response {
-    let text = match body_text(request) {
+    let text = match read_body(request) {
         Ok(text) => text,
         Err(response) => return response,
     };
@@ -152,33 +153,33 @@
     };
     match apply(shared, &text, base, &operator(request)) {
         Ok(applied) => Response::json(&applied),
-        Err(fault) => {
-            let status = match &fault {
+        Err(error) => {
+            let status = match &error {
                 ApplyFault::Faults(_) => 422,
                 ApplyFault::Moved { .. } => 409,
                 ApplyFault::Store(_) | ApplyFault::Unknown(_) => 503,
             };
-            Response::json(&Problem { detail: fault.to_string(), apply: Some(fault) })
+            Response::json(&Problem { detail: error.to_string(), apply: Some(error) })
                 .with_status_code(status)
         }
     }
 }
 
 fn post_diff(shared: &Shared, request: &Request) -> Response {
-    let text = match body_text(request) {
+    let text = match read_body(request) {
         Ok(text) => text,
         Err(response) => return response,
     };
     let fleet = match Fleet::parse(&text) {
         Ok(fleet) => fleet,
         Err(faults) => {
-            let fault = ApplyFault::Faults(faults);
-            return Response::json(&Problem { detail: fault.to_string(), apply: Some(fault) })
+            let error = ApplyFault::Faults(faults);
+            return Response::json(&Problem { detail: error.to_string(), apply: Some(error) })
                 .with_status_code(422);
         }
     };
-    let in_force = shared.snapshot.load_full();
-    let changes = match &in_force {
+    let active = shared.snapshot.load_full();
+    let changes = match &active {
         Some(snapshot) => diff(&snapshot.fleet, &fleet),
         None => diff(&Fleet::default(), &fleet),
     };
@@ -205,20 +206,20 @@
     if revision == Revision::default() {
         return problem(404, "no file is in force; apply one");
     }
-    match source_of(shared, revision) {
+    match load_source(shared, revision) {
         Ok(Some(text)) => Response::json(&RevisionSource { revision, text }),
         Ok(None) => problem(404, format!("there is no revision {revision}; see `cartvane audit`")),
-        Err(fault) => store_out(&fault),
+        Err(error) => store_unavailable(&error),
     }
 }
 
 /// Returns the text of a revision.
-fn source_of(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformFault> {
+fn load_source(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformFault> {
     let Some(row) = shared.platform.table.get(&revision_key(revision))? else { return Ok(None) };
     let Ok(row) = serde_json::from_slice::<RevisionRow>(&row.value) else { return Ok(None) };
     let bytes = shared.platform.objects.get(&object_key(&row.source))?;
-    let sound = bytes.filter(|bytes| Digest::of(bytes) == row.source);
-    Ok(sound.and_then(|bytes| String::from_utf8(bytes).ok()))
+    let intact = bytes.filter(|bytes| Digest::of(bytes) == row.source);
+    Ok(intact.and_then(|bytes| String::from_utf8(bytes).ok()))
 }
 
 fn audit(shared: &Shared, request: &Request) -> Response {
@@ -227,16 +228,16 @@
     let mut after = format!("{AUDIT_PREFIX}{since:015}");
     let mut rows: Vec<AuditRow> = Vec::new();
     loop {
-        let page = match shared.platform.table.scan(AUDIT_PREFIX, &after, AUDIT_PAGE) {
+        let page = match shared.platform.table.scan(AUDIT_PREFIX, &after, AUDIT_PAGE_ROWS) {
             Ok(page) => page,
-            Err(fault) => return store_out(&fault),
+            Err(error) => return store_unavailable(&error),
         };
         let Some(last) = page.last() else { break };
         after.clone_from(&last.key);
         rows.extend(
             page.iter().filter_map(|row| serde_json::from_slice::<AuditRow>(&row.value).ok()),
         );
-        if page.len() < AUDIT_PAGE {
+        if page.len() < AUDIT_PAGE_ROWS {
             break;
         }
     }
@@ -253,7 +254,7 @@
     };
     match explain::explain(shared, &ChatName { service, team, chat }) {
         Ok(explanation) => Response::json(&explanation),
-        Err(fault) => problem(fault.status(), fault.to_string()),
+        Err(error) => problem(error.status(), error.to_string()),
     }
 }
 
@@ -282,8 +283,8 @@
         let Some(address) = lock(&shared.membership).peer(id.tag()).map(|p| p.address) else {
             return problem(404, unknown_target(&target));
         };
-        if let Err(fault) = shared.peers.call::<()>(Purpose::Operators, address, DRAIN, &()) {
-            return problem(503, fault.to_string());
+        if let Err(error) = shared.peers.call::<()>(Purpose::Operators, address, DRAIN, &()) {
+            return problem(503, error.to_string());
         }
     }
     let action = AuditAction::Drain { instance: target.clone() };
@@ -299,9 +300,9 @@
 fn drain_server(shared: &Shared, id: &str, by: &str) -> Response {
     let head = match shared.platform.table.get(HEAD_KEY) {
         Ok(_) => shared.revision(),
-        Err(fault) => return store_out(&fault),
+        Err(error) => return store_unavailable(&error),
     };
-    let text = match source_of(shared, head) {
+    let text = match load_source(shared, head) {
         Ok(Some(text)) => text,
         Ok(None) => {
             return problem(
@@ -309,7 +310,7 @@
                 "the file in force is not in the store; apply it again with the server marked as leaving",
             );
         }
-        Err(fault) => return store_out(&fault),
+        Err(error) => return store_unavailable(&error),
     };
     let Some(text) = mark_leaving(&text, id) else {
         return problem(404, unknown_target(id));
@@ -318,7 +319,7 @@
         Ok(applied) => {
             Response::json(&DrainResult { target: id.to_owned(), revision: Some(applied.revision) })
         }
-        Err(fault) => Response::json(&Problem { detail: fault.to_string(), apply: Some(fault) })
+        Err(error) => Response::json(&Problem { detail: error.to_string(), apply: Some(error) })
             .with_status_code(409),
     }
 }
--- a/src/instance/operators/explain.rs
+++ b/src/instance/operators/explain.rs
@@ -79,7 +79,7 @@
     let snapshot = shared.snapshot.load_full().ok_or(ExplainError::NoConfiguration)?;
     let unknown = || ExplainError::UnknownService(name.service.clone());
     let view = snapshot.service(&name.service).ok_or_else(unknown)?;
-    let key = key_of(name);
+    let key = chat_key(name);
     let home = shared.home_of(view.ranked_shards(key)[0]);
     let address = lock(&shared.membership).peer(home).map(|p| p.address);
     match address {
@@ -97,11 +97,11 @@
     let snapshot = shared.snapshot.load_full().ok_or(ExplainError::NoConfiguration)?;
     let unknown = || ExplainError::UnknownService(name.service.clone());
     let view = snapshot.service(&name.service).ok_or_else(unknown)?;
-    let key = key_of(name);
+    let key = chat_key(name);
     let shards = view.ranked_shards(key);
     let first = shards[0];
     let server = |tag| snapshot.server(tag).map(|b| b.id.to_string());
-    let by_rank = ranked(key.0, first.engines.iter().map(|e| (e.tag, e.weight)));
+    let order = ranked(key.0, first.engines.iter().map(|e| (e.tag, e.weight)));
     // A home that no entry has asked yet remembers nothing and grants to the least loaded.
     let (remembered, would_go) = shared.homes.explain(first.id, key).unwrap_or((None, None));
     Ok(Explanation {
@@ -109,20 +109,23 @@
         chat: key.to_string(),
         shards: shards
             .iter()
-            .map(|s| RankedShard { number: s.id.number, home: name_of(shared, shared.home_of(s)) })
+            .map(|s| RankedShard {
+                number: s.id.number,
+                home: instance_name(shared, shared.home_of(s)),
+            })
             .collect(),
         remembered: remembered.and_then(server),
         would_go: would_go.and_then(server),
-        rank: by_rank.into_iter().filter_map(|at| server(first.engines[at].tag)).collect(),
+        rank: order.into_iter().filter_map(|at| server(first.engines[at].tag)).collect(),
         why: why(remembered, would_go).to_owned(),
     })
 }
 
-fn key_of(name: &ChatName) -> ChatKey {
+fn chat_key(name: &ChatName) -> ChatKey {
     ChatKey::of(&[&name.service, &name.team, &name.chat])
 }
 
-fn name_of(shared: &Shared, instance: Tag) -> String {
+fn instance_name(shared: &Shared, instance: Tag) -> String {
     let peer = lock(&shared.membership).peer(instance).map(|p| p.candidate.id.to_string());
     peer.unwrap_or_else(|| shared.settings.id.to_string())
 }
--- a/src/instance/operators/status.rs
+++ b/src/instance/operators/status.rs
@@ -89,11 +89,11 @@
         draining: shared.drain.is_draining(),
         requests: shared.usage.requests(),
         permits: shared.permit_client.held(),
-        shards: shared.homes.status().into_iter().map(|shard| named(shared, shard)).collect(),
+        shards: shared.homes.status().into_iter().map(|shard| named_shard(shared, shard)).collect(),
     }
 }
 
-fn named(shared: &Shared, shard: ShardStatus) -> NamedShard {
+fn named_shard(shared: &Shared, shard: ShardStatus) -> NamedShard {
     let snapshot = shared.snapshot.load_full();
     let view = snapshot.as_ref().and_then(|s| s.service_by_tag(shard.shard.service));
     let service =
@@ -131,9 +131,9 @@
     let mut status = FleetStatus { instances: vec![instance_status(shared)], silent: Vec::new() };
     for (id, address) in peers {
         match shared.peers.call::<InstanceStatus>(Purpose::Operators, address, STATUS, &()) {
-            Ok(answer) => status.instances.push(answer),
-            Err(fault) => {
-                log::debug!("status: {fault}");
+            Ok(instance) => status.instances.push(instance),
+            Err(error) => {
+                log::debug!("status: {error}");
                 status.silent.push(id);
             }
         }
--- a/src/instance/requests/caller_watch.rs
+++ b/src/instance/requests/caller_watch.rs
@@ -8,7 +8,7 @@
 };
 
 /// Period at which a caller that sends no more is probed for still reading.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Watches whether a caller still waits for its answer.
 ///
@@ -16,7 +16,7 @@
 /// HTTP/1.1 caller passes over, shows whether it does.
 pub struct CallerWatch<'w> {
     shared: &'w Shared,
-    probes: bool,
+    can_probe: bool,
     /// The request is to be carried through whether or not its caller waits.
     must_complete: bool,
     last_probe: Option<Instant>,
@@ -26,7 +26,7 @@
     /// Returns a watch over the caller of `request`; with `must_complete`, the request is carried through
     /// whether or not its caller waits.
     pub fn new(shared: &'w Shared, request: &Request, must_complete: bool) -> CallerWatch<'w> {
-        CallerWatch { shared, probes: !request.http10, must_complete, last_probe: None }
+        CallerWatch { shared, can_probe: !request.http10, must_complete, last_probe: None }
     }
 
     /// Returns whether the caller on `conn` still waits.
@@ -37,16 +37,16 @@
         match conn.state() {
             ConnState::Broken => false,
             ConnState::Open | ConnState::Readable => true,
-            ConnState::HalfClosed => !self.probes || self.probe(conn),
+            ConnState::HalfClosed => !self.can_probe || self.probe(conn),
         }
     }
 
     fn probe(&mut self, conn: &mut Conn) -> bool {
         let now = self.shared.clock.now();
-        if self.last_probe.is_some_and(|at| now.duration_since(at) < PROBE_PERIOD) {
+        if self.last_probe.is_some_and(|at| now.duration_since(at) < PROBE_INTERVAL) {
             return true;
         }
         self.last_probe = Some(now);
-        conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", PROBE_PERIOD).is_ok()
+        conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", PROBE_INTERVAL).is_ok()
     }
 }
--- a/src/instance/requests/engine_report.rs
+++ b/src/instance/requests/engine_report.rs
@@ -18,9 +18,9 @@
 
 impl EngineReport {
     /// Reads what an answer tells.
-    pub(super) fn read(&mut self, answer: &Answer) {
-        self.load = answer.head.header(LOAD_HEADER).and_then(|load| load.parse().ok());
-        self.leaving = answer.head.header(STATE_HEADER) == Some("leaving");
-        self.resumable = answer.head.header(RESUMABLE_HEADER).is_some();
+    pub(super) fn read(&mut self, response: &Answer) {
+        self.load = response.head.header(LOAD_HEADER).and_then(|load| load.parse().ok());
+        self.leaving = response.head.header(STATE_HEADER) == Some("leaving");
+        self.resumable = response.head.header(RESUMABLE_HEADER).is_some();
     }
 }
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -11,7 +11,7 @@
 };
 
 /// Most time for an engine to answer a resume or a cancel.
-const RESUME_TIME: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Asks the engine for the rest of the stream of attempt `id` from `offset`, in bytes.
 pub(super) fn resume(
@@ -21,21 +21,21 @@
     offset: u64,
 ) -> Option<Answer> {
     let target = format!("/engine/streams/{id}?from={offset}");
-    let answer = call(shared, server, &Method::GET, &target, id)?;
-    let goes_on_at: Option<u64> = answer.head.header(OFFSET_HEADER)?.parse().ok();
-    if answer.head.status != StatusCode::OK || goes_on_at != Some(offset) {
+    let response = call(shared, server, &Method::GET, &target, id)?;
+    let resumed_at: Option<u64> = response.head.header(OFFSET_HEADER)?.parse().ok();
+    if response.head.status != StatusCode::OK || resumed_at != Some(offset) {
         return None;
     }
     log::info!("resumed id={id} backend_server={} offset={offset}", server.id);
     shared.metrics.resumed(&server.service);
-    Some(answer)
+    Some(response)
 }
 
 /// Tells the engine that nobody waits for the stream of attempt `id`.
 pub(super) fn cancel(shared: &Shared, server: &BackendServer, id: &str) {
     let target = format!("/engine/streams/{id}");
-    if let Some(answer) = call(shared, server, &Method::DELETE, &target, id) {
-        shared.backends.finish(answer);
+    if let Some(response) = call(shared, server, &Method::DELETE, &target, id) {
+        shared.backends.finish(response);
     }
 }
 
@@ -46,7 +46,7 @@
     target: &str,
     id: &str,
 ) -> Option<Answer> {
-    let until = shared.clock.now() + RESUME_TIME;
+    let deadline = shared.clock.now() + CALL_TIMEOUT;
     let headers = HeaderMap::new();
     let attempt = Attempt {
         address: server.address,
@@ -56,8 +56,8 @@
         body: &[],
         id,
         fresh: true,
-        until,
+        until: deadline,
     };
     let sent = shared.backends.send(&attempt, &mut || true);
-    sent.inspect_err(|fault| log::info!("engine call id={id} target={target} fault={fault:?}")).ok()
+    sent.inspect_err(|error| log::info!("engine call id={id} target={target} fault={error:?}")).ok()
 }
--- a/src/instance/requests/replay.rs
+++ b/src/instance/requests/replay.rs
@@ -19,11 +19,11 @@
     shared: &Shared,
     conn: &mut Conn,
     request: &Request,
-    note: &AnswerNote,
-    answer: &StoredResponse,
+    options: &AnswerNote,
+    response: &StoredResponse,
 ) -> ForwardResult {
     let mut headers = HeaderMap::new();
-    for (name, value) in &answer.headers {
+    for (name, value) in &response.headers {
         match (HeaderName::try_from(name), HeaderValue::try_from(value)) {
             (Ok(name), Ok(value)) => {
                 headers.append(name, value);
@@ -32,13 +32,13 @@
         }
     }
     headers.insert("cartvane-replayed", HeaderValue::from_static("true"));
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
-    let note = note.with_outcome(Outcome::Run);
+    let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::OK);
+    let options = options.with_outcome(Outcome::Run);
     let head_only = request.method == http::Method::HEAD;
     let stall = shared.settings.timeouts.slow_reader.0;
-    let sent = send_whole(conn, stall, status, &headers, &note, &answer.body, head_only);
+    let sent = send_whole(conn, stall, status, &headers, &options, &response.body, head_only);
     ForwardResult::Responded {
-        status: answer.status,
+        status: response.status,
         outcome: Outcome::Run,
         reusable: sent.is_ok(),
         server: None,
