--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -74,7 +74,7 @@
 }
 
 impl SentResponse {
-    fn from_server(self, server: &BackendServer) -> ForwardResult {
+    fn with_server(self, server: &BackendServer) -> ForwardResult {
         let SentResponse { status, outcome, reusable } = self;
         ForwardResult::Responded { status, outcome, reusable, server: Some(server.id.clone()) }
     }
@@ -186,10 +186,10 @@
             };
             let result = self.attempt(conn, &server, number, slot);
             let fault = match result {
-                AttemptResult::Responded(response) => return response.from_server(&server),
+                AttemptResult::Responded(response) => return response.with_server(&server),
                 AttemptResult::Aborted(fault, status) => {
                     return SentResponse { status, outcome: fault.outcome(), reusable: false }
-                        .from_server(&server);
+                        .with_server(&server);
                 }
                 AttemptResult::Failed(fault) => fault,
             };
