--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: HTTP with JSON, by `rouille`.
+//! The operators' HTTP interface, with JSON bodies, served by `rouille`.
 
 use std::{io::Read as _, sync::Arc};
 
@@ -28,28 +28,28 @@
     utils::{secret::any_matches, sync::lock},
 };
 
-/// Largest operators' file taken.
+/// Largest configuration file that is accepted.
 const FILE_MAX_BYTES: u64 = 64 << 20;
 
-/// Audit rows read from the store at once.
+/// Audit rows read from the store per call.
 const AUDIT_PAGE_ROWS: usize = 500;
 
-/// Threads that answer operators.
+/// Threads that serve the operators' interface.
 pub const THREADS: usize = 4;
 
-/// What an operator's credential allows.
+/// What an operator's credential permits; each level includes those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Access {
     Read,
     Apply,
 }
 
-/// An answer that says why not.
+/// Body of an error response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Problem {
     /// What happened and what to do about it.
     pub detail: String,
-    /// The apply's fault, where it is one.
+    /// Why the file was rejected, in responses to an apply or a diff.
     pub apply: Option<ApplyFault>,
 }
 
@@ -61,7 +61,7 @@
     problem(503, error.to_string())
 }
 
-/// Answers one request of an operator.
+/// Responds to one request of an operator.
 pub fn respond(shared: &Arc<Shared>, request: &Request) -> Response {
     let path = request.url();
     match (request.method(), path.as_str()) {
@@ -124,7 +124,7 @@
     Response::text(format!("not ready: {reason}\n")).with_status_code(503)
 }
 
-/// Returns who the operator says they are; the credential says what they may do.
+/// Returns the operator's name as the request states it; access depends on the credential alone.
 fn operator(request: &Request) -> String {
     request.header("cartvane-operator").unwrap_or("operator").to_owned()
 }
@@ -189,12 +189,12 @@
     })
 }
 
-/// A revision's file as it was applied.
+/// The configuration file of a revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RevisionSource {
-    /// Revision.
+    /// The revision.
     pub revision: Revision,
-    /// The text as it was applied.
+    /// Text of the file as it was applied.
     pub text: String,
 }
 
@@ -213,7 +213,7 @@
     }
 }
 
-/// Returns the text of a revision.
+/// Returns the text of a revision's file; `None` if the store does not have it or its digest does not match.
 fn load_source(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformFault> {
     let Some(row) = shared.platform.table.get(&revision_key(revision))? else { return Ok(None) };
     let Ok(row) = serde_json::from_slice::<RevisionRow>(&row.value) else { return Ok(None) };
@@ -258,12 +258,12 @@
     }
 }
 
-/// What a drain did.
+/// Result of a drain.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DrainResult {
-    /// What was told to drain.
+    /// The instance or backend server that drains.
     pub target: String,
-    /// Revision that takes a backend server out, where the target is one.
+    /// Revision that marks the backend server as leaving; `None` for an instance.
     pub revision: Option<Revision>,
 }
 
@@ -296,7 +296,7 @@
     format!("{target:?} is neither an instance nor a backend server; see `cartvane status`")
 }
 
-/// Takes a backend server out by applying the file in force with the server marked as leaving.
+/// Drains a backend server by applying the active configuration with the server marked as leaving.
 fn drain_server(shared: &Shared, id: &str, by: &str) -> Response {
     let head = match shared.platform.table.get(HEAD_KEY) {
         Ok(_) => shared.revision(),
@@ -324,7 +324,7 @@
     }
 }
 
-/// Marks a backend server as leaving in a file's text, keeping all else as it is written.
+/// Marks a backend server as leaving in the text of a configuration file; the rest of the text stays as it is.
 pub fn mark_leaving(text: &str, id: &str) -> Option<String> {
     let mut document: toml_edit::DocumentMut = text.parse().ok()?;
     let servers = document.get_mut("backend_server")?.as_array_of_tables_mut()?;
--- a/src/instance/operators/explain.rs
+++ b/src/instance/operators/explain.rs
@@ -1,4 +1,4 @@
-//! Tells where a chat would go now, and why.
+//! Explains to which engine a chat would be sent now, and why.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,67 +10,67 @@
     zone::rendezvous::{ChatKey, ranked},
 };
 
-/// A chat as operators name it.
+/// A chat, identified as operators do.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatName {
-    /// Service.
+    /// Id of the service.
     pub service: String,
-    /// Team.
+    /// Id of the team.
     pub team: String,
-    /// Chat, as in the header `Cartvane-Chat`.
+    /// Id of the chat, as in the header `Cartvane-Chat`.
     pub chat: String,
 }
 
-/// Where a chat would go.
+/// Where a chat would be sent, and why.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Service.
+    /// Id of the service.
     pub service: String,
     /// Key of the chat.
     pub chat: String,
-    /// Shards in the chat's rank, each with its home.
+    /// Shards in the chat's rendezvous order, each with its home.
     pub shards: Vec<RankedShard>,
-    /// Engine that the home remembers for the chat.
+    /// Engine that the chat was last sent to, as far as the home knows.
     pub remembered: Option<String>,
-    /// Engine that it would go to now.
+    /// Engine that the chat would be sent to now.
     pub would_go: Option<String>,
-    /// Engines of the first shard in the chat's rank.
+    /// Engines of the first shard in the chat's rendezvous order.
     pub rank: Vec<String>,
-    /// Why, in a sentence.
+    /// Reason for the choice, in one sentence.
     pub why: String,
 }
 
-/// A shard in a chat's rank.
+/// A shard in a chat's rendezvous order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RankedShard {
-    /// Number.
+    /// Number of the shard.
     pub number: u16,
-    /// Home by this instance's view.
+    /// Id of the home in the view of the instance that explains.
     pub home: String,
 }
 
-/// Why nothing can be told.
+/// Why a chat's placement cannot be explained.
 #[derive(Debug, thiserror::Error)]
 pub enum ExplainError {
-    /// No file is in force.
+    /// No configuration is active on this instance.
     #[error("no file is in force here yet; try again, or ask another instance")]
     NoConfiguration,
-    /// The file has no such service.
+    /// The active configuration has no such service.
     #[error("no service is called {0:?}; see `cartvane show`")]
     UnknownService(String),
-    /// The home did not answer.
+    /// The home did not respond.
     #[error(transparent)]
     Home(#[from] PeerFault),
 }
 
 impl ExplainError {
-    /// Returns the HTTP status that goes with it.
+    /// Returns the HTTP status of the error.
     pub fn status(&self) -> u16 {
         if matches!(self, ExplainError::UnknownService(_)) { 404 } else { 503 }
     }
 }
 
-/// Tells where a chat would go, asking the home of its first shard.
+/// Explains where a chat would be sent, as the home of its first shard sees it.
 ///
 /// # Errors
 ///
@@ -88,7 +88,7 @@
     }
 }
 
-/// Tells where a chat would go, as this instance knows it.
+/// Explains where a chat would be sent, as this instance sees it.
 ///
 /// # Errors
 ///
@@ -102,7 +102,7 @@
     let first = shards[0];
     let server = |tag| snapshot.server(tag).map(|b| b.id.to_string());
     let order = ranked(key.0, first.engines.iter().map(|e| (e.tag, e.weight)));
-    // A home that no entry has asked yet remembers nothing and grants to the least loaded.
+    // A home that has had no permit request yet knows no chats and grants the least loaded engine.
     let (remembered, would_go) = shared.homes.explain(first.id, key).unwrap_or((None, None));
     Ok(Explanation {
         service: name.service.clone(),
--- a/src/instance/operators/mod.rs
+++ b/src/instance/operators/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' side of an instance: their HTTP interface (`api`), what they see of the fleet
-//! (`status`), and where a chat would go (`explain`).
+//! The operators' interface of an instance: HTTP handlers (`api`), the status of the fleet (`status`), and the
+//! placement of a chat (`explain`).
 
 pub mod api;
 pub mod explain;
--- a/src/instance/operators/status.rs
+++ b/src/instance/operators/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the instances.
+//! Status of the instances, for operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,72 +13,72 @@
     utils::sync::lock,
 };
 
-/// One instance as operators see it.
+/// Status of one instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Id.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Zone.
+    /// Availability zone of the instance.
     pub zone: ZoneId,
-    /// Revision in force; zero: none.
+    /// Active revision; zero if there is none.
     pub revision: Revision,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub ready: bool,
     /// Whether it is draining.
     pub draining: bool,
     /// Requests in flight.
     pub requests: u32,
-    /// Permits its entry holds.
+    /// Permits that its entry holds.
     pub permits: usize,
-    /// Shards whose home it is, or was a moment ago.
+    /// Shards whose home it is or recently was.
     pub shards: Vec<NamedShard>,
 }
 
-/// A shard with names in place of tags.
+/// A shard, with ids in place of tags.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NamedShard {
-    /// Service.
+    /// Id of the service.
     pub service: String,
     /// Number of the shard.
     pub number: u16,
-    /// Whether the instance is the shard's home; else it holds a replica of its memory, or grants
-    /// while routers disagree.
+    /// Whether the instance is the shard's home; if not, it holds a replica of the shard's chat locations, or still
+    /// grants permits while the instances disagree on the home.
     pub is_home: bool,
-    /// Most permits of one engine now.
+    /// Most permits that one engine may have now.
     pub bound: u32,
-    /// Requests waiting.
+    /// Requests in the queue.
     pub queued: usize,
-    /// Chats remembered.
+    /// Chats whose last engine is known.
     pub remembered: usize,
     /// Engines.
     pub engines: Vec<NamedEngine>,
-    /// Orders to the engines, if the instance gives them.
+    /// State of the orders to the engines, if the instance sends them.
     pub orders: Option<OrdersStatus>,
 }
 
-/// An engine with its name.
+/// An engine, with its id in place of the tag.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NamedEngine {
-    /// Id.
+    /// Id of the engine.
     pub id: String,
-    /// Permits in force.
+    /// Permits granted and not released.
     pub permits: u32,
-    /// Load it last reported.
+    /// Load that it last reported, in requests.
     pub reported: Option<u32>,
     /// `ready`, `leaving` or `suspect`.
     pub state: String,
 }
 
-/// The fleet as one instance sees it.
+/// Status of the fleet in the view of one instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Instances that answered.
+    /// Status of the instances that responded.
     pub instances: Vec<InstanceStatus>,
-    /// Instances that did not answer.
+    /// Instances that did not respond.
     pub silent: Vec<InstanceId>,
 }
 
-/// Returns this instance's own status.
+/// Returns the status of this instance.
 pub fn instance_status(shared: &Shared) -> InstanceStatus {
     let settings = &shared.settings;
     InstanceStatus {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Asks every known instance for its status.
+/// Requests the status of every instance in the membership list.
 pub fn fleet_status(shared: &Shared) -> FleetStatus {
     let peers: Vec<_> =
         lock(&shared.membership).peers().map(|p| (p.candidate.id.clone(), p.address)).collect();
@@ -133,7 +133,7 @@
         match shared.peers.call::<InstanceStatus>(Purpose::Operators, address, STATUS, &()) {
             Ok(instance) => status.instances.push(instance),
             Err(error) => {
-                log::debug!("status: {error}");
+                log::debug!("no status from {id}: {error}");
                 status.silent.push(id);
             }
         }
