--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys in the platform's table, written in groups.
+//! Claims of idempotency keys, stored in the platform's table and written in groups.
 
 use std::{
     collections::HashSet,
@@ -17,13 +17,13 @@
     utils::sync::lock,
 };
 
-/// Most operations of one transaction.
+/// Most operations in one transaction.
 const GROUP_MAX: usize = 64;
 
-/// Time for which a write that the table did not take is tried again.
+/// Time for which a write that the table did not accept is retried.
 const DEFERRED_MAX_AGE: Duration = Duration::from_secs(60);
 
-/// What came of one operation of a group.
+/// Result of one operation of a group.
 #[derive(Debug, Clone)]
 enum WriteResult {
     Committed,
@@ -43,33 +43,33 @@
     pending: Vec<Pending>,
 }
 
-/// A claim in hand.
+/// A claim that this instance has made.
 #[derive(Debug, Clone)]
 pub struct HeldClaim {
     /// Key of its row.
     pub key: String,
-    /// Its content when it was made.
+    /// Content of the row when the claim was made.
     pub claim: Claim,
     version: u64,
 }
 
-/// What a request with a key may do.
+/// What a request with an idempotency key may do.
 #[derive(Debug)]
 pub enum ClaimDecision {
-    /// Run, and finish the claim afterwards.
+    /// Run; the claim must be finished afterwards.
     Run(HeldClaim),
-    /// Give the stored answer again.
+    /// Send the stored response.
     Replay(StoredResponse),
-    /// Refuse.
+    /// Reject the request.
     Refuse(Refusal),
 }
 
-/// A write that the table did not take.
+/// A write that the table did not accept.
 #[derive(Debug)]
 struct DeferredWrite {
     key: String,
     claim: Claim,
-    /// `None`: the claim is given back.
+    /// `None` if the claim is released.
     state: Option<ClaimState>,
     until: Instant,
 }
@@ -84,7 +84,7 @@
 }
 
 impl Claims {
-    /// Returns the claims kept in `table`.
+    /// Returns the claims stored in `table`.
     pub fn new(table: Table, clock: Clock) -> Claims {
         Claims {
             table,
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Claims `key` for a request before it is sent on.
+    /// Claims `key` for a request before it is forwarded, and returns what the request may do.
     ///
-    /// Returns what the request may do. A table that is out means that it may not run.
+    /// While the table is unavailable, requests with a key must not run.
     pub fn begin(&self, key: &str, own: &Claim) -> ClaimDecision {
         match self.write(Operation::create(key, encode(own))) {
             WriteResult::Committed => run_decision(key, own, 1),
@@ -106,15 +106,15 @@
         }
     }
 
-    /// The own write failed or its reply was lost; in the second case the row tells.
+    /// Decides after a failed write. If only its reply was lost, the row shows whether the write took effect.
     fn resolve_failed_write(&self, key: &str, own: &Claim, fault: &PlatformFault) -> ClaimDecision {
         if !fault.may_have_taken_effect() {
             return ClaimDecision::Refuse(claim_not_kept(fault));
         }
         match self.table.get(key) {
             Ok(Some(row)) => self.decide_by_row(key, own, Some(row), false),
-            // The write may still be on its way: the request must not run, and a row that
-            // appears later is taken away.
+            // The write may still take effect: the request must not run, and a row that appears
+            // later is deleted.
             Ok(None) | Err(_) => {
                 self.defer(key, own, None);
                 ClaimDecision::Refuse(claim_not_kept(fault))
@@ -157,10 +157,10 @@
         }
     }
 
-    /// Writes what became of a claimed request. `None` gives the claim back: it was not run.
+    /// Writes the result of a claimed request. `None` releases the claim: the request was not run.
     ///
-    /// What the table does not take now is tried again by [`Claims::tick`]; until it is written,
-    /// repeats are told that the outcome is unknown.
+    /// A write that the table does not accept now is retried by [`Claims::tick`]. Until it succeeds, repeated
+    /// requests are rejected with the outcome `unknown`.
     pub fn finish(&self, held: &HeldClaim, state: Option<ClaimState>) {
         let operation = finish_operation(&held.key, &held.claim, held.version, &state);
         if !matches!(self.write(operation), WriteResult::Committed) {
@@ -174,7 +174,7 @@
         lock(&self.deferred).push(deferred);
     }
 
-    /// Tries deferred writes again; called every few hundred milliseconds.
+    /// Retries deferred writes; called every few hundred milliseconds.
     pub fn tick(&self) {
         let deferred = std::mem::take(&mut *lock(&self.deferred));
         let now = self.clock.now();
@@ -183,15 +183,15 @@
         lock(&self.deferred).extend(remaining);
     }
 
-    /// Returns the number of writes that the table has not taken yet.
+    /// Returns the number of writes that the table has not accepted yet.
     pub fn deferred(&self) -> usize {
         lock(&self.deferred).len()
     }
 
-    /// Returns whether nothing is left to do.
+    /// Retries a deferred write; returns whether it needs no further retry.
     fn retry_deferred(&self, DeferredWrite { key, claim, state, .. }: &DeferredWrite) -> bool {
         let Ok(row) = self.table.get(key) else { return false };
-        // A claim that is being given back may appear later; one with a result was there.
+        // The row of a claim to be released may still appear; that of a claim with a result existed.
         let Some(row) = row else { return state.is_some() };
         let Ok(found) = decode::<Claim>(&row.value) else { return true };
         if found.attempt != claim.attempt || found.state != ClaimState::Running {
@@ -203,7 +203,7 @@
         )
     }
 
-    /// Writes one operation together with those of other requests.
+    /// Writes one operation, in a group with those of other requests.
     fn write(&self, operation: Operation) -> WriteResult {
         let slot = Arc::new((Mutex::new(None), Condvar::new()));
         let mut queue = lock(&self.queue);
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Writes a group; operations whose condition fails are set aside and the rest tried again.
+    /// Writes a group; operations whose condition fails are taken out and the rest is retried.
     fn write_group(&self, mut group: Vec<Pending>) {
         while !group.is_empty() {
             let operations = group.iter().map(|p| p.operation.clone()).collect();
@@ -256,8 +256,8 @@
     }
 }
 
-/// Takes the first operations, at most one for each row: two claims of one key must meet in the
-/// table, one after the other.
+/// Takes the first operations from the queue, at most one for each row: two claims of one key must reach the table
+/// in separate transactions.
 fn take_group(pending: &mut Vec<Pending>) -> Vec<Pending> {
     let mut keys = HashSet::new();
     let all = std::mem::take(pending);
--- a/src/instance/requests/engine_slot.rs
+++ b/src/instance/requests/engine_slot.rs
@@ -1,4 +1,4 @@
-//! Finds the engine that may take a request: by permit of a home, or by a baseline.
+//! Acquires a slot at an engine for a request, by a permit of a home or by a baseline.
 
 use std::time::Duration;
 
@@ -22,18 +22,18 @@
     zone::{rendezvous::ChatKey, shard::Shard},
 };
 
-/// Homes tried that were not reached, before a request is refused.
+/// Most times that a request for a permit is sent again because a home was lost.
 const LOST_HOMES_MAX: u32 = 6;
 
-/// Time to come back after a refusal that has no better estimate.
+/// `Retry-After` of a rejection that has no better estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A place at an engine.
+/// A slot at an engine.
 #[derive(Debug)]
 pub enum EngineSlot {
     /// Granted by a home.
     Permit(Permit),
-    /// Chosen by this entry alone.
+    /// Chosen by this entry alone, without a permit.
     Baseline(Tag),
 }
 
@@ -47,20 +47,20 @@
     }
 }
 
-/// Why there is no place.
+/// Why no slot was acquired.
 #[derive(Debug)]
 pub enum SlotError {
-    /// The caller is to be told this.
+    /// The request is rejected with this response.
     Rejected(Refusal),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Finds a place for a request, passing over the engines in `avoid`.
+/// Acquires a slot for a request at an engine that is not in `avoid`.
 ///
 /// # Errors
 ///
-/// The request is refused and has not run, or its caller went away.
+/// The request is rejected and has not run, or its caller disconnected.
 pub fn acquire(
     shared: &Shared,
     view: &ServiceView,
@@ -69,7 +69,7 @@
     avoid: &[Tag],
     keep_waiting: &mut dyn FnMut() -> bool,
 ) -> Result<EngineSlot, SlotError> {
-    // A request that belongs to no chat is spread evenly.
+    // Requests that belong to no chat get a random key, which spreads them evenly.
     let chat = request.chat.unwrap_or_else(|| ChatKey(fastrand::u64(..)));
     if view.service.placement != Placement::Permit {
         return choose_by_baseline(shared, view, chat, avoid);
@@ -95,7 +95,7 @@
     result.map(EngineSlot::Permit).map_err(|error| rejection(error, view.service.id.as_str()))
 }
 
-/// Gives a place back.
+/// Releases a slot.
 pub fn release(
     shared: &Shared,
     service: &Service,
@@ -151,7 +151,7 @@
 }
 
 impl PermitRequester<'_> {
-    /// Asks the home of `shard`; a home that is not reached is passed over and the next asked.
+    /// Requests a permit from the home of `shard`; if that is lost, from the next home.
     fn request_permit(
         &mut self,
         shard: &Shard,
--- a/src/instance/requests/mod.rs
+++ b/src/instance/requests/mod.rs
@@ -1,5 +1,5 @@
-//! The way of a request: read and admitted (`entry`, `request`), claimed by its key (`claims`), given a
-//! place at an engine (`engine_slot`, `permit_client`), sent and answered (`forward`, `replay`).
+//! Processing of a request: reading and admission (`entry`, `request`), the claim of its idempotency key (`claims`),
+//! a slot at an engine (`engine_slot`, `permit_client`), the attempts and the response (`forward`, `replay`).
 
 pub mod caller_watch;
 pub mod claims;
--- a/src/instance/requests/permit_client.rs
+++ b/src/instance/requests/permit_client.rs
@@ -1,7 +1,7 @@
-//! The entry's side of permits: asks homes, holds permits, gives them back.
+//! The entry's client of the homes: requests, holds and releases permits.
 //!
-//! Each home is told by one stream of messages; what is told to one home is put together and
-//! handed over in one order, so that counts and announcements are true when they arrive.
+//! Each home gets one stream of messages. Messages to a home are assembled and sent in the same order, so that counts
+//! and announcements are correct when they arrive.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -21,55 +21,55 @@
     zone::{rendezvous::ChatKey, shard::ShardId},
 };
 
-/// Silence towards a home that holds permits of this entry, after which it is told their number.
+/// Time without a message to a home that granted permits of this entry, after which their count is sent.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Pause of a waiting thread before it looks again whether it should go on waiting.
+/// Interval at which a waiting thread checks whether to keep waiting.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// How homes are reached.
+/// Sends messages to homes.
 pub struct HomeTransport {
-    /// Hands batches to a home; false when it is not reached.
+    /// Sends batches to a home; returns false if it is unreachable.
     pub send: Box<dyn Fn(Tag, Vec<ShardBatch>) -> bool + Send + Sync>,
-    /// Cuts the stream to a home that does not answer.
+    /// Closes the stream to a home that does not reply.
     pub disconnect: Box<dyn Fn(Tag) + Send + Sync>,
 }
 
-/// A permit in hand.
+/// A granted permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit {
     /// Its number.
     pub number: u64,
-    /// The engine it is for.
+    /// Engine that it is for.
     pub engine: Tag,
 }
 
-/// How an ask ended without a permit.
+/// Why a request for a permit failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitError {
-    /// The home answered otherwise.
+    /// The home did not grant the request.
     Reply(Reply),
-    /// The home was not reached or did not answer.
+    /// The home was unreachable or did not reply.
     HomeLost,
-    /// The time ran out.
+    /// The deadline passed.
     Deadline,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestState {
-    /// The home has not answered yet.
+    /// No reply has arrived yet.
     Sent,
-    /// The home has put the ask in its queue.
+    /// The home has queued the request.
     Queued,
-    /// The home has decided.
+    /// The home has granted or rejected the request, or spills it to another shard.
     Decided(Reply),
-    /// The home was lost.
+    /// The home became unreachable.
     HomeLost,
 }
 
-/// Where one asking thread waits.
+/// State of one request, on which the requesting thread waits.
 #[derive(Debug)]
 struct ReplySlot {
     state: Mutex<RequestState>,
@@ -93,7 +93,7 @@
     expires_at: Instant,
 }
 
-/// An ask that its home has not decided.
+/// A request that its home has not decided.
 #[derive(Debug)]
 struct PendingRequest {
     shard: ShardId,
@@ -101,11 +101,13 @@
     slot: Arc<ReplySlot>,
 }
 
-/// What is known of one home.
+/// State of the messages to one home.
 #[derive(Debug, Default)]
 struct HomeLink {
+    /// Held while a message is assembled and sent.
     send_lock: Arc<Mutex<()>>,
     pending: HashMap<u32, PendingRequest>,
+    /// Shards whose permits are announced with the next message.
     announce: HashSet<ShardId>,
     last_sent: Option<Instant>,
 }
@@ -117,7 +119,7 @@
     links: HashMap<Tag, HomeLink>,
 }
 
-/// An entry's permits and the asks for more.
+/// The permits of an entry, and its requests for more.
 pub struct PermitClient {
     clock: Clock,
     incarnation: u32,
@@ -128,9 +130,9 @@
 }
 
 impl PermitClient {
-    /// Returns the desk of an entry that holds nothing.
+    /// Returns the client of an entry that holds no permits.
     ///
-    /// A home that gives no first reply within `reply_timeout` counts as lost.
+    /// A home that sends no first reply within `reply_timeout` counts as lost.
     pub fn new(
         own: Tag,
         incarnation: u32,
@@ -141,7 +143,7 @@
         PermitClient { clock, incarnation, own, reply_timeout, state: Mutex::default(), transport }
     }
 
-    /// Returns the identity of a new ask.
+    /// Returns the id of a new request.
     pub fn next_permit_id(&self) -> PermitId {
         let mut state = lock(&self.state);
         state.counter = state.counter.wrapping_add(1);
@@ -151,13 +153,13 @@
         }
     }
 
-    /// Asks `home` for a permit and waits for its answer.
+    /// Requests a permit from `home` and waits for the decision.
     ///
-    /// `keep_waiting` is asked every 100 ms of waiting.
+    /// `keep_waiting` is called every 100 ms while waiting.
     ///
     /// # Errors
     ///
-    /// See [`PermitError`]; whatever the home granted meanwhile is given back.
+    /// See [`PermitError`]; a permit that the home granted in the meantime is released.
     pub fn request(
         &self,
         home: Tag,
@@ -208,7 +210,7 @@
             && unanswered
             && self.clock.now() < sent_at + request.time_left
         {
-            // No first reply in time: the home is frozen or cut off.
+            // No first reply in time: the home is suspended or disconnected.
             (self.transport.disconnect)(home);
             self.note_home_lost(home);
             return Err(PermitError::HomeLost);
@@ -231,12 +233,12 @@
         if time_left.is_zero() {
             return Some(PermitError::Deadline);
         }
-        // Woken or not, the state is looked at again by the caller.
+        // The caller checks the state again, whether this thread was notified or the wait timed out.
         drop(slot.changed.wait_timeout(state, time_left.min(POLL_PERIOD)));
         (!keep_waiting()).then_some(PermitError::CallerGone)
     }
 
-    /// Withdraws an ask: what the home granted or queued for it is given back.
+    /// Withdraws a request: the home releases the permit or queue entry that it has for it.
     fn withdraw(&self, home: Tag, shard: ShardId, number: u32) {
         let release = Release { number: u64::from(number), kind: ReleaseKind::Unused, load: None };
         self.send_batches(home, |held, link| {
@@ -246,7 +248,7 @@
         });
     }
 
-    /// Gives a permit back.
+    /// Releases a permit.
     pub fn release(&self, permit: Permit, kind: ReleaseKind, load: Option<u32>) {
         let number = short(permit.number);
         let Some((home, shard)) = lock(&self.state).held.get(&number).map(|h| (h.home, h.shard))
@@ -254,14 +256,14 @@
             return;
         };
         let release = Release { number: permit.number, kind, load };
-        // A home that is not reached learns by the count, or drops what it hears no more of.
+        // An unreachable home learns of the release from a later count, or drops the permits of an unresponsive entry.
         self.send_batches(home, |held, _| {
             held.remove(&number);
             vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
         });
     }
 
-    /// Puts batches together and hands them over, one message to a home at a time.
+    /// Assembles batches and sends them, one message to a home at a time.
     fn send_batches(
         &self,
         home: Tag,
@@ -279,14 +281,14 @@
         batches.is_empty() || (self.transport.send)(home, batches)
     }
 
-    /// Takes in a home's message.
+    /// Handles a message of a home.
     pub fn handle_message(&self, home: Tag, message: HomeMessage) {
         let mut state = lock(&self.state);
         let State { held, links, .. } = &mut *state;
         let link = links.entry(home).or_default();
         link.announce.extend(message.want_announcement);
         for NumberedReply { number, reply } in message.replies {
-            // Whoever has given up has its release on the way already.
+            // A withdrawn request has sent its release already.
             let Some(pending) = link.pending.get(&number) else { continue };
             let reply = reply.reply();
             if reply == Reply::Queued {
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Takes in a late reply of this instance's own home.
+    /// Handles a late reply of a home on this instance.
     pub fn handle_own_reply(&self, id: PermitId, reply: Reply) {
         let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
         self.handle_message(
@@ -323,7 +325,7 @@
         );
     }
 
-    /// Notes that `home` is lost: what waits there is asked again elsewhere.
+    /// Notes that `home` is lost: its pending requests fail and can be sent to another home.
     pub fn note_home_lost(&self, home: Tag) {
         let mut state = lock(&self.state);
         let link = state.links.entry(home).or_default();
@@ -332,11 +334,10 @@
         }
     }
 
-    /// Tells homes what they want announced, and that permits still stand; called every few tens
-    /// of milliseconds.
+    /// Sends the announcements that homes requested, and counts of the permits held as keep-alive; called every few
+    /// tens of milliseconds.
     ///
-    /// `home_of` returns the home of a shard by the view of the moment; permits whose shard has
-    /// moved are announced to the new home.
+    /// `home_of` returns the current home of a shard; permits of a shard that has moved are announced to its new home.
     pub fn send_due(&self, home_of: impl Fn(ShardId) -> Option<Tag>) {
         let now = self.clock.now();
         let shards: HashSet<ShardId> = lock(&self.state).held.values().map(|h| h.shard).collect();
@@ -373,7 +374,7 @@
     }
 }
 
-/// Returns what stands at a home: announcements where they are wanted, else counts.
+/// Returns the permits held at a home, by shard: announcements where they are due, else counts.
 fn status_batches(
     home: Tag,
     held: &HashMap<u32, HeldPermit>,
@@ -391,6 +392,7 @@
             .filter(|(_, p)| p.shard == shard)
             .map(|(number, _)| *number)
             .collect();
+        // A pending request may have been granted already; the count is sent only when none is pending.
         let is_exact = pending.is_empty();
         let announcement = announce.contains(&shard).then(|| Announcement {
             held: held_here().map(|(number, h)| announced_permit(*number, h, now)).collect(),
--- a/src/instance/requests/placement_hint.rs
+++ b/src/instance/requests/placement_hint.rs
@@ -1,4 +1,4 @@
-//! Placement hints handed to callers: opaque, authenticated, only ever a hint.
+//! Placement hints for callers: opaque and authenticated, and never binding for the placement.
 
 use crate::{
     names::Tag,
@@ -6,17 +6,17 @@
     zone::rendezvous::ChatKey,
 };
 
-/// Bytes of the authentication code that a hint carries.
+/// Bytes of the message authentication code in a hint.
 const MAC_BYTES: usize = 8;
 
-/// Returns the hint that says that `chat` was on `engine`.
+/// Returns the hint that `chat` was last sent to `engine`.
 pub fn encode(key: &Secret, chat: ChatKey, engine: Tag) -> String {
     let mut bytes = engine.0.to_le_bytes().to_vec();
     bytes.extend_from_slice(&mac(key, chat, engine));
     hex::encode(bytes)
 }
 
-/// Returns the engine that a hint for `chat` names; a forged or foreign hint names none.
+/// Returns the engine that a hint for `chat` names; `None` if the hint is forged or belongs to another chat.
 pub fn decode(key: &Secret, chat: ChatKey, hint: &str) -> Option<Tag> {
     let bytes = hex::decode(hint).ok()?;
     let (tag, received_mac) = bytes.split_first_chunk::<4>()?;
