--- a/src/instance/requests/caller_watch.rs
+++ b/src/instance/requests/caller_watch.rs
@@ -1,4 +1,4 @@
-//! Watches whether a caller still waits for its answer.
+//! Detects callers that no longer wait for their response.
 
 use std::time::{Duration, Instant};
 
@@ -7,29 +7,29 @@
     link::http1::{Conn, conn::ConnState},
 };
 
-/// Period at which a caller that sends no more is probed for still reading.
+/// Interval between probes of a caller that has closed its sending side; also the time-out of a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches whether a caller still waits for its answer.
+/// Detects whether a caller still waits for its response.
 ///
-/// A caller that has closed its sending side may still read: an interim answer, which every
-/// HTTP/1.1 caller passes over, shows whether it does.
+/// A caller that has closed its sending side may still read: an interim response, which every HTTP/1.1 client
+/// ignores, shows whether it does. HTTP/1.0 has no interim responses; such callers count as waiting until the
+/// connection breaks.
 pub struct CallerWatch<'w> {
     shared: &'w Shared,
     can_probe: bool,
-    /// The request is to be carried through whether or not its caller waits.
+    /// The request runs to its end even if its caller disconnects.
     must_complete: bool,
     last_probe: Option<Instant>,
 }
 
 impl<'w> CallerWatch<'w> {
-    /// Returns a watch over the caller of `request`; with `must_complete`, the request is carried through
-    /// whether or not its caller waits.
+    /// Returns a watch over the caller of `request`; with `must_complete`, the caller always counts as waiting.
     pub fn new(shared: &'w Shared, request: &Request, must_complete: bool) -> CallerWatch<'w> {
         CallerWatch { shared, can_probe: !request.http10, must_complete, last_probe: None }
     }
 
-    /// Returns whether the caller on `conn` still waits.
+    /// Returns whether the caller on `conn` counts as waiting.
     pub fn is_waiting(&mut self, conn: &mut Conn) -> bool {
         if self.must_complete {
             return true;
--- a/src/instance/requests/engine_report.rs
+++ b/src/instance/requests/engine_report.rs
@@ -1,14 +1,14 @@
-//! What an engine tells of itself with an answer.
+//! What an engine reports about itself in the headers of a response.
 
 use crate::{
     instance::requests::response_parts::{LOAD_HEADER, RESUMABLE_HEADER, STATE_HEADER},
     link::backend::Answer,
 };
 
-/// What an engine tells of itself with an answer.
+/// What an engine reports about itself in the headers of a response.
 #[derive(Debug, Default)]
 pub(super) struct EngineReport {
-    /// Requests in it.
+    /// Requests at the engine.
     pub(super) load: Option<u32>,
     /// Whether it is leaving.
     pub(super) leaving: bool,
@@ -17,7 +17,7 @@
 }
 
 impl EngineReport {
-    /// Reads what an answer tells.
+    /// Reads the report from a response.
     pub(super) fn read(&mut self, response: &Answer) {
         self.load = response.head.header(LOAD_HEADER).and_then(|load| load.parse().ok());
         self.leaving = response.head.header(STATE_HEADER) == Some("leaving");
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of an engine beside the request itself: the rest of a stream, or its end.
+//! Calls to an engine about a stream that it sends: to resume or to cancel it.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
     link::backend::{Answer, Attempt},
 };
 
-/// Most time for an engine to answer a resume or a cancel.
+/// Time within which an engine must respond to a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks the engine for the rest of the stream of attempt `id` from `offset`, in bytes.
+/// Requests the rest of the stream of attempt `id` from `offset`, in bytes.
 pub(super) fn resume(
     shared: &Shared,
     server: &BackendServer,
@@ -31,7 +31,7 @@
     Some(response)
 }
 
-/// Tells the engine that nobody waits for the stream of attempt `id`.
+/// Cancels the stream of attempt `id`, whose caller has disconnected.
 pub(super) fn cancel(shared: &Shared, server: &BackendServer, id: &str) {
     let target = format!("/engine/streams/{id}");
     if let Some(response) = call(shared, server, &Method::DELETE, &target, id) {
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -1,4 +1,4 @@
-//! The callers' side of an instance: reads requests, has them answered, keeps connections.
+//! Callers' connections: reads requests, forwards or rejects them, and keeps connections open.
 
 use std::{
     sync::Arc,
@@ -25,10 +25,10 @@
     utils::usage::UsageGuard,
 };
 
-/// Longest wait for a refused connection's caller to take the answer.
+/// Time within which the caller of a rejected connection must take the response.
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Serves one caller's connection until it ends.
+/// Serves one caller's connection until it is closed.
 pub fn serve(shared: &Arc<Shared>, mut conn: Conn) {
     while wait_for_request(shared, &mut conn) {
         let received_at = shared.clock.now();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Answers a connection beyond the limit.
+/// Rejects a connection beyond the limit.
 pub fn reject_connection(shared: &Shared, mut conn: Conn) {
     let refusal = Refusal::not_run(
         503,
@@ -57,7 +57,7 @@
     )
     .retry_after(Duration::from_secs(1));
     let options = options(shared.next_request_id(), false);
-    // Whether the caller still takes the answer changes nothing here.
+    // The connection is closed whether or not the caller takes the response.
     let _ = send_refusal(&mut conn, REJECTION_TIMEOUT, &refusal, &options, false);
 }
 
@@ -66,7 +66,7 @@
     AnswerNote { own: Some(own), keep_alive }
 }
 
-/// Waits for the first byte of a request; false when the connection is to end.
+/// Waits for the first byte of a request; returns false when the connection is to be closed.
 fn wait_for_request(shared: &Shared, conn: &mut Conn) -> bool {
     if !conn.buffered().is_empty() {
         return true;
@@ -104,7 +104,7 @@
     reject(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
 }
 
-/// Serves one request; returns whether the connection may carry another.
+/// Serves one request; returns whether the connection may be reused.
 fn serve_request(shared: &Arc<Shared>, conn: &mut Conn, head: RequestHead, id: String) -> bool {
     let received_at = shared.clock.now();
     let keep_alive = head.keep_alive() && !shared.drain.is_draining();
@@ -151,7 +151,7 @@
     }
 }
 
-#[expect(clippy::too_many_arguments, reason = "one answer, described in full")]
+#[expect(clippy::too_many_arguments, reason = "one response, described in full")]
 fn reject(
     shared: &Shared,
     conn: &mut Conn,
@@ -181,7 +181,7 @@
     keep_alive && sent.is_ok()
 }
 
-/// A request taken in, with the limits it holds.
+/// A request that passed all checks, with its share of the limits.
 struct AdmittedRequest<'s> {
     request: Request,
     snapshot: Arc<Snapshot>,
@@ -194,11 +194,11 @@
     fn service(&self) -> &ServiceView {
         self.snapshot
             .service(&self.service_name)
-            .expect("the snapshot has the service it was looked up in")
+            .expect("the snapshot contains the service of the admitted request")
     }
 }
 
-/// A request that is not sent on.
+/// A request that is not forwarded.
 struct RejectedRequest {
     refusal: Refusal,
     body_read: bool,
@@ -210,7 +210,7 @@
     }
 }
 
-/// Checks a request against the file in force and reads its body.
+/// Checks a request against the active configuration and reads its body.
 fn admit<'s>(
     shared: &'s Shared,
     conn: &mut Conn,
@@ -303,7 +303,7 @@
     }
     if head.header("expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue")) {
         let stall = shared.settings.timeouts.slow_reader.0;
-        // A caller that is gone is noticed when its body does not come.
+        // If the caller has disconnected, reading the body fails.
         let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", stall);
     }
     let until = shared.clock.now() + shared.settings.timeouts.body.0;
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -1,4 +1,4 @@
-//! Has a request answered: claim, permit, attempts, and the answer on its way to the caller.
+//! Forwards a request: its claim, a slot at an engine, the attempts, and the response to the caller.
 
 use std::{
     thread,
@@ -39,34 +39,34 @@
     utils::sync::lock,
 };
 
-/// Largest answer of known length that is read whole before its first byte goes to the caller, so
-/// that a cut one can be tried again.
+/// Largest response of known length, in bytes, that is read completely before its first byte is sent to the caller,
+/// so that the request can be retried if the response is truncated.
 const BUFFERED_MAX: u64 = 256 << 10;
 
-/// Tries to resume a stream whose connection was lost.
+/// Most attempts to resume a stream after its connection was lost.
 const RESUMES_MAX: u32 = 3;
 
-/// Time to come back after a refusal that has no better estimate.
+/// `Retry-After` of a rejection that has no better estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How a request ended.
 pub enum ForwardResult {
-    /// An answer went to the caller, whole or visibly cut.
+    /// A response was sent to the caller, complete or visibly truncated.
     Responded {
-        /// Its status.
+        /// Status of the response.
         status: u16,
         /// Whether the request ran.
         outcome: Outcome,
-        /// Whether the caller's connection may be used again.
+        /// Whether the caller's connection may be reused.
         reusable: bool,
-        /// Who answered; none for a stored answer.
+        /// Server that responded; `None` for a stored response.
         server: Option<BackendId>,
     },
-    /// Nothing went to the caller yet: it is to be told this.
+    /// Nothing has been sent to the caller: this is to be its response.
     Rejected(Refusal),
 }
 
-/// An answer that went to the caller.
+/// A response that was sent to the caller.
 struct SentResponse {
     status: u16,
     outcome: Outcome,
@@ -82,15 +82,15 @@
 
 /// How one attempt ended.
 enum AttemptResult {
-    /// An answer went to the caller.
+    /// A response was sent to the caller.
     Responded(SentResponse),
-    /// It failed and nothing reached the caller.
+    /// It failed before anything was sent to the caller.
     Failed(AttemptFault),
-    /// It failed after the answer's head had reached the caller, who has seen the cut.
+    /// It failed after the response head, with this status, was sent: the caller sees a truncated response.
     Aborted(AttemptFault, u16),
 }
 
-/// One request on its way.
+/// A request that is being forwarded, with its context.
 struct RequestForwarder<'f> {
     shared: &'f Shared,
     snapshot: &'f Snapshot,
@@ -101,7 +101,7 @@
     claim: Option<HeldClaim>,
 }
 
-/// Has a request answered.
+/// Forwards a request and sends the response, unless the request is rejected.
 pub fn run(
     shared: &Shared,
     conn: &mut Conn,
@@ -152,7 +152,7 @@
         decision
     }
 
-    /// Gives back or closes a claim that no answer has closed.
+    /// Releases a claim that no response has closed, or marks its outcome as unknown.
     fn finish_claim(&mut self, result: &ForwardResult) {
         let Some(held) = self.claim.take() else { return };
         let outcome = match result {
@@ -163,7 +163,7 @@
         self.shared.claims.finish(&held, state);
     }
 
-    /// Tries backend servers until one answers or no further try is allowed.
+    /// Makes attempts until a backend server responds or no further attempt is allowed.
     fn run_attempts(&mut self, conn: &mut Conn) -> ForwardResult {
         let service = &self.view.service;
         self.with_retry_budget(RetryBudget::note_request);
@@ -213,7 +213,7 @@
         ForwardResult::Rejected(with_unknown_outcome(no_backend_server(), may_have_run))
     }
 
-    /// Decides on another attempt and pauses before it.
+    /// Decides whether to retry, and waits for the back-off time.
     fn prepare_retry(&self, fault: AttemptFault, number: u32) -> bool {
         if !may_retry(fault, self.request.retry_safety, false) {
             return false;
@@ -248,7 +248,7 @@
             })
     }
 
-    /// Makes one attempt and gives its place back.
+    /// Makes one attempt and releases its slot.
     fn attempt(
         &mut self,
         conn: &mut Conn,
@@ -296,7 +296,7 @@
         }
         let chat = request.chat.filter(|_| self.view.service.kind == ServiceKind::Model);
         if let Some(value) = chat.and_then(|chat| HeaderValue::from_str(&chat.to_string()).ok()) {
-            // Engines name the context by it when they hand it over.
+            // Engines identify the chat's context by it when they move it to another engine.
             headers.insert(CHAT_HEADER, value);
         }
         let attempt = Attempt {
@@ -334,7 +334,7 @@
         }
     }
 
-    /// Reads the answer whole, then writes it.
+    /// Reads the complete response, then sends it.
     fn send_buffered(
         &mut self,
         conn: &mut Conn,
@@ -368,7 +368,7 @@
         })
     }
 
-    /// Passes the answer on as it comes.
+    /// Sends the response as it arrives.
     fn send_streamed(
         &mut self,
         conn: &mut Conn,
@@ -436,7 +436,7 @@
         })
     }
 
-    /// Returns when the next byte of the answer must have come.
+    /// Returns when the next byte of the response must have arrived.
     fn stall_deadline(&self) -> Instant {
         let stall = self.shared.clock.now() + self.shared.settings.timeouts.stall.0;
         stall.min(self.request.deadline)
@@ -457,8 +457,8 @@
         }
     }
 
-    /// Closes the claim with the whole answer, before its end reaches the caller: from then on a
-    /// repeat gets this answer, also when this instance is lost.
+    /// Closes the claim with the complete response, before its end reaches the caller: from then on a repeated
+    /// request gets this response, even if this instance crashes.
     fn store_response(&mut self, status: StatusCode, headers: &HeaderMap, body: Option<&[u8]>) {
         let Some(held) = self.claim.take() else { return };
         let max_bytes = self.shared.settings.limits.stored_answer.bytes();
--- a/src/instance/requests/replay.rs
+++ b/src/instance/requests/replay.rs
@@ -1,4 +1,4 @@
-//! Answers a repeat of a request from what its first run left in the claim.
+//! Responds to a repeated request with the response that the claim of its idempotency key stores.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
@@ -14,7 +14,7 @@
     },
 };
 
-/// Writes the stored answer to the caller.
+/// Sends the stored response to the caller.
 pub(super) fn replay(
     shared: &Shared,
     conn: &mut Conn,
@@ -28,7 +28,7 @@
             (Ok(name), Ok(value)) => {
                 headers.append(name, value);
             }
-            _ => log::warn!("replay id={} leaves out the stored header {name:?}", request.id),
+            _ => log::warn!("replay id={} omits the invalid stored header {name:?}", request.id),
         }
     }
     headers.insert("cartvane-replayed", HeaderValue::from_static("true"));
--- a/src/instance/requests/request.rs
+++ b/src/instance/requests/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and understood, before it is sent on.
+//! A caller's request, parsed and checked before it is forwarded.
 
 use std::time::{Duration, Instant};
 
@@ -15,11 +15,11 @@
 pub const CHAT_HEADER: &str = "cartvane-chat";
 /// Header with the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "cartvane-deadline-ms";
-/// Header with the placement hint of an earlier answer.
+/// Header with the placement hint of an earlier response.
 pub const PLACEMENT_HEADER: &str = "cartvane-placement";
 /// Header with the caller's idempotency key (draft-ietf-httpapi-idempotency-key-header).
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Header that tells backend servers the class of a request.
+/// Header with the priority class of a request, for backend servers.
 pub const PRIORITY_HEADER: &str = "cartvane-priority";
 
 /// Longest idempotency key, in bytes.
@@ -28,38 +28,38 @@
 /// Longest chat id, in bytes.
 const CHAT_ID_MAX: usize = 255;
 
-/// Leading messages of a chat that identify it when the caller names no chat.
+/// Leading messages of a chat that identify it if the caller sends no chat id.
 const CHAT_KEY_MESSAGES: usize = 2;
 
-/// Prefix of headers that belong to the exchange between caller and router.
+/// Prefix of the headers between caller and router, which are not forwarded.
 const OWN_HEADER_PREFIX: &str = "cartvane-";
 
-/// A request to be sent on.
+/// A request to be forwarded.
 #[derive(Debug)]
 pub struct Request {
-    /// Id told to the caller.
+    /// Id of the request, which the response states.
     pub id: String,
     /// Method.
     pub method: Method,
-    /// Path and query towards the backend server.
+    /// Path and query for the backend server.
     pub target: String,
-    /// End-to-end headers.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Body.
     pub body: Vec<u8>,
     /// The chat, if the request belongs to one.
     pub chat: Option<ChatKey>,
-    /// Placement hint sent along by the caller.
+    /// Placement hint sent by the caller.
     pub hint: Option<String>,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub retry_safety: RetrySafety,
     /// Idempotency key.
     pub idempotency_key: Option<String>,
-    /// When it had been read.
+    /// When it had been read completely.
     pub received_at: Instant,
-    /// When the answer must be whole.
+    /// When the response must be complete.
     pub deadline: Instant,
-    /// Whether the caller speaks HTTP/1.0.
+    /// Whether the caller uses HTTP/1.0.
     pub http10: bool,
 }
 
@@ -71,11 +71,11 @@
 }
 
 impl Request {
-    /// Understands a request whose body has been read.
+    /// Parses a request whose body has been read.
     ///
     /// # Errors
     ///
-    /// A header that cannot be understood: the request is refused and not run.
+    /// A header is invalid: the request is rejected and not run.
     pub fn new(
         id: String,
         head: RequestHead,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the headers that go on to the backend server: end to end, without the caller's key.
+/// Returns the headers to forward: the end-to-end headers, without the team's key.
 fn forwarded_headers(head: &RequestHead, team: &Team) -> HeaderMap {
     let mut headers = head.headers.clone();
     drop_hop_by_hop(&mut headers);
@@ -161,7 +161,7 @@
         return Err(fault());
     }
     let text = value.to_str().map_err(|_| fault())?.trim();
-    // The draft writes the key as a structured-field string; a bare one is taken as well.
+    // The draft defines the key as a structured-field string; a bare one is accepted as well.
     let key = text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(text);
     if key.is_empty() || key.len() > IDEMPOTENCY_KEY_MAX {
         return Err(fault());
@@ -191,7 +191,7 @@
     Ok(Some(ChatKey::of(&[service.id.as_str(), team.id.as_str(), &opening])))
 }
 
-/// Returns the first messages of a chat-completions body, which stay the same as a chat grows.
+/// Returns the first messages of a chat-completions body, which stay the same as the chat grows.
 fn opening_messages(body: &[u8]) -> Option<String> {
     #[derive(serde::Deserialize)]
     struct Body<'b> {
