--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -144,7 +144,7 @@
         };
         match decide(own, &found, self.clock.wall_millis()) {
             ClaimVerdict::Run => run_decision(key, own, row.version),
-            ClaimVerdict::Replay(answer) => ClaimDecision::Replay(answer),
+            ClaimVerdict::Replay(response) => ClaimDecision::Replay(response),
             ClaimVerdict::Refuse(refusal) => ClaimDecision::Refuse(refusal),
             ClaimVerdict::Renew if may_renew => {
                 match self.write(Operation::replace(key, row.version, encode(own))) {
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -56,12 +56,12 @@
         "this instance has as many connections as it may; try again, or another instance",
     )
     .retry_after(Duration::from_secs(1));
-    let options = options(shared.next_request_id(), false);
+    let options = response_options(shared.next_request_id(), false);
     // The connection is closed whether or not the caller takes the response.
     let _ = send_refusal(&mut conn, REJECTION_TIMEOUT, &refusal, &options, false);
 }
 
-fn options(request_id: String, keep_alive: bool) -> AnswerNote {
+fn response_options(request_id: String, keep_alive: bool) -> AnswerNote {
     let own = OwnHeaders { request_id, outcome: Outcome::NotRun, placement: None };
     AnswerNote { own: Some(own), keep_alive }
 }
@@ -117,7 +117,7 @@
         .map_or_else(|_| "-".to_owned(), |t| t.snapshot.team_id(t.team_tag).to_string());
     let (result, body_read) = match admission {
         Ok(admitted) => {
-            let options = options(id.clone(), keep_alive);
+            let options = response_options(id.clone(), keep_alive);
             (
                 forward::run(
                     shared,
@@ -163,7 +163,8 @@
     head_only: bool,
 ) -> bool {
     let stall = shared.settings.timeouts.slow_reader.0;
-    let sent = send_refusal(conn, stall, refusal, &options(id.clone(), keep_alive), head_only);
+    let sent =
+        send_refusal(conn, stall, refusal, &response_options(id.clone(), keep_alive), head_only);
     let took = shared.clock.now() - received_at;
     if service != "-" {
         let is_configured =
