--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,6 +1,5 @@
 //! All integration tests, in one crate.
 
-mod answers;
 mod backoff_random;
 mod bodies;
 mod budget_fleet;
@@ -36,6 +35,7 @@
 mod platform;
 mod process;
 mod report;
+mod responses;
 mod rollouts;
 mod rollouts_random;
 mod roster_fleet;
