--- a/tests/suite/responses.rs
+++ b/tests/suite/responses.rs
@@ -1,4 +1,4 @@
-//! What callers are told, and how often requests run, under every fault of a backend server.
+//! Responses, reported outcomes and run counts of requests under each fault of a backend server.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 const RESPONSE_DELAY: Duration = Duration::from_millis(150);
 const STALL_TIME: Duration = Duration::from_secs(3);
 
-/// How a request may be repeated.
+/// How often a request may run: any number of times, or at most once without or with a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestKind {
     Idempotent,
@@ -31,12 +31,12 @@
 const REQUEST_KINDS: [RequestKind; 3] =
     [RequestKind::Idempotent, RequestKind::NonIdempotent, RequestKind::Keyed];
 
-/// What one cell of the table expects: status, outcome told, runs.
+/// Expected status, reported outcome and runs of a request.
 type Expected = (u16, &'static str, u32);
 
-/// Faults of a plain server; cells for idempotent, non-idempotent without and with a key.
+/// Faults of a plain server, with what is expected of each of [`REQUEST_KINDS`].
 const PLAIN_FAULTS: [(&str, Fault, [Expected; 3]); 14] = [
-    ("nothing", Fault::None, [(200, "run", 1), (200, "run", 1), (200, "run", 1)]),
+    ("none", Fault::None, [(200, "run", 1), (200, "run", 1), (200, "run", 1)]),
     (
         "closed-before-reading",
         Fault::CloseBeforeRead,
@@ -54,7 +54,7 @@
     ),
     ("refused-not-run", Fault::RefuseNotRun, [(200, "run", 1), (200, "run", 1), (200, "run", 1)]),
     (
-        "refused-without-a-word",
+        "refused-without-outcome",
         Fault::RefusePlain,
         [(503, "run", 0), (503, "run", 0), (503, "run", 0)],
     ),
@@ -70,23 +70,23 @@
     ),
     ("body-cut", Fault::CutBody, [(200, "run", 2), (502, "unknown", 1), (502, "unknown", 1)]),
     (
-        "answer-of-another",
+        "response-of-another-attempt",
         Fault::Foreign,
         [(200, "run", 2), (502, "unknown", 1), (502, "unknown", 1)],
     ),
     ("garbage", Fault::Garbage, [(200, "run", 2), (502, "unknown", 1), (502, "unknown", 1)]),
     ("oversize-head", Fault::Oversize, [(200, "run", 2), (502, "unknown", 1), (502, "unknown", 1)]),
-    ("answer-twice", Fault::Duplicate, [(200, "run", 1), (200, "run", 1), (200, "run", 1)]),
+    ("duplicate-response", Fault::Duplicate, [(200, "run", 1), (200, "run", 1), (200, "run", 1)]),
     ("late", Fault::Late(RESPONSE_DELAY), [(200, "run", 1), (200, "run", 1), (200, "run", 1)]),
 ];
 
-/// Faults of an engine's stream, and whether the stream can be resumed: complete, error event.
+/// Faults of an engine's stream, whether it can be resumed, and whether it is complete or ends with an error event.
 const STREAM_FAULTS: [(&str, Fault, bool, (bool, bool)); 10] = [
-    ("nothing", Fault::None, true, (true, false)),
+    ("none", Fault::None, true, (true, false)),
     ("refused", Fault::RefuseNotRun, true, (true, false)),
     ("closed-after-reading", Fault::CloseAfterRead, true, (true, false)),
     ("closed-after-running", Fault::CloseAfterRun, true, (true, false)),
-    ("answer-of-another", Fault::Foreign, true, (true, false)),
+    ("response-of-another-attempt", Fault::Foreign, true, (true, false)),
     ("garbage", Fault::Garbage, true, (true, false)),
     ("cut", Fault::CutBody, true, (true, false)),
     ("cut", Fault::CutBody, false, (false, true)),
@@ -169,7 +169,7 @@
             );
             assert!(
                 chat.expected_answer().starts_with(&events.text),
-                "{name}: only own tokens come"
+                "{name}: the text is not a prefix of the expected one"
             );
             assert_eq!(events.text == chat.expected_answer(), *complete, "{name}: {}", events.text);
         }
@@ -222,7 +222,7 @@
                     })
                 })
                 .collect();
-            calls.into_iter().map(|call| call.join().expect("a caller ends")).collect()
+            calls.into_iter().map(|call| call.join().expect("a caller panicked")).collect()
         });
         assert_eq!(run_count(&fleet, &id), 1);
         assert!(
@@ -251,13 +251,13 @@
     }
 }
 
-/// One step of a drawn history.
+/// One step of a random history.
 #[derive(Debug, Clone)]
 struct Step {
     fault: Fault,
     kind: RequestKind,
     router: usize,
-    /// Sends the same request again after the first answer.
+    /// Sends the same request again after the first response, if it has a key.
     repeat: bool,
 }
 
@@ -305,7 +305,7 @@
         }
         Ok(())
     });
-    result.expect("every promise holds");
+    result.expect("a guarantee does not hold");
 }
 
 fn check_guarantees(
@@ -318,7 +318,7 @@
 ) -> Result<(), TestCaseError> {
     let runs = run_count(fleet, id);
     if response.outcome() == "not-run" {
-        prop_assert_eq!(runs, runs_before, "{}: told not-run, {:?}", id, step);
+        prop_assert_eq!(runs, runs_before, "{}: reported as not-run but ran, {:?}", id, step);
     }
     if step.kind != RequestKind::Idempotent {
         prop_assert!(runs <= 1, "{}: ran {} times, {:?}", id, runs, step);
@@ -327,11 +327,11 @@
         let body = expected_answer("POST", path_for(step.kind), &call.body);
         prop_assert!(
             response.whole && response.text() == body,
-            "{}: not its own answer, {:?}",
+            "{}: not the response to this request, {:?}",
             id,
             step
         );
     }
-    prop_assert!(response.status != 0, "{}: no answer, {:?}", id, step);
+    prop_assert!(response.status != 0, "{}: no response, {:?}", id, step);
     Ok(())
 }
