--- a/tests/suite/sessions.rs
+++ b/tests/suite/sessions.rs
@@ -19,20 +19,20 @@
 /// A session: what was typed and what came back.
 struct Session<'f> {
     text: String,
-    at: Option<&'f Fleet>,
+    fleet: Option<&'f Fleet>,
 }
 
 impl<'f> Session<'f> {
-    fn new(at: Option<&'f Fleet>) -> Session<'f> {
-        Session { text: String::new(), at }
+    fn new(fleet: Option<&'f Fleet>) -> Session<'f> {
+        Session { text: String::new(), fleet }
     }
 
     /// Runs a command; a file is named by its last part.
-    fn run(&mut self, words: &[&str]) {
-        let shown: Vec<&str> = words.iter().map(|w| w.rsplit('/').next().unwrap_or(w)).collect();
+    fn run(&mut self, args: &[&str]) {
+        let shown: Vec<&str> = args.iter().map(|w| w.rsplit('/').next().unwrap_or(w)).collect();
         let mut command = Command::new(BINARY);
-        command.args(words).stdin(Stdio::null()).env("USER", "rana");
-        if let Some(fleet) = self.at {
+        command.args(args).stdin(Stdio::null()).env("USER", "rana");
+        if let Some(fleet) = self.fleet {
             command.env("CARTVANE_AT", fleet.routers[0].operators.to_string());
             command.env("CARTVANE_CREDENTIAL", OPERATOR_CREDENTIAL);
         }
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn both_early_users_files_are_sound() {
+fn the_example_files_are_valid() {
     let mut session = Session::new(None);
     for name in ["hanbit.toml", "al-harthy.toml", "alone-fleet.toml"] {
         session.run(&["check", example(name).to_str().expect("a path")]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_faulty_file_is_told_every_fault_at_once() {
+fn check_reports_all_errors_of_a_file() {
     let file = TempFile::new(
         "faulty.toml",
         r#"key_sallt = "x"
@@ -146,17 +146,17 @@
 share = 0.7
 "#,
     );
-    let broken = TempFile::new("broken.toml", "key_salt = \"x\n[[team]]\n");
+    let unparsable = TempFile::new("broken.toml", "key_salt = \"x\n[[team]]\n");
     let mut session = Session::new(None);
     session.run(&["check", file.path()]);
     session.run(&["check", file.path(), "--json"]);
-    session.run(&["check", broken.path()]);
+    session.run(&["check", unparsable.path()]);
     session.run(&["check", "nowhere.toml"]);
     assert_session!(session);
 }
 
 #[test]
-fn wrong_command_lines_are_told_the_nearest_word() {
+fn wrong_command_lines_get_a_suggestion() {
     let mut session = Session::new(None);
     session.run(&[]);
     session.run(&["aply", "x"]);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_operators_day() {
+fn an_operator_session() {
     let fleet = fleet(small());
     let file = fleet.file();
     let more = file.clone()
@@ -192,7 +192,7 @@
         TempFile::new("more.toml", &more),
         TempFile::new("less.toml", &less),
     );
-    let bad = TempFile::new("bad.toml", "surprise = 1\n");
+    let invalid = TempFile::new("bad.toml", "surprise = 1\n");
     send(&fleet, 0, &chat_call(&chat("a returning chat", 4)).with("cartvane-chat", "c1"));
     wait_idle(&fleet);
     let mut session = Session::new(Some(&fleet));
@@ -200,7 +200,7 @@
     session.run(&["diff", more.path()]);
     session.run(&["apply", more.path(), "--wait", "--base", "1"]);
     session.run(&["apply", less.path(), "--base", "1"]);
-    session.run(&["apply", bad.path()]);
+    session.run(&["apply", invalid.path()]);
     session.run(&["apply", less.path(), "--wait", "--json"]);
     session.run(&["show", "--revision", "9"]);
     session.run(&["drain", "engine-00"]);
