--- a/tests/suite/sessions.rs
+++ b/tests/suite/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions at the command line.
+//! Snapshot tests of sessions at the command line.
 
 use std::{
     fmt::Write as _,
@@ -16,7 +16,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("examples").join(name)
 }
 
-/// A session: what was typed and what came back.
+/// A transcript of commands and their output.
 struct Session<'f> {
     text: String,
     fleet: Option<&'f Fleet>,
@@ -27,7 +27,7 @@
         Session { text: String::new(), fleet }
     }
 
-    /// Runs a command; a file is named by its last part.
+    /// Runs a command; paths are shown by their last component.
     fn run(&mut self, args: &[&str]) {
         let shown: Vec<&str> = args.iter().map(|w| w.rsplit('/').next().unwrap_or(w)).collect();
         let mut command = Command::new(BINARY);
@@ -36,7 +36,7 @@
             command.env("CARTVANE_AT", fleet.routers[0].operators.to_string());
             command.env("CARTVANE_CREDENTIAL", OPERATOR_CREDENTIAL);
         }
-        let output = command.output().expect("the command runs");
+        let output = command.output().expect("command did not start");
         let code = output.status.code().unwrap_or(-1);
         let _ = writeln!(self.text, "$ cartvane {}", shown.join(" "));
         self.text.push_str(&String::from_utf8_lossy(&output.stdout));
@@ -45,21 +45,21 @@
     }
 }
 
-/// A file for the length of a test.
+/// A file that is removed when dropped.
 struct TempFile(PathBuf);
 
 impl TempFile {
     fn new(name: &str, text: &str) -> TempFile {
         let dir =
             std::env::temp_dir().join(format!("cartvane-session-{}-{name}", std::process::id()));
-        fs::create_dir_all(&dir).expect("a folder");
+        fs::create_dir_all(&dir).expect("folder not created");
         let path = dir.join(name);
-        fs::write(&path, text).expect("a file");
+        fs::write(&path, text).expect("file not written");
         TempFile(path)
     }
 
     fn path(&self) -> &str {
-        self.0.to_str().expect("a readable path")
+        self.0.to_str().expect("path is not UTF-8")
     }
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Compares with the golden file, with times, ports, paths and ids left out.
+/// Compares the transcript with its snapshot; times, addresses, paths and chat keys are masked.
 macro_rules! assert_session {
     ($session:expr) => {
         insta::with_settings!({
@@ -91,9 +91,9 @@
 fn the_example_files_are_valid() {
     let mut session = Session::new(None);
     for name in ["hanbit.toml", "al-harthy.toml", "alone-fleet.toml"] {
-        session.run(&["check", example(name).to_str().expect("a path")]);
+        session.run(&["check", example(name).to_str().expect("path is not UTF-8")]);
     }
-    session.run(&["check", example("hanbit.toml").to_str().expect("a path"), "--json"]);
+    session.run(&["check", example("hanbit.toml").to_str().expect("path is not UTF-8"), "--json"]);
     assert_session!(session);
 }
 
@@ -172,7 +172,7 @@
         "--at",
         "127.0.0.1:1",
         "--credential-file",
-        example("alone.toml").to_str().expect("a path"),
+        example("alone.toml").to_str().expect("path is not UTF-8"),
     ]);
     for command in cartvane::cli::COMMANDS.iter().map(|c| c.name) {
         session.run(&[command, "--help"]);
@@ -206,7 +206,7 @@
     session.run(&["drain", "engine-00"]);
     session.run(&["drain", "engine-77"]);
     fleet
-        .wait_for("the drain in force everywhere and every engine heard of", |s| {
+        .wait_for("the drain active everywhere and the load of every engine reported", |s| {
             let homes = || s.instances.iter().flat_map(|i| &i.shards).filter(|shard| shard.is_home);
             s.instances.iter().all(|i| i.revision == Revision(4))
                 && homes().count() == 2
@@ -215,7 +215,7 @@
                     .flat_map(|s| &s.engines)
                     .all(|e| e.reported == Some(0))
         })
-        .expect("in force");
+        .expect("drain not active in time");
     session.run(&["status"]);
     session.run(&["explain", "--service", "llm", "--team", "crew", "--chat", "c1"]);
     session.run(&["explain", "--service", "nothing", "--team", "crew", "--chat", "c1"]);
@@ -228,8 +228,10 @@
 #[test]
 fn completions_name_every_command() {
     for shell in ["bash", "zsh", "fish"] {
-        let output =
-            Command::new(BINARY).args(["completions", shell]).output().expect("the command runs");
+        let output = Command::new(BINARY)
+            .args(["completions", shell])
+            .output()
+            .expect("command did not start");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         for command in &cartvane::cli::COMMANDS {
             assert!(text.contains(command.name), "{shell}: {}", command.name);
