--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -71,7 +71,7 @@
     claim: Claim,
     /// `None` if the claim is released.
     state: Option<ClaimState>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// The claims of one instance.
@@ -102,14 +102,14 @@
         match self.write(Operation::create(key, encode(own))) {
             WriteResult::Committed => run_decision(key, own, 1),
             WriteResult::Conflict(row) => self.decide_by_row(key, own, row, true),
-            WriteResult::Failed(fault) => self.resolve_failed_write(key, own, &fault),
+            WriteResult::Failed(error) => self.resolve_failed_write(key, own, &error),
         }
     }
 
     /// Decides after a failed write. If only its reply was lost, the row shows whether the write took effect.
-    fn resolve_failed_write(&self, key: &str, own: &Claim, fault: &PlatformFault) -> ClaimDecision {
-        if !fault.may_have_taken_effect() {
-            return ClaimDecision::Refuse(claim_not_kept(fault));
+    fn resolve_failed_write(&self, key: &str, own: &Claim, error: &PlatformFault) -> ClaimDecision {
+        if !error.may_have_taken_effect() {
+            return ClaimDecision::Refuse(claim_not_kept(error));
         }
         match self.table.get(key) {
             Ok(Some(row)) => self.decide_by_row(key, own, Some(row), false),
@@ -117,7 +117,7 @@
             // later is deleted.
             Ok(None) | Err(_) => {
                 self.defer(key, own, None);
-                ClaimDecision::Refuse(claim_not_kept(fault))
+                ClaimDecision::Refuse(claim_not_kept(error))
             }
         }
     }
@@ -150,7 +150,7 @@
                 match self.write(Operation::replace(key, row.version, encode(own))) {
                     WriteResult::Committed => run_decision(key, own, row.version + 1),
                     WriteResult::Conflict(row) => self.decide_by_row(key, own, row, false),
-                    WriteResult::Failed(fault) => self.resolve_failed_write(key, own, &fault),
+                    WriteResult::Failed(error) => self.resolve_failed_write(key, own, &error),
                 }
             }
             ClaimVerdict::Renew => claim_changing(),
@@ -169,8 +169,9 @@
     }
 
     fn defer(&self, key: &str, claim: &Claim, state: Option<ClaimState>) {
-        let until = self.clock.now() + DEFERRED_MAX_AGE;
-        let deferred = DeferredWrite { key: key.to_owned(), claim: claim.clone(), state, until };
+        let expires_at = self.clock.now() + DEFERRED_MAX_AGE;
+        let deferred =
+            DeferredWrite { key: key.to_owned(), claim: claim.clone(), state, expires_at };
         lock(&self.deferred).push(deferred);
     }
 
@@ -178,8 +179,10 @@
     pub fn tick(&self) {
         let deferred = std::mem::take(&mut *lock(&self.deferred));
         let now = self.clock.now();
-        let remaining: Vec<DeferredWrite> =
-            deferred.into_iter().filter(|d| d.until > now && !self.retry_deferred(d)).collect();
+        let remaining: Vec<DeferredWrite> = deferred
+            .into_iter()
+            .filter(|d| d.expires_at > now && !self.retry_deferred(d))
+            .collect();
         lock(&self.deferred).extend(remaining);
     }
 
@@ -239,17 +242,17 @@
                 }
                 Ok(TransactReply::Conflict { key, row }) => {
                     let Some(at) = group.iter().position(|p| p.operation.key == key) else {
-                        let fault =
+                        let error =
                             PlatformFault::Reply(format!("conflict on {key}, which was not asked"));
                         group
                             .drain(..)
-                            .for_each(|p| complete(&p, WriteResult::Failed(fault.clone())));
+                            .for_each(|p| complete(&p, WriteResult::Failed(error.clone())));
                         return;
                     };
                     complete(&group.remove(at), WriteResult::Conflict(row));
                 }
-                Err(fault) => {
-                    group.drain(..).for_each(|p| complete(&p, WriteResult::Failed(fault.clone())));
+                Err(error) => {
+                    group.drain(..).for_each(|p| complete(&p, WriteResult::Failed(error.clone())));
                 }
             }
         }
@@ -290,9 +293,9 @@
     pending.slot.1.notify_all();
 }
 
-fn claim_not_kept(fault: &PlatformFault) -> Refusal {
+fn claim_not_kept(error: &PlatformFault) -> Refusal {
     let detail = format!(
-        "the claim of the Idempotency-Key could not be kept ({fault}); send it again with the same key"
+        "the claim of the Idempotency-Key could not be kept ({error}); send it again with the same key"
     );
     Refusal::not_run(503, "claim not kept", detail).retry_after(Duration::from_secs(1))
 }
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -32,16 +32,16 @@
 pub fn serve(shared: &Arc<Shared>, mut conn: Conn) {
     while wait_for_request(shared, &mut conn) {
         let received_at = shared.clock.now();
-        let until = received_at + shared.settings.timeouts.head.0;
+        let deadline = received_at + shared.settings.timeouts.head.0;
         let id = shared.next_request_id();
-        match RequestHead::read(&mut conn, shared.settings.limits.head.bytes(), until) {
+        match RequestHead::read(&mut conn, shared.settings.limits.head.bytes(), deadline) {
             Ok(head) => {
                 if !serve_request(shared, &mut conn, head, id) {
                     return linger(&mut conn);
                 }
             }
-            Err(fault) => {
-                reject_head(shared, &mut conn, &fault, id);
+            Err(error) => {
+                reject_head(shared, &mut conn, &error, id);
                 return linger(&mut conn);
             }
         }
@@ -71,16 +71,16 @@
     if !conn.buffered().is_empty() {
         return true;
     }
-    let until = shared.clock.now() + shared.settings.timeouts.idle.0;
+    let deadline = shared.clock.now() + shared.settings.timeouts.idle.0;
     let drain_grace_over = || {
         let age = shared.drain.age(shared.clock.now());
         age.is_some_and(|age| age >= shared.settings.timeouts.drain_grace.0)
     };
-    conn.fill(until, &mut || !drain_grace_over()).is_ok()
+    conn.fill(deadline, &mut || !drain_grace_over()).is_ok()
 }
 
-fn reject_head(shared: &Shared, conn: &mut Conn, fault: &HeadFault, id: String) {
-    let refusal = match fault {
+fn reject_head(shared: &Shared, conn: &mut Conn, error: &HeadFault, id: String) {
+    let refusal = match error {
         HeadFault::Read(ReadFault::Timeout) => Refusal::not_run(
             408,
             "request too slow",
@@ -98,7 +98,7 @@
             ),
         ),
         HeadFault::Bad(what) => Refusal::not_run(400, "bad request", *what),
-        HeadFault::Coding => Refusal::not_run(501, "unknown transfer coding", fault.to_string()),
+        HeadFault::Coding => Refusal::not_run(501, "unknown transfer coding", error.to_string()),
         HeadFault::Read(_) => return,
     };
     reject(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
@@ -219,9 +219,9 @@
     id: &str,
     received_at: Instant,
 ) -> Result<AdmittedRequest<'s>, RejectedRequest> {
-    let framing = head.framing().map_err(|fault| {
-        let status = if matches!(fault, HeadFault::Coding) { 501 } else { 400 };
-        RejectedRequest::body_unread(Refusal::not_run(status, "bad request", fault.to_string()))
+    let framing = head.framing().map_err(|error| {
+        let status = if matches!(error, HeadFault::Coding) { 501 } else { 400 };
+        RejectedRequest::body_unread(Refusal::not_run(status, "bad request", error.to_string()))
     })?;
     let has_no_body = framing == BodyFraming::Length(0);
     let rejected = |refusal| RejectedRequest { refusal, body_read: has_no_body };
@@ -307,9 +307,9 @@
         // If the caller has disconnected, reading the body fails.
         let _ = conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", stall);
     }
-    let until = shared.clock.now() + shared.settings.timeouts.body.0;
+    let deadline = shared.clock.now() + shared.settings.timeouts.body.0;
     let mut reader = BodyReader::new(framing);
-    reader.read_all(conn, limits.body.bytes(), until).map_err(|fault| match fault {
+    reader.read_all(conn, limits.body.bytes(), deadline).map_err(|error| match error {
         ReadFault::TooLarge => too_large(),
         ReadFault::Timeout => Refusal::not_run(
             408,
