--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -69,7 +69,7 @@
 struct DeferredWrite {
     key: String,
     claim: Claim,
-    /// `None` if the claim is released.
+    /// Result to be written; `None` if the claim is to be released.
     state: Option<ClaimState>,
     expires_at: Instant,
 }
@@ -194,7 +194,7 @@
     /// Retries a deferred write; returns whether it needs no further retry.
     fn retry_deferred(&self, DeferredWrite { key, claim, state, .. }: &DeferredWrite) -> bool {
         let Ok(row) = self.table.get(key) else { return false };
-        // The row of a claim to be released may still appear; that of a claim with a result existed.
+        // The row of a claim to be released may still appear; that of a claim with a result existed and was removed.
         let Some(row) = row else { return state.is_some() };
         let Ok(found) = decode::<Claim>(&row.value) else { return true };
         if found.attempt != claim.attempt || found.state != ClaimState::Running {
--- a/src/instance/requests/permit_client.rs
+++ b/src/instance/requests/permit_client.rs
@@ -21,7 +21,7 @@
     zone::{rendezvous::ChatKey, shard::ShardId},
 };
 
-/// Time without a message to a home that granted permits of this entry, after which their count is sent.
+/// Time without a message to a home, after which it is sent the count of the permits that it granted to this entry.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Interval at which a waiting thread checks whether to keep waiting.
