--- a/src/instance/requests/request.rs
+++ b/src/instance/requests/request.rs
@@ -31,7 +31,7 @@
 /// Leading messages of a chat that identify it if the caller sends no chat id.
 const CHAT_KEY_MESSAGES: usize = 2;
 
-/// Prefix of the headers between caller and router, which are not forwarded.
+/// Prefix of the headers between caller and router; those of the caller are not forwarded.
 const OWN_HEADER_PREFIX: &str = "cartvane-";
 
 /// A request to be forwarded.
