--- a/src/contract/fair_queue.rs
+++ b/src/contract/fair_queue.rs
@@ -10,7 +10,7 @@
 const COST: u32 = 1;
 
 #[derive(Debug)]
-struct TeamLine<T> {
+struct TeamQueue<T> {
     weight: u32,
     deficit: u32,
     items: VecDeque<T>,
@@ -20,14 +20,14 @@
 #[derive(Debug)]
 pub struct FairQueue<T> {
     reserved: VecDeque<T>,
-    teams: IndexMap<Tag, TeamLine<T>>,
-    turn: usize,
+    teams: IndexMap<Tag, TeamQueue<T>>,
+    next_team: usize,
     len: usize,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> FairQueue<T> {
-        FairQueue { reserved: VecDeque::new(), teams: IndexMap::new(), turn: 0, len: 0 }
+        FairQueue { reserved: VecDeque::new(), teams: IndexMap::new(), next_team: 0, len: 0 }
     }
 }
 
@@ -47,14 +47,14 @@
         if reserved {
             return self.reserved.len();
         }
-        let own = self.teams.get(&team).map_or(0, |line| line.items.len());
+        let own = self.teams.get(&team).map_or(0, |queue| queue.items.len());
         // Until the own line is through, each other team gets its weight's part of the turns.
         let rounds = (own as u32 / weight.max(1)) as usize + 1;
         let others: usize = self
             .teams
             .iter()
             .filter(|(tag, _)| **tag != team)
-            .map(|(_, line)| line.items.len().min(rounds * line.weight as usize))
+            .map(|(_, queue)| queue.items.len().min(rounds * queue.weight as usize))
             .sum();
         self.reserved.len() + own + others
     }
@@ -66,13 +66,13 @@
             self.reserved.push_back(item);
             return;
         }
-        let line = self.teams.entry(team).or_insert_with(|| TeamLine {
+        let queue = self.teams.entry(team).or_insert_with(|| TeamQueue {
             weight,
             deficit: 0,
             items: VecDeque::new(),
         });
-        line.weight = weight;
-        line.items.push_back(item);
+        queue.weight = weight;
+        queue.items.push_back(item);
     }
 
     /// Takes the item whose turn it is.
@@ -85,21 +85,21 @@
             if self.teams.is_empty() {
                 return None;
             }
-            self.turn %= self.teams.len();
-            let (_, line) = self.teams.get_index_mut(self.turn)?;
-            if line.deficit < COST {
-                line.deficit += line.weight.max(1);
+            self.next_team %= self.teams.len();
+            let (_, queue) = self.teams.get_index_mut(self.next_team)?;
+            if queue.deficit < COST {
+                queue.deficit += queue.weight.max(1);
             }
-            let Some(item) = line.items.pop_front() else {
-                self.teams.shift_remove_index(self.turn);
+            let Some(item) = queue.items.pop_front() else {
+                self.teams.shift_remove_index(self.next_team);
                 continue;
             };
-            line.deficit -= COST;
+            queue.deficit -= COST;
             self.len -= 1;
-            if line.items.is_empty() {
-                self.teams.shift_remove_index(self.turn);
-            } else if line.deficit < COST {
-                self.turn += 1;
+            if queue.items.is_empty() {
+                self.teams.shift_remove_index(self.next_team);
+            } else if queue.deficit < COST {
+                self.next_team += 1;
             }
             return Some(item);
         }
@@ -112,26 +112,27 @@
             self.reserved.push_front(item);
             return;
         }
-        if let Some(line) = self.teams.get_mut(&team) {
-            line.deficit += COST;
-            line.items.push_front(item);
+        if let Some(queue) = self.teams.get_mut(&team) {
+            queue.deficit += COST;
+            queue.items.push_front(item);
             return;
         }
         let items = VecDeque::from([item]);
-        let at = self.turn.min(self.teams.len());
-        self.teams.shift_insert(at, team, TeamLine { weight, deficit: COST, items });
+        let at = self.next_team.min(self.teams.len());
+        self.teams.shift_insert(at, team, TeamQueue { weight, deficit: COST, items });
     }
 
-    /// Takes out every item that `leaves` picks, in any line.
-    pub fn extract(&mut self, mut leaves: impl FnMut(&T) -> bool) -> Vec<T> {
+    /// Takes out every item that `matches` picks, in any line.
+    pub fn extract(&mut self, mut matches: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut out = Vec::new();
-        let lines = self.teams.values_mut().map(|line| &mut line.items);
+        let lines = self.teams.values_mut().map(|queue| &mut queue.items);
         for items in std::iter::once(&mut self.reserved).chain(lines) {
-            let (gone, kept) = std::mem::take(items).into_iter().partition(|item| leaves(item));
+            let (extracted, kept) =
+                std::mem::take(items).into_iter().partition(|item| matches(item));
             *items = kept;
-            out.extend::<VecDeque<T>>(gone);
+            out.extend::<VecDeque<T>>(extracted);
         }
-        self.teams.retain(|_, line| !line.items.is_empty());
+        self.teams.retain(|_, queue| !queue.items.is_empty());
         self.len -= out.len();
         out
     }
--- a/src/contract/team_limits.rs
+++ b/src/contract/team_limits.rs
@@ -33,13 +33,13 @@
         &mut self,
         now: Instant,
         team: Tag,
-        terms: &TeamPolicy,
+        policy: &TeamPolicy,
     ) -> Result<(), (RefuseReason, Duration)> {
         let in_flight = self.in_flight.get(&team).copied().unwrap_or(0);
-        if terms.max_in_flight.is_some_and(|most| in_flight >= most) {
+        if policy.max_in_flight.is_some_and(|most| in_flight >= most) {
             return Err((RefuseReason::TeamInFlight, RETRY_AFTER));
         }
-        let Some(rate) = terms.rate else { return Ok(()) };
+        let Some(rate) = policy.rate else { return Ok(()) };
         let bucket = self.rates.entry(team).or_insert_with(|| TokenBucket::new(rate, now));
         bucket.set_rate(rate);
         bucket.take(now).map_err(|wait| (RefuseReason::TeamRate, wait))
@@ -61,7 +61,7 @@
     }
 
     /// Forgets rates that say nothing any more.
-    pub fn tick(&mut self, now: Instant) {
+    pub fn prune_rates(&mut self, now: Instant) {
         self.rates.retain(|_, bucket| !bucket.is_full(now));
     }
 }
--- a/src/zone/baseline.rs
+++ b/src/zone/baseline.rs
@@ -21,7 +21,7 @@
 /// What one entry knows of a service's engines by itself.
 #[derive(Debug, Default)]
 pub struct Baseline {
-    turn: usize,
+    round_robin: usize,
     in_flight: HashMap<Tag, u32>,
     reported: HashMap<Tag, (u32, Instant)>,
 }
@@ -42,23 +42,23 @@
         if usable.is_empty() {
             return None;
         }
-        let rank = || ranked(chat.0, usable.iter().map(|e| (e.tag, e.weight)));
+        let order = || ranked(chat.0, usable.iter().map(|e| (e.tag, e.weight)));
         let at = match placement {
-            Placement::Permit | Placement::RoundRobin => self.next_turn(usable.len()),
+            Placement::Permit | Placement::RoundRobin => self.next_index(usable.len()),
             Placement::LeastReported => self.least_reported(now, &usable),
-            Placement::Rendezvous => rank()[0],
-            Placement::BoundedAlone => self.first_under_bound(&usable, &rank(), bound),
+            Placement::Rendezvous => order()[0],
+            Placement::BoundedAlone => self.first_under_bound(&usable, &order(), bound),
         };
         Some(usable[at].tag)
     }
 
-    fn next_turn(&mut self, count: usize) -> usize {
-        self.turn = self.turn.wrapping_add(1);
-        self.turn % count
+    fn next_index(&mut self, count: usize) -> usize {
+        self.round_robin = self.round_robin.wrapping_add(1);
+        self.round_robin % count
     }
 
     fn least_reported(&mut self, now: Instant, usable: &[EngineSpec]) -> usize {
-        let first = self.next_turn(usable.len());
+        let first = self.next_index(usable.len());
         let load = |tag: Tag| match self.reported.get(&tag) {
             Some((load, at)) if now.duration_since(*at) < REPORT_AGE_MAX => *load,
             _ => 0,
@@ -68,11 +68,11 @@
         order.min_by_key(|&i| load(usable[i].tag)).unwrap_or(first)
     }
 
-    fn first_under_bound(&self, usable: &[EngineSpec], rank: &[usize], bound: f64) -> usize {
+    fn first_under_bound(&self, usable: &[EngineSpec], order: &[usize], bound: f64) -> usize {
         let load = |at: usize| self.in_flight.get(&usable[at].tag).copied().unwrap_or(0);
         let total: u32 = (0..usable.len()).map(load).sum();
-        let most = bound_of(bound, total + 1, usable.len() as u32);
-        rank.iter().copied().find(|&at| load(at) < most).unwrap_or(rank[0])
+        let max = bound_of(bound, total + 1, usable.len() as u32);
+        order.iter().copied().find(|&at| load(at) < max).unwrap_or(order[0])
     }
 
     /// Notes that a request goes to `engine`.
--- a/src/zone/chat_locations.rs
+++ b/src/zone/chat_locations.rs
@@ -18,9 +18,9 @@
 }
 
 impl ChatLocations {
-    /// Returns a memory of at most `most` chats.
-    pub fn new(most: usize) -> ChatLocations {
-        ChatLocations { recent_chats: RecentChats::new(most), unreplicated: VecDeque::new() }
+    /// Returns a memory of at most `max` chats.
+    pub fn new(max: usize) -> ChatLocations {
+        ChatLocations { recent_chats: RecentChats::new(max), unreplicated: VecDeque::new() }
     }
 
     /// Returns the engine that `chat` was last on.
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Takes over what another instance remembers; with `keeps_own`, what is known here stays.
-    pub fn learn(&mut self, chats: Vec<(ChatKey, Tag)>, keeps_own: bool) {
+    /// Takes over what another instance remembers; with `keep_own`, what is known here stays.
+    pub fn merge(&mut self, chats: Vec<(ChatKey, Tag)>, keep_own: bool) {
         for (chat, engine) in chats {
-            if !keeps_own || self.recent_chats.get(chat).is_none() {
+            if !keep_own || self.recent_chats.get(chat).is_none() {
                 self.recent_chats.put(chat, engine);
             }
         }
     }
 
-    /// Returns up to `most` places of chats that the replica has not been told.
-    pub fn take_unreplicated(&mut self, most: usize) -> Vec<(ChatKey, Tag)> {
-        let count = self.unreplicated.len().min(most);
+    /// Returns up to `max` places of chats that the replica has not been told.
+    pub fn take_unreplicated(&mut self, max: usize) -> Vec<(ChatKey, Tag)> {
+        let count = self.unreplicated.len().min(max);
         self.unreplicated.drain(..count).collect()
     }
 
--- a/src/zone/engine.rs
+++ b/src/zone/engine.rs
@@ -5,13 +5,13 @@
 use crate::names::Tag;
 
 /// First time for which an engine that failed gets nothing new; doubles with each failure.
-const SUSPECT_FIRST: Duration = Duration::from_millis(500);
+const SUSPECT_DURATION_FIRST: Duration = Duration::from_millis(500);
 
 /// Longest such time.
-const SUSPECT_MAX: Duration = Duration::from_secs(30);
+const SUSPECT_DURATION_MAX: Duration = Duration::from_secs(30);
 
 /// Time without any word of an engine after which its home probes it.
-const PROBE_AGE: Duration = Duration::from_secs(2);
+const PROBE_IDLE_TIME: Duration = Duration::from_secs(2);
 
 /// Age at which a reported load no longer counts.
 const REPORT_AGE_MAX: Duration = Duration::from_secs(10);
@@ -41,8 +41,8 @@
     /// Until when it gets nothing new because it failed.
     suspect_until: Option<Instant>,
     failures: u32,
-    /// When it was last heard of, or asked.
-    heard: Option<Instant>,
+    /// When it last reported or was probed.
+    last_contact: Option<Instant>,
     /// Whether the membership list says that it is leaving.
     pub listed_leaving: bool,
     /// Whether it says itself that it is leaving.
@@ -58,7 +58,7 @@
             reported: None,
             suspect_until: None,
             failures: 0,
-            heard: None,
+            last_contact: None,
             listed_leaving: false,
             announced_leaving: false,
         }
@@ -66,23 +66,23 @@
 
     /// Returns whether it is due for a probe; when it is, the next one is due that much later.
     pub fn probe_due(&mut self, now: Instant) -> bool {
-        let due = self.heard.is_none_or(|at| now.duration_since(at) >= PROBE_AGE);
+        let due = self.last_contact.is_none_or(|at| now.duration_since(at) >= PROBE_IDLE_TIME);
         if due {
-            self.heard = Some(now);
+            self.last_contact = Some(now);
         }
         due
     }
 
     /// Notes a load that the engine reported.
-    pub fn report(&mut self, now: Instant, load: u32) {
-        self.heard = Some(now);
+    pub fn note_load(&mut self, now: Instant, load: u32) {
+        self.last_contact = Some(now);
         self.reported = Some((load, now));
     }
 
-    /// Returns the load; while `guarded`, the larger of permits and report.
-    pub fn load(&self, now: Instant, guarded: bool) -> u32 {
+    /// Returns the load; while `counts_reported`, the larger of permits and report.
+    pub fn load(&self, now: Instant, counts_reported: bool) -> u32 {
         match self.reported {
-            Some((load, at)) if guarded && now.duration_since(at) < REPORT_AGE_MAX => {
+            Some((load, at)) if counts_reported && now.duration_since(at) < REPORT_AGE_MAX => {
                 load.max(self.permits)
             }
             _ => self.permits,
@@ -105,24 +105,26 @@
     }
 
     /// Notes a failure: nothing new for a time that doubles with each failure in a row.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn note_failure(&mut self, now: Instant) {
         if self.is_suspect(now) {
             return;
         }
-        let wait = SUSPECT_FIRST.saturating_mul(1 << self.failures.min(10)).min(SUSPECT_MAX);
+        let wait = SUSPECT_DURATION_FIRST
+            .saturating_mul(1 << self.failures.min(10))
+            .min(SUSPECT_DURATION_MAX);
         self.failures += 1;
         self.suspect_until = Some(now + wait);
     }
 
     /// Notes an answer to a probe: the engine is there again. What it failed before still counts
     /// if it fails again.
-    pub fn probed(&mut self, now: Instant, load: u32) {
-        self.report(now, load);
+    pub fn note_probe(&mut self, now: Instant, load: u32) {
+        self.note_load(now, load);
         self.suspect_until = None;
     }
 
     /// Notes a whole answer: the engine is well.
-    pub fn succeeded(&mut self) {
+    pub fn note_success(&mut self) {
         self.failures = 0;
         self.suspect_until = None;
     }
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -28,7 +28,7 @@
         load_view::LoadView,
         permit_table::{Permit, PermitTable},
         rendezvous::{ChatKey, score},
-        waiting::{Patient, Waiting, WaitingLine},
+        waiting::{AffinityWaiter, WaitQueues, WaitingRequest},
     },
 };
 
@@ -41,7 +41,7 @@
 pub const WARM_UP: Duration = Duration::from_millis(1500);
 
 /// Age at which another home's load no longer counts.
-const ELSEWHERE_AGE_MAX: Duration = Duration::from_secs(5);
+const OTHER_SHARD_AGE_MAX: Duration = Duration::from_secs(5);
 
 /// Time added to a permit's life over the request's own deadline.
 const PERMIT_MARGIN: Duration = Duration::from_secs(2);
@@ -52,31 +52,31 @@
 /// The home of one shard.
 #[derive(Debug)]
 pub struct Home {
-    terms: HomeSettings,
+    settings: HomeSettings,
     engines: IndexMap<Tag, EngineState>,
     permits: PermitTable,
-    waiting: WaitingLine,
+    waiting: WaitQueues,
     chats: ChatLocations,
     move_queue: ContextMoveQueue,
     teams: TeamLimits,
-    elsewhere: HashMap<Tag, (ShardLoad, Instant)>,
-    guarded_until: Option<Instant>,
+    other_shards: HashMap<Tag, (ShardLoad, Instant)>,
+    warm_up_until: Option<Instant>,
     is_home: bool,
 }
 
 impl Home {
     /// Returns a home that has just taken over its shard.
-    pub fn new(terms: HomeSettings, engines: Vec<EngineSpec>, now: Instant) -> Home {
+    pub fn new(settings: HomeSettings, engines: Vec<EngineSpec>, now: Instant) -> Home {
         Home {
-            terms,
+            settings,
             engines: engines.into_iter().map(|spec| (spec.tag, EngineState::new(spec))).collect(),
             permits: PermitTable::default(),
-            waiting: WaitingLine::default(),
-            chats: ChatLocations::new(terms.chats_max),
+            waiting: WaitQueues::default(),
+            chats: ChatLocations::new(settings.chats_max),
             move_queue: ContextMoveQueue::default(),
             teams: TeamLimits::default(),
-            elsewhere: HashMap::new(),
-            guarded_until: Some(now + WARM_UP),
+            other_shards: HashMap::new(),
+            warm_up_until: Some(now + WARM_UP),
             is_home: true,
         }
     }
@@ -85,17 +85,19 @@
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::PermitRequest(ask, terms) => self.ask(now, ask, terms, &mut actions),
+            Event::PermitRequest(request, policy) => {
+                self.request(now, request, policy, &mut actions)
+            }
             Event::Release(entry, release) => self.release(now, entry, release, &mut actions),
             Event::EntryDisconnected(entry) => self.permits.note_disconnect(now, entry),
-            Event::HeldCount(entry, held) => self.count(now, entry, held, &mut actions),
+            Event::HeldCount(entry, held) => self.check_held_count(now, entry, held, &mut actions),
             Event::Announce(entry, held, pending) => {
                 self.announce(now, entry, held, &pending, &mut actions)
             }
             Event::Engines(specs) => self.set_engines(now, specs, &mut actions),
-            Event::Settings(terms) => self.terms = terms,
-            Event::Probed(engine, load) => self.with_engine(engine, |e| e.probed(now, load)),
-            Event::ProbeFailed(engine) => self.with_engine(engine, |e| e.failed(now)),
+            Event::Settings(settings) => self.settings = settings,
+            Event::Probed(engine, load) => self.with_engine(engine, |e| e.note_probe(now, load)),
+            Event::ProbeFailed(engine) => self.with_engine(engine, |e| e.note_failure(now)),
             Event::ListedLeaving(engine, leaving) => {
                 self.with_engine(engine, |e| e.listed_leaving = leaving)
             }
@@ -103,11 +105,11 @@
                 self.with_engine(engine, |e| e.announced_leaving = leaving)
             }
             Event::OtherShardLoad(home, load) => {
-                self.elsewhere.insert(home, (load, now));
+                self.other_shards.insert(home, (load, now));
             }
-            Event::ContextsMoved(moves) => self.contexts_moved(moves),
-            Event::ContextsNotMoved(engine) => self.move_queue.give_up(engine),
-            Event::ReplicatedChats(chats) => self.chats.learn(chats, self.is_home),
+            Event::ContextsMoved(moves) => self.apply_context_moves(moves),
+            Event::ContextsNotMoved(engine) => self.move_queue.cancel(engine),
+            Event::ReplicatedChats(chats) => self.chats.merge(chats, self.is_home),
             Event::Role(is_home) => self.set_role(now, is_home),
             Event::Tick => self.tick(now, &mut actions),
         }
@@ -130,13 +132,21 @@
     }
 
     fn view(&self, now: Instant) -> LoadView {
-        let fresh =
-            self.elsewhere.values().filter(|(_, at)| now.duration_since(*at) < ELSEWHERE_AGE_MAX);
-        let elsewhere = fresh.fold(ShardLoad::default(), |sum, (load, _)| ShardLoad {
+        let fresh = self
+            .other_shards
+            .values()
+            .filter(|(_, at)| now.duration_since(*at) < OTHER_SHARD_AGE_MAX);
+        let other_shards = fresh.fold(ShardLoad::default(), |sum, (load, _)| ShardLoad {
             load: sum.load + load.load,
             engines: sum.engines + load.engines,
         });
-        LoadView::new(now, &self.engines, self.is_guarded(now), elsewhere, self.terms.load_bound)
+        LoadView::new(
+            now,
+            &self.engines,
+            self.counts_reported(now),
+            other_shards,
+            self.settings.load_bound,
+        )
     }
 
     /// Returns the engines and their loads.
@@ -169,88 +179,97 @@
         (self.chats.get(chat), self.choose(now, chat, None, &[]))
     }
 
-    fn is_guarded(&self, now: Instant) -> bool {
-        !self.is_home || self.guarded_until.is_some_and(|until| now < until)
+    fn counts_reported(&self, now: Instant) -> bool {
+        !self.is_home || self.warm_up_until.is_some_and(|until| now < until)
     }
 
-    fn ask(
+    fn request(
         &mut self,
         now: Instant,
-        ask: PermitRequest,
-        terms: TeamPolicy,
+        request: PermitRequest,
+        policy: TeamPolicy,
         actions: &mut Vec<Action>,
     ) {
-        self.permits.heard(now, ask.id.entry);
-        if let Some(permit) = self.permits.get(&ask.id) {
+        self.permits.note_contact(now, request.id.entry);
+        if let Some(permit) = self.permits.get(&request.id) {
             // The answer to the same ask was lost on its way.
-            actions.push(Action::Reply(ask.id, Reply::Granted(permit.engine)));
+            actions.push(Action::Reply(request.id, Reply::Granted(permit.engine)));
             return;
         }
-        if let Err((reason, wait)) = self.teams.admit(now, ask.team, &terms) {
-            actions.push(Action::Reply(ask.id, refused(reason, wait)));
+        if let Err((reason, wait)) = self.teams.admit(now, request.team, &policy) {
+            actions.push(Action::Reply(request.id, refused(reason, wait)));
             return;
         }
-        if let Some(engine) = self.worth_waiting_for(now, &ask, &terms) {
-            actions.push(Action::Reply(ask.id, Reply::Queued));
-            let (until, leaves) =
-                (now + ask.time_left, now + self.terms.affinity_wait.min(ask.time_left / 4));
-            let waiting = Waiting { ask, terms, until };
-            self.waiting.push_patient(Patient { waiting, engine, leaves });
+        if let Some(engine) = self.engine_to_wait_for(now, &request, &policy) {
+            actions.push(Action::Reply(request.id, Reply::Queued));
+            let (until, give_up_at) = (
+                now + request.time_left,
+                now + self.settings.affinity_wait.min(request.time_left / 4),
+            );
+            let waiting = WaitingRequest { request, policy, until };
+            self.waiting.add_affinity_waiter(AffinityWaiter { waiting, engine, give_up_at });
             return;
         }
-        let first_in_line = terms.reserved || self.waiting.queue().is_empty();
-        let engine =
-            if first_in_line { self.choose(now, ask.chat, ask.hint, &ask.avoid) } else { None };
+        let first_in_line = policy.reserved || self.waiting.queue().is_empty();
+        let engine = if first_in_line {
+            self.choose(now, request.chat, request.hint, &request.avoid)
+        } else {
+            None
+        };
         if let Some(engine) = engine {
-            self.grant(now, &ask, engine, actions);
-        } else if ask.may_spill {
-            actions.push(Action::Reply(ask.id, Reply::Spill));
+            self.grant(now, &request, engine, actions);
+        } else if request.may_spill {
+            actions.push(Action::Reply(request.id, Reply::Spill));
         } else {
-            self.enqueue(now, ask, terms, false, actions);
+            self.enqueue(now, request, policy, false, actions);
         }
     }
 
     /// Returns the engine with the chat's context when it is full just now and a place on it is
     /// likely within the service's patience.
-    fn worth_waiting_for(
+    fn engine_to_wait_for(
         &self,
         now: Instant,
-        ask: &PermitRequest,
-        terms: &TeamPolicy,
+        request: &PermitRequest,
+        policy: &TeamPolicy,
     ) -> Option<Tag> {
-        if self.terms.affinity_wait.is_zero() || terms.reserved || !self.waiting.queue().is_empty()
+        if self.settings.affinity_wait.is_zero()
+            || policy.reserved
+            || !self.waiting.queue().is_empty()
         {
             return None;
         }
-        let known = [self.chats.get(ask.chat), ask.hint].into_iter().flatten();
+        let known = [self.chats.get(request.chat), request.hint].into_iter().flatten();
         let engine = known.filter_map(|tag| self.engines.get(&tag)).next()?;
         let (tag, view) = (engine.spec.tag, self.view(now));
-        if !view.is_usable(engine) || ask.avoid.contains(&tag) || view.takes(engine) {
+        if !view.is_usable(engine) || request.avoid.contains(&tag) || view.accepts(engine) {
             return None;
         }
-        let ahead = self.waiting.patients_of(tag);
+        let ahead = self.waiting.affinity_waiters_for(tag);
         let wait = self.waiting.expected_wait(ahead + 1, view.load(engine));
-        (wait < self.terms.affinity_wait.as_secs_f64()).then_some(tag)
+        (wait < self.settings.affinity_wait.as_secs_f64()).then_some(tag)
     }
 
     /// Grants to patients whose engine has room; those whose patience is over go elsewhere.
-    fn serve_patients(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn serve_affinity_waiters(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let mut at = 0;
-        while let Some(Patient { engine, leaves, .. }) = self.waiting.patient(at) {
+        while let Some(AffinityWaiter { engine, give_up_at, .. }) = self.waiting.affinity_waiter(at)
+        {
             let slot = self.engines.get(engine);
             let view = self.view(now);
-            let stays = slot.is_some_and(|slot| view.is_usable(slot)) && now < *leaves;
-            let granted = slot.filter(|slot| view.takes(slot)).map(|slot| slot.spec.tag);
+            let stays = slot.is_some_and(|slot| view.is_usable(slot)) && now < *give_up_at;
+            let granted = slot.filter(|slot| view.accepts(slot)).map(|slot| slot.spec.tag);
             if granted.is_none() && stays {
                 at += 1;
                 continue;
             }
-            let Waiting { ask, terms, until } = self.waiting.take_patient(at);
-            let ask = PermitRequest { time_left: until.saturating_duration_since(now), ..ask };
-            let elsewhere = || self.choose(now, ask.chat, ask.hint, &ask.avoid);
-            match granted.or_else(elsewhere) {
-                Some(engine) => self.grant(now, &ask, engine, actions),
-                None => self.enqueue(now, ask, terms, true, actions),
+            let WaitingRequest { request, policy, until } = self.waiting.take_affinity_waiter(at);
+            let request =
+                PermitRequest { time_left: until.saturating_duration_since(now), ..request };
+            let other_engine = || self.choose(now, request.chat, request.hint, &request.avoid);
+            match granted.or_else(other_engine) {
+                Some(engine) => self.grant(now, &request, engine, actions),
+                None => self.enqueue(now, request, policy, true, actions),
             }
         }
     }
@@ -259,30 +278,39 @@
     /// the first under the bound in the chat's own rank; a new chat fills the least loaded.
     fn choose(&self, now: Instant, chat: ChatKey, hint: Option<Tag>, avoid: &[Tag]) -> Option<Tag> {
         let view = self.view(now);
-        let takes = |engine: &&EngineState| view.takes(engine) && !avoid.contains(&engine.spec.tag);
+        let accepts =
+            |engine: &&EngineState| view.accepts(engine) && !avoid.contains(&engine.spec.tag);
         let known = [self.chats.get(chat), hint];
         let mut known_engines = known.iter().flatten().filter_map(|tag| self.engines.get(tag));
-        if let Some(engine) = known_engines.find(takes) {
+        if let Some(engine) = known_engines.find(accepts) {
             return Some(engine.spec.tag);
         }
-        let free = self.engines.values().filter(takes);
+        let free = self.engines.values().filter(accepts);
         let ranked = |engine: &EngineState| score(chat.0, engine.spec.tag, engine.spec.weight);
         if known.iter().any(Option::is_some) {
             return free.max_by(|a, b| ranked(a).total_cmp(&ranked(b))).map(|e| e.spec.tag);
         }
         // A new chat has no context to go to: it fills up the least loaded engine.
         let order = |a: &&EngineState, b: &&EngineState| {
-            view.filled(a).total_cmp(&view.filled(b)).then_with(|| ranked(b).total_cmp(&ranked(a)))
+            view.fill_level(a)
+                .total_cmp(&view.fill_level(b))
+                .then_with(|| ranked(b).total_cmp(&ranked(a)))
         };
         free.min_by(order).map(|e| e.spec.tag)
     }
 
-    fn grant(&mut self, now: Instant, ask: &PermitRequest, engine: Tag, actions: &mut Vec<Action>) {
-        let expires = now + ask.time_left + PERMIT_MARGIN;
-        let permit = Permit { engine, team: ask.team, granted: now, expires };
-        self.add_permit(ask.id, permit);
-        self.chats.put(ask.chat, engine);
-        actions.push(Action::Reply(ask.id, Reply::Granted(engine)));
+    fn grant(
+        &mut self,
+        now: Instant,
+        request: &PermitRequest,
+        engine: Tag,
+        actions: &mut Vec<Action>,
+    ) {
+        let expires = now + request.time_left + PERMIT_MARGIN;
+        let permit = Permit { engine, team: request.team, granted: now, expires };
+        self.add_permit(request.id, permit);
+        self.chats.put(request.chat, engine);
+        actions.push(Action::Reply(request.id, Reply::Granted(engine)));
     }
 
     /// Returns what is remembered of chats.
@@ -307,97 +335,104 @@
         Some(permit)
     }
 
-    /// Puts an ask in line; `told` says that its entry knows already that it waits.
+    /// Puts an ask in line; `is_notified` says that its entry knows already that it waits.
     fn enqueue(
         &mut self,
         now: Instant,
-        ask: PermitRequest,
-        terms: TeamPolicy,
-        told: bool,
+        request: PermitRequest,
+        policy: TeamPolicy,
+        is_notified: bool,
         actions: &mut Vec<Action>,
     ) {
-        if self.engines.values().all(|e| e.is_leaving() || ask.avoid.contains(&e.spec.tag)) {
-            actions.push(Action::Reply(ask.id, refused(RefuseReason::NoEngine, RETRY_AFTER)));
+        if self.engines.values().all(|e| e.is_leaving() || request.avoid.contains(&e.spec.tag)) {
+            actions.push(Action::Reply(request.id, refused(RefuseReason::NoEngine, RETRY_AFTER)));
             return;
         }
-        let ahead = self.waiting.queue().ahead_of(ask.team, terms.weight, terms.reserved);
+        let ahead = self.waiting.queue().ahead_of(request.team, policy.weight, policy.reserved);
         let wait = self.expected_wait(ahead + 1);
-        if !terms.reserved && self.waiting.queue().len() >= self.terms.queue_max {
+        if !policy.reserved && self.waiting.queue().len() >= self.settings.queue_max {
             actions.push(Action::Reply(
-                ask.id,
+                request.id,
                 refused(RefuseReason::QueueFull, wait.max(RETRY_AFTER)),
             ));
             return;
         }
-        if wait >= ask.time_left {
+        if wait >= request.time_left {
             actions.push(Action::Reply(
-                ask.id,
+                request.id,
                 refused(RefuseReason::Deadline, wait.max(RETRY_AFTER)),
             ));
             return;
         }
-        if !told {
-            actions.push(Action::Reply(ask.id, Reply::Queued));
+        if !is_notified {
+            actions.push(Action::Reply(request.id, Reply::Queued));
         }
-        let until = now + ask.time_left;
-        self.waiting.push(Waiting { ask, terms, until });
+        let until = now + request.time_left;
+        self.waiting.push(WaitingRequest { request, policy, until });
     }
 
-    /// Returns how long the request at `place` in line is expected to wait, from the mean time
+    /// Returns how long the request at `position` in line is expected to wait, from the mean time
     /// that permits are held.
-    fn expected_wait(&self, place: usize) -> Duration {
+    fn expected_wait(&self, position: usize) -> Duration {
         let slots: u32 =
             self.engines.values().filter(|e| !e.is_leaving()).map(|e| e.spec.capacity).sum();
-        Duration::from_secs_f64(self.waiting.expected_wait(place, slots))
+        Duration::from_secs_f64(self.waiting.expected_wait(position, slots))
     }
 
     fn release(&mut self, now: Instant, entry: Tag, release: Release, actions: &mut Vec<Action>) {
-        self.permits.heard(now, entry);
+        self.permits.note_contact(now, entry);
         let id = PermitId { entry, number: release.number };
         match self.remove_permit(id) {
-            Some(permit) => self.note_end(now, &permit, &release),
+            Some(permit) => self.note_release(now, &permit, &release),
             None => self.waiting.remove(id),
         }
         self.serve_queue(now, actions);
     }
 
-    fn note_end(&mut self, now: Instant, permit: &Permit, release: &Release) {
+    fn note_release(&mut self, now: Instant, permit: &Permit, release: &Release) {
         if let Some(engine) = self.engines.get_mut(&permit.engine) {
             if let Some(load) = release.load {
-                engine.report(now, load);
+                engine.note_load(now, load);
             }
             match release.kind {
-                ReleaseKind::Done => engine.succeeded(),
+                ReleaseKind::Done => engine.note_success(),
                 ReleaseKind::Leaving => engine.announced_leaving = true,
-                ReleaseKind::Failed | ReleaseKind::Refused => engine.failed(now),
+                ReleaseKind::Failed | ReleaseKind::Refused => engine.note_failure(now),
                 ReleaseKind::Unused => {}
             }
         }
         if release.kind == ReleaseKind::Done {
-            self.waiting.note_hold(now.duration_since(permit.granted));
+            self.waiting.note_holding_time(now.duration_since(permit.granted));
         }
     }
 
     /// Grants to waiting requests while engines have room.
     fn serve_queue(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.serve_patients(now, actions);
+        self.serve_affinity_waiters(now, actions);
         while let Some(waiting) = self.waiting.pop() {
-            let Waiting { ask, until, .. } = &waiting;
+            let WaitingRequest { request, until, .. } = &waiting;
             if *until <= now {
-                actions.push(Action::Reply(ask.id, refused(RefuseReason::Deadline, RETRY_AFTER)));
+                actions
+                    .push(Action::Reply(request.id, refused(RefuseReason::Deadline, RETRY_AFTER)));
                 continue;
             }
-            let Some(engine) = self.choose(now, ask.chat, ask.hint, &ask.avoid) else {
+            let Some(engine) = self.choose(now, request.chat, request.hint, &request.avoid) else {
                 self.waiting.push_front(waiting);
                 return;
             };
-            let ask = PermitRequest { time_left: until.duration_since(now), ..ask.clone() };
-            self.grant(now, &ask, engine, actions);
+            let request = PermitRequest { time_left: until.duration_since(now), ..request.clone() };
+            self.grant(now, &request, engine, actions);
         }
     }
 
-    fn count(&mut self, now: Instant, entry: Tag, held: usize, actions: &mut Vec<Action>) {
-        self.permits.heard(now, entry);
+    fn check_held_count(
+        &mut self,
+        now: Instant,
+        entry: Tag,
+        held: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        self.permits.note_contact(now, entry);
         if self.permits.held_by(entry) != held {
             actions.push(Action::RequestAnnouncement(entry));
         }
@@ -411,7 +446,7 @@
         pending: &[u64],
         actions: &mut Vec<Action>,
     ) {
-        self.permits.heard(now, entry);
+        self.permits.note_contact(now, entry);
         let named = |id: &PermitId| {
             pending.contains(&id.number) || held.iter().any(|h| h.number == id.number)
         };
@@ -454,7 +489,7 @@
         self.engines.values_mut().filter_map(|e| e.probe_due(now).then_some(e.spec.tag)).collect()
     }
 
-    fn contexts_moved(&mut self, moves: Vec<(ChatKey, Tag, Tag)>) {
+    fn apply_context_moves(&mut self, moves: Vec<(ChatKey, Tag, Tag)>) {
         for (chat, from, to) in moves {
             if self.chats.get(chat) == Some(from) {
                 self.chats.put(chat, to);
@@ -471,36 +506,37 @@
             self.engines.values().filter(|e| e.is_leaving()).map(|e| e.spec.tag).collect();
         self.move_queue.retain(|engine| leaving.contains(&engine));
         for engine in leaving {
-            if !self.move_queue.knows(engine) {
+            if !self.move_queue.contains(engine) {
                 let all = self.chats.all();
                 let own = all.into_iter().rev().filter(|(_, on)| *on == engine);
-                self.move_queue.begin(engine, own.map(|(chat, _)| chat));
+                self.move_queue.start(engine, own.map(|(chat, _)| chat));
             }
         }
         let view = self.view(now);
         let usable = self.engines.values().filter(|e| view.is_usable(e));
         let targets: Vec<(Tag, f64)> = usable.map(|e| (e.spec.tag, e.spec.weight)).collect();
         let chats = &self.chats;
-        self.move_queue.next(most, &targets, |chat, engine| chats.get(chat) == Some(engine))
+        self.move_queue.next_moves(most, &targets, |chat, engine| chats.get(chat) == Some(engine))
     }
 
     fn set_role(&mut self, now: Instant, is_home: bool) {
         if is_home && !self.is_home {
-            self.guarded_until = Some(now + WARM_UP);
+            self.warm_up_until = Some(now + WARM_UP);
         }
         self.is_home = is_home;
     }
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        for id in self.permits.ended(now) {
+        for id in self.permits.expired(now) {
             self.remove_permit(id);
         }
-        self.permits.forget_silent(now);
-        self.teams.tick(now);
-        let late = self.waiting.take_late(now);
-        let refusal =
-            |w: &Waiting| Action::Reply(w.ask.id, refused(RefuseReason::Deadline, RETRY_AFTER));
-        actions.extend(late.iter().map(refusal));
+        self.permits.prune_entries(now);
+        self.teams.prune_rates(now);
+        let expired = self.waiting.take_expired(now);
+        let refusal = |w: &WaitingRequest| {
+            Action::Reply(w.request.id, refused(RefuseReason::Deadline, RETRY_AFTER))
+        };
+        actions.extend(expired.iter().map(refusal));
         self.serve_queue(now, actions);
     }
 }
--- a/src/zone/homes.rs
+++ b/src/zone/homes.rs
@@ -24,8 +24,8 @@
     live: impl Iterator<Item = &'c Candidate>,
 ) -> Option<&'c Candidate> {
     let key = u64::from(shard.service.0) << 16 | u64::from(shard.number);
-    let near = |c: &Candidate| zone.is_none_or(|zone| c.zone == *zone);
-    live.map(|c| (near(c), score(key, c.tag, 1.0), c))
+    let in_zone = |c: &Candidate| zone.is_none_or(|zone| c.zone == *zone);
+    live.map(|c| (in_zone(c), score(key, c.tag, 1.0), c))
         .max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.id.cmp(&b.2.id)))
         .map(|(_, _, c)| c)
 }
--- a/src/zone/load_view.rs
+++ b/src/zone/load_view.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LoadView {
     now: Instant,
-    guarded: bool,
+    counts_reported: bool,
     /// Every engine is suspected: they are tried rather than all work refused.
     all_suspect: bool,
     /// Most load of one engine, one more request counted in the mean.
@@ -21,27 +21,28 @@
 }
 
 impl LoadView {
-    /// Looks at `engines`; `elsewhere` is the load of the service's other shards.
+    /// Looks at `engines`; `other_shards` is the load of the service's other shards.
     ///
-    /// While `guarded`, reported loads count where they are larger than the permits known.
+    /// While `counts_reported`, reported loads count where they are larger than the permits known.
     pub fn new(
         now: Instant,
         engines: &IndexMap<Tag, EngineState>,
-        guarded: bool,
-        elsewhere: ShardLoad,
+        counts_reported: bool,
+        other_shards: ShardLoad,
         load_bound: f64,
     ) -> LoadView {
         let all_suspect = engines.values().all(|e| e.is_leaving() || e.is_suspect(now));
-        let mut view = LoadView { now, guarded, all_suspect, bound: 0 };
+        let mut view = LoadView { now, counts_reported, all_suspect, bound: 0 };
         let usable = engines.values().filter(|e| view.is_usable(e));
         let (load, count) = usable.fold((0, 0), |(load, n), e| (load + view.load(e), n + 1));
-        view.bound = bound_of(load_bound, load + elsewhere.load + 1, count + elsewhere.engines);
+        view.bound =
+            bound_of(load_bound, load + other_shards.load + 1, count + other_shards.engines);
         view
     }
 
     /// Returns the engine's load.
     pub fn load(&self, engine: &EngineState) -> u32 {
-        engine.load(self.now, self.guarded)
+        engine.load(self.now, self.counts_reported)
     }
 
     /// Returns whether the engine may get work at all.
@@ -50,13 +51,13 @@
     }
 
     /// Returns whether the engine may be granted one more request.
-    pub fn takes(&self, engine: &EngineState) -> bool {
+    pub fn accepts(&self, engine: &EngineState) -> bool {
         let load = self.load(engine);
         self.is_usable(engine) && load < engine.spec.capacity && load < self.bound
     }
 
     /// Returns how full one more request would make the engine, relative to its weight.
-    pub fn filled(&self, engine: &EngineState) -> f64 {
+    pub fn fill_level(&self, engine: &EngineState) -> f64 {
         f64::from(self.load(engine) + 1) / engine.spec.weight.max(f64::MIN_POSITIVE)
     }
 }
--- a/src/zone/permit_table.rs
+++ b/src/zone/permit_table.rs
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    heard: Instant,
+    last_contact: Instant,
     held: usize,
 }
 
@@ -41,8 +41,9 @@
 
 impl PermitTable {
     /// Notes a sign of life of an entry.
-    pub fn heard(&mut self, now: Instant, entry: Tag) {
-        self.entries.entry(entry).or_insert(Entry { heard: now, held: 0 }).heard = now;
+    pub fn note_contact(&mut self, now: Instant, entry: Tag) {
+        self.entries.entry(entry).or_insert(Entry { last_contact: now, held: 0 }).last_contact =
+            now;
     }
 
     /// Notes that an entry's stream has ended. An entry that is alive opens its stream anew and is
@@ -50,7 +51,8 @@
     pub fn note_disconnect(&mut self, now: Instant, entry: Tag) {
         if let Some(entry) = self.entries.get_mut(&entry) {
             let earlier = now.checked_sub(ENTRY_TIMEOUT - DISCONNECTED_ENTRY_TIMEOUT);
-            entry.heard = earlier.map_or(entry.heard, |earlier| earlier.min(entry.heard));
+            entry.last_contact =
+                earlier.map_or(entry.last_contact, |earlier| earlier.min(entry.last_contact));
         }
     }
 
@@ -103,18 +105,20 @@
     }
 
     /// Returns the permits that have expired or whose entry is silent.
-    pub fn ended(&self, now: Instant) -> Vec<PermitId> {
-        let silent = |id: &PermitId| self.entries.get(&id.entry).is_none_or(|e| is_silent(e, now));
-        let ended = self.permits.iter().filter(|(id, permit)| permit.expires <= now || silent(id));
-        ended.map(|(id, _)| *id).collect()
+    pub fn expired(&self, now: Instant) -> Vec<PermitId> {
+        let unresponsive =
+            |id: &PermitId| self.entries.get(&id.entry).is_none_or(|e| is_unresponsive(e, now));
+        let expired =
+            self.permits.iter().filter(|(id, permit)| permit.expires <= now || unresponsive(id));
+        expired.map(|(id, _)| *id).collect()
     }
 
     /// Forgets entries that are silent; their permits have been taken away.
-    pub fn forget_silent(&mut self, now: Instant) {
-        self.entries.retain(|_, entry| entry.held > 0 || !is_silent(entry, now));
+    pub fn prune_entries(&mut self, now: Instant) {
+        self.entries.retain(|_, entry| entry.held > 0 || !is_unresponsive(entry, now));
     }
 }
 
-fn is_silent(entry: &Entry, now: Instant) -> bool {
-    now.saturating_duration_since(entry.heard) >= ENTRY_TIMEOUT
+fn is_unresponsive(entry: &Entry, now: Instant) -> bool {
+    now.saturating_duration_since(entry.last_contact) >= ENTRY_TIMEOUT
 }
--- a/src/zone/recent_chats.rs
+++ b/src/zone/recent_chats.rs
@@ -11,15 +11,15 @@
 /// full the old one is dropped. The chats kept are at least the most recent half.
 #[derive(Debug)]
 pub struct RecentChats {
-    half: usize,
+    generation_max: usize,
     young: HashMap<ChatKey, Tag>,
     old: HashMap<ChatKey, Tag>,
 }
 
 impl RecentChats {
-    /// Returns a memory of at most `most` chats.
-    pub fn new(most: usize) -> RecentChats {
-        RecentChats { half: (most / 2).max(1), young: HashMap::new(), old: HashMap::new() }
+    /// Returns a memory of at most `max` chats.
+    pub fn new(max: usize) -> RecentChats {
+        RecentChats { generation_max: (max / 2).max(1), young: HashMap::new(), old: HashMap::new() }
     }
 
     /// Returns the engine that `chat` was last on.
@@ -29,12 +29,12 @@
 
     /// Remembers that `chat` went to `engine`; returns whether that is news.
     pub fn put(&mut self, chat: ChatKey, engine: Tag) -> bool {
-        let news = self.get(chat) != Some(engine);
+        let changed = self.get(chat) != Some(engine);
         self.young.insert(chat, engine);
-        if self.young.len() >= self.half {
+        if self.young.len() >= self.generation_max {
             self.old = std::mem::take(&mut self.young);
         }
-        news
+        changed
     }
 
     /// Returns every chat remembered, those not seen for long first.
--- a/src/zone/waiting.rs
+++ b/src/zone/waiting.rs
@@ -12,43 +12,43 @@
 
 /// Weight of the newest sample in the mean holding time: twenty requests or so, so that it follows
 /// a change of load within a second and one long request hardly moves it.
-const HOLD_SMOOTHING: f64 = 0.05;
+const HOLDING_TIME_SMOOTHING: f64 = 0.05;
 
 /// A request that waits.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// What it asked for.
-    pub ask: PermitRequest,
+    pub request: PermitRequest,
     /// Terms of its team.
-    pub terms: TeamPolicy,
+    pub policy: TeamPolicy,
     /// When its time is over.
     pub until: Instant,
 }
 
 /// A returning chat that waits for the engine with its context.
 #[derive(Debug, Clone)]
-pub struct Patient {
+pub struct AffinityWaiter {
     /// The request.
-    pub waiting: Waiting,
+    pub waiting: WaitingRequest,
     /// The engine.
     pub engine: Tag,
     /// When it goes elsewhere.
-    pub leaves: Instant,
+    pub give_up_at: Instant,
 }
 
 /// All requests that wait at one home.
 #[derive(Debug, Default)]
-pub struct WaitingLine {
-    queue: FairQueue<Waiting>,
-    patients: Vec<Patient>,
+pub struct WaitQueues {
+    queue: FairQueue<WaitingRequest>,
+    affinity_waiters: Vec<AffinityWaiter>,
     /// Mean time for which permits are held, in seconds; zero before the first.
-    mean_hold: f64,
+    mean_holding_time: f64,
 }
 
-impl WaitingLine {
+impl WaitQueues {
     /// Returns the number of requests that wait.
     pub fn len(&self) -> usize {
-        self.queue.len() + self.patients.len()
+        self.queue.len() + self.affinity_waiters.len()
     }
 
     /// Returns whether nothing waits.
@@ -57,76 +57,79 @@
     }
 
     /// Returns the fair queue.
-    pub fn queue(&self) -> &FairQueue<Waiting> {
+    pub fn queue(&self) -> &FairQueue<WaitingRequest> {
         &self.queue
     }
 
     /// Puts a request into the fair queue.
-    pub fn push(&mut self, waiting: Waiting) {
-        let (team, weight, reserved) = line_of(&waiting);
+    pub fn push(&mut self, waiting: WaitingRequest) {
+        let (team, weight, reserved) = queue_key(&waiting);
         self.queue.push(team, weight, reserved, waiting);
     }
 
     /// Takes the next request out of the fair queue.
-    pub fn pop(&mut self) -> Option<Waiting> {
+    pub fn pop(&mut self) -> Option<WaitingRequest> {
         self.queue.pop()
     }
 
     /// Puts a request that was popped back to the front of its line.
-    pub fn push_front(&mut self, waiting: Waiting) {
-        let (team, weight, reserved) = line_of(&waiting);
+    pub fn push_front(&mut self, waiting: WaitingRequest) {
+        let (team, weight, reserved) = queue_key(&waiting);
         self.queue.push_front(team, weight, reserved, waiting);
     }
 
     /// Lets a returning chat wait for its engine.
-    pub fn push_patient(&mut self, patient: Patient) {
-        self.patients.push(patient);
+    pub fn add_affinity_waiter(&mut self, affinity_waiter: AffinityWaiter) {
+        self.affinity_waiters.push(affinity_waiter);
     }
 
-    /// Returns the chat at `place` among those that wait for their engines.
-    pub fn patient(&self, place: usize) -> Option<&Patient> {
-        self.patients.get(place)
+    /// Returns the chat at `position` among those that wait for their engines.
+    pub fn affinity_waiter(&self, position: usize) -> Option<&AffinityWaiter> {
+        self.affinity_waiters.get(position)
     }
 
-    /// Takes out the chat at `place`.
+    /// Takes out the chat at `position`.
     ///
     /// # Panics
     ///
-    /// No chat waits at `place`.
-    pub fn take_patient(&mut self, place: usize) -> Waiting {
-        self.patients.remove(place).waiting
+    /// No chat waits at `position`.
+    pub fn take_affinity_waiter(&mut self, position: usize) -> WaitingRequest {
+        self.affinity_waiters.remove(position).waiting
     }
 
     /// Returns how many chats wait for `engine`.
-    pub fn patients_of(&self, engine: Tag) -> usize {
-        self.patients.iter().filter(|patient| patient.engine == engine).count()
+    pub fn affinity_waiters_for(&self, engine: Tag) -> usize {
+        self.affinity_waiters
+            .iter()
+            .filter(|affinity_waiter| affinity_waiter.engine == engine)
+            .count()
     }
 
     /// Forgets the request `id`.
     pub fn remove(&mut self, id: PermitId) {
-        self.queue.extract(|waiting| waiting.ask.id == id);
-        self.patients.retain(|patient| patient.waiting.ask.id != id);
+        self.queue.extract(|waiting| waiting.request.id == id);
+        self.affinity_waiters.retain(|affinity_waiter| affinity_waiter.waiting.request.id != id);
     }
 
     /// Takes the queued requests out whose time is over.
-    pub fn take_late(&mut self, now: Instant) -> Vec<Waiting> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<WaitingRequest> {
         self.queue.extract(|waiting| waiting.until <= now)
     }
 
     /// Notes for how long a permit was held.
-    pub fn note_hold(&mut self, held: Duration) {
+    pub fn note_holding_time(&mut self, held: Duration) {
         let held = held.as_secs_f64();
-        let old = if self.mean_hold == 0.0 { held } else { self.mean_hold };
-        self.mean_hold = old + HOLD_SMOOTHING * (held - old);
+        let old = if self.mean_holding_time == 0.0 { held } else { self.mean_holding_time };
+        self.mean_holding_time = old + HOLDING_TIME_SMOOTHING * (held - old);
     }
 
-    /// Returns how long the request at `place` in line is expected to wait where `slots` requests
+    /// Returns how long the request at `position` in line is expected to wait where `slots` requests
     /// run at once, in seconds.
-    pub fn expected_wait(&self, place: usize, slots: u32) -> f64 {
-        self.mean_hold * place as f64 / f64::from(slots.max(1))
+    pub fn expected_wait(&self, position: usize, slots: u32) -> f64 {
+        self.mean_holding_time * position as f64 / f64::from(slots.max(1))
     }
 }
 
-fn line_of(waiting: &Waiting) -> (Tag, u32, bool) {
-    (waiting.ask.team, waiting.terms.weight, waiting.terms.reserved)
+fn queue_key(waiting: &WaitingRequest) -> (Tag, u32, bool) {
+    (waiting.request.team, waiting.policy.weight, waiting.policy.reserved)
 }
--- a/tests/suite/home_random.rs
+++ b/tests/suite/home_random.rs
@@ -15,7 +15,7 @@
     test_runner::{Config, RngSeed, TestRunner},
 };
 
-use crate::home::{ENTRY, ask, home, terms};
+use crate::home::{ENTRY, home, request, settings};
 
 /// One drawn event.
 #[derive(Debug, Clone)]
@@ -88,7 +88,7 @@
     };
     let done = TestRunner::new(config).run(&draws(), |draws| {
         let (mut home, mut now) =
-            home(6, 6, HomeSettings { affinity_wait: Duration::from_millis(250), ..terms() });
+            home(6, 6, HomeSettings { affinity_wait: Duration::from_millis(250), ..settings() });
         let mut account =
             Account { held: HashMap::new(), waiting: HashSet::new(), leaving: HashSet::new() };
         let mut number = 0;
@@ -105,7 +105,7 @@
                     number += 1;
                     let hint = (hint > 0).then_some(Tag(hint));
                     Event::PermitRequest(
-                        PermitRequest { team: Tag(team), hint, ..ask(number, chat) },
+                        PermitRequest { team: Tag(team), hint, ..request(number, chat) },
                         TeamPolicy::default(),
                     )
                 }
--- a/tests/suite/state_machines.rs
+++ b/tests/suite/state_machines.rs
@@ -429,9 +429,9 @@
     let all = memory.take_unreplicated(10);
     assert_eq!(all.len(), 2);
     let mut replica = ChatLocations::new(1000);
-    replica.learn(all, false);
+    replica.merge(all, false);
     assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)));
-    replica.learn(vec![(ChatKey(1), Tag(3))], true);
+    replica.merge(vec![(ChatKey(1), Tag(3))], true);
     assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)), "what was seen here stays");
 }
 
