--- a/src/contract/claim.rs
+++ b/src/contract/claim.rs
@@ -1,7 +1,7 @@
-//! Claims: a request with an idempotency key runs at most once.
+//! Idempotency claims: a request with an idempotency key runs at most once.
 //!
-//! A claim row is created before the request is sent on. Whoever finds a row that is not its own
-//! never runs the request.
+//! An instance creates the row of the claim before it forwards the request. An attempt that finds another attempt's
+//! row, not yet expired, never runs the request.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,10 +11,10 @@
     names::{ServiceId, TeamId},
 };
 
-/// What a stored answer repeats.
+/// A backend server's response, stored so that it can be replayed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
     /// End-to-end headers.
     pub headers: Vec<(String, String)>,
@@ -23,31 +23,31 @@
     pub body: Vec<u8>,
 }
 
-/// How far a claimed request has come.
+/// Progress of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// It may be running, or may have run without its answer being known.
+    /// It may be running, or may have run without its response being known.
     Running,
-    /// It ran; the answer is kept.
+    /// It ran; the response is stored.
     Done(StoredResponse),
-    /// It ran; the answer was too large to keep.
+    /// It ran; the response was too large to store.
     DoneTooLarge,
-    /// It may have run; its answer is not known and it is never run again.
+    /// It may have run; its response is not known and it is never run again.
     Unknown,
 }
 
-/// A claim's row.
+/// The row of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Attempt that made the claim.
+    /// Id of the attempt that made the claim.
     pub attempt: String,
     /// Digest of method, target and body.
     pub request: Digest,
-    /// State.
+    /// Progress of the request.
     pub state: ClaimState,
-    /// When the request's deadline ends, in milliseconds since 1970.
+    /// Deadline of the request, in milliseconds since 1970.
     pub deadline_at: u64,
-    /// When the claim ends, in milliseconds since 1970.
+    /// When the claim expires, in milliseconds since 1970.
     pub expires_at: u64,
 }
 
@@ -57,23 +57,23 @@
     format!("claim/{digest}")
 }
 
-/// What a request with a key may do.
+/// What an attempt may do that found a claim's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Run: the claim is this attempt's own.
+    /// Run the request: the claim is this attempt's own.
     Run,
-    /// Give the stored answer again.
+    /// Return the stored response.
     Replay(StoredResponse),
-    /// Take the expired row away (of this version) and claim anew.
+    /// Delete the expired row, at the version that was read, and claim again.
     Renew,
-    /// Refuse.
+    /// Reject the request with this response.
     Refuse(Refusal),
 }
 
-/// Decides what `own` may do, given the row that was found in its place.
+/// Decides what the attempt with the claim `own` may do, given the row `found` in its place.
 pub fn decide(own: &Claim, found: &Claim, now_millis: u64) -> ClaimVerdict {
     if found.attempt == own.attempt {
-        // The reply to the own write was lost, and the write took effect.
+        // The write of the own claim took effect, but its reply was lost.
         return ClaimVerdict::Run;
     }
     if found.expires_at <= now_millis {
@@ -87,7 +87,7 @@
         ));
     }
     match &found.state {
-        ClaimState::Done(answer) => ClaimVerdict::Replay(answer.clone()),
+        ClaimState::Done(response) => ClaimVerdict::Replay(response.clone()),
         ClaimState::DoneTooLarge => ClaimVerdict::Refuse(Refusal {
             outcome: super::outcome::Outcome::Run,
             ..Refusal::not_run(
--- a/src/contract/fair_queue.rs
+++ b/src/contract/fair_queue.rs
@@ -1,4 +1,4 @@
-//! A queue that is fair among teams: reserved work first, then deficit round robin by weight.
+//! A queue that is fair among teams: items of the reserved class first, then deficit round robin by weight.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use crate::names::Tag;
 
-/// What one request takes from its team's deficit.
+/// What one item takes from its team's deficit counter.
 const COST: u32 = 1;
 
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     items: VecDeque<T>,
 }
 
-/// Waiting items in lines by team.
+/// Waiting items, in one queue for the reserved class and one for each team.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     reserved: VecDeque<T>,
@@ -37,18 +37,18 @@
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns how many items would leave before a new item of `team` does.
+    /// Returns how many items would be popped before a new item of `team`.
     pub fn ahead_of(&self, team: Tag, weight: u32, reserved: bool) -> usize {
         if reserved {
             return self.reserved.len();
         }
         let own = self.teams.get(&team).map_or(0, |queue| queue.items.len());
-        // Until the own line is through, each other team gets its weight's part of the turns.
+        // While the team's own queue is served, each other team is served up to its weight in each round.
         let rounds = (own as u32 / weight.max(1)) as usize + 1;
         let others: usize = self
             .teams
@@ -59,7 +59,7 @@
         self.reserved.len() + own + others
     }
 
-    /// Adds an item to the end of its line.
+    /// Adds an item to the end of its queue.
     pub fn push(&mut self, team: Tag, weight: u32, reserved: bool, item: T) {
         self.len += 1;
         if reserved {
@@ -75,7 +75,7 @@
         queue.items.push_back(item);
     }
 
-    /// Takes the item whose turn it is.
+    /// Removes and returns the next item.
     pub fn pop(&mut self) -> Option<T> {
         if let Some(item) = self.reserved.pop_front() {
             self.len -= 1;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Puts an item back to the front of its line, with the turn it had.
+    /// Returns a popped item to the front of its queue, and its cost to the team's deficit counter.
     pub fn push_front(&mut self, team: Tag, weight: u32, reserved: bool, item: T) {
         self.len += 1;
         if reserved {
@@ -118,15 +118,15 @@
             return;
         }
         let items = VecDeque::from([item]);
-        let at = self.next_team.min(self.teams.len());
-        self.teams.shift_insert(at, team, TeamQueue { weight, deficit: COST, items });
+        let index = self.next_team.min(self.teams.len());
+        self.teams.shift_insert(index, team, TeamQueue { weight, deficit: COST, items });
     }
 
-    /// Takes out every item that `matches` picks, in any line.
+    /// Removes and returns every item, in any queue, for which `matches` is true.
     pub fn extract(&mut self, mut matches: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut out = Vec::new();
-        let lines = self.teams.values_mut().map(|queue| &mut queue.items);
-        for items in std::iter::once(&mut self.reserved).chain(lines) {
+        let queues = self.teams.values_mut().map(|queue| &mut queue.items);
+        for items in std::iter::once(&mut self.reserved).chain(queues) {
             let (extracted, kept) =
                 std::mem::take(items).into_iter().partition(|item| matches(item));
             *items = kept;
--- a/src/contract/lease.rs
+++ b/src/contract/lease.rs
@@ -1,4 +1,4 @@
-//! A lease on a row of the table, with a fencing number that grows with each holder.
+//! A lease on a row of the table, with a fencing number that increases with each holder.
 
 use std::time::{Duration, Instant};
 
@@ -6,55 +6,57 @@
 
 use crate::names::InstanceId;
 
-/// Life of a lease.
+/// Time for which the row must stay unchanged before another instance takes the lease over.
 pub const LEASE_TTL: Duration = Duration::from_secs(15);
 
-/// Time before the end of the lease, by the holder's own clock, from which it orders nothing.
+/// Time before the lease expires, by the holder's own clock, from which the holder gives no more orders.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Prefix of the keys of the rows of the leases to order engines, one for each shard.
+/// Prefix of the keys of the rows whose leases permit orders to engines, one for each shard.
 pub const ORDERS_PREFIX: &str = "lease/orders/";
 
-/// The lease's row.
+/// The row of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Holder.
+    /// Id of the holder.
     pub holder: InstanceId,
-    /// Start of the holder's process.
+    /// Start time of the holder's process.
     pub incarnation: u64,
-    /// Fencing number.
+    /// Fencing number; increases with each holder.
     pub fencing: u64,
-    /// Counts renewals.
+    /// Number of renewals by this holder.
     pub renewal: u64,
 }
 
-/// What a try for the lease is to write.
+/// What an instance does next to acquire or renew the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Write this row over the version given; `None`: the row must be absent.
+    /// Write this row over the version given, or create it if that is `None`.
     Write(LeaseRow, Option<u64>),
-    /// Another holds it; look again later.
+    /// Another instance holds the lease; read the row again later.
     Wait,
 }
 
-/// One instance's view of the lease. Expiry is judged by how long the row stood still on this
-/// instance's own monotonic clock, never by comparing wall clocks.
+/// One instance's view of the lease.
+///
+/// The lease has expired when its row has stayed unchanged for [`LEASE_TTL`] on this instance's own monotonic clock.
+/// Wall clocks of different instances are never compared.
 #[derive(Debug)]
 pub struct Lease {
     own: InstanceId,
     incarnation: u64,
-    seen: Option<(LeaseRow, Instant)>,
+    last_read: Option<(LeaseRow, Instant)>,
     held: Option<(u64, Instant)>,
 }
 
 impl Lease {
-    /// Returns the view of an instance that holds nothing.
+    /// Returns the view of an instance that does not hold the lease.
     pub fn new(own: InstanceId, incarnation: u64) -> Lease {
-        Lease { own, incarnation, seen: None, held: None }
+        Lease { own, incarnation, last_read: None, held: None }
     }
 
-    /// Decides the next step from the row as just read; `asked` is when the read was begun.
-    pub fn step(&mut self, asked: Instant, row: Option<(LeaseRow, u64)>) -> LeaseStep {
+    /// Decides the next step from the row that was read; `read_at` is when the read began.
+    pub fn step(&mut self, read_at: Instant, row: Option<(LeaseRow, u64)>) -> LeaseStep {
         let Some((row, version)) = row else {
             return LeaseStep::Write(self.row(1, 1), None);
         };
@@ -62,22 +64,22 @@
             return LeaseStep::Write(self.row(row.fencing, row.renewal + 1), Some(version));
         }
         self.held = None;
-        let stood_still = match &self.seen {
-            Some((seen, since)) if *seen == row => asked.duration_since(*since),
+        let unchanged_for = match &self.last_read {
+            Some((last_read, since)) if *last_read == row => read_at.duration_since(*since),
             _ => {
-                self.seen = Some((row, asked));
+                self.last_read = Some((row, read_at));
                 return LeaseStep::Wait;
             }
         };
-        if stood_still < LEASE_TTL {
+        if unchanged_for < LEASE_TTL {
             return LeaseStep::Wait;
         }
         LeaseStep::Write(self.row(row.fencing + 1, 1), Some(version))
     }
 
-    /// Notes that the write begun at `began` took effect.
-    pub fn note_written(&mut self, began: Instant, row: &LeaseRow) {
-        self.held = Some((row.fencing, began));
+    /// Notes that the write that began at `write_began` took effect.
+    pub fn note_written(&mut self, write_began: Instant, row: &LeaseRow) {
+        self.held = Some((row.fencing, write_began));
     }
 
     /// Notes that the write did not take effect, or that its reply was lost.
@@ -85,10 +87,10 @@
         self.held = None;
     }
 
-    /// Returns the fencing number while orders may be given at `now`.
+    /// Returns the fencing number if orders may be given at `now`.
     pub fn fencing(&self, now: Instant) -> Option<u64> {
-        let (fencing, began) = self.held?;
-        (now.saturating_duration_since(began) < LEASE_TTL - LEASE_MARGIN).then_some(fencing)
+        let (fencing, write_began) = self.held?;
+        (now.saturating_duration_since(write_began) < LEASE_TTL - LEASE_MARGIN).then_some(fencing)
     }
 
     fn is_own(&self, row: &LeaseRow) -> bool {
--- a/src/contract/membership.rs
+++ b/src/contract/membership.rs
@@ -1,6 +1,7 @@
-//! Which instances are live: the platform's lagging list, what peers say, and own evidence.
+//! Which instances are live, from the platform's membership list, which lags, from reports of peers and from own
+//! evidence.
 //!
-//! Suspicion moves homes for a bounded time; it never removes an instance for others.
+//! A suspicion moves homes for a bounded time. It never removes an instance from the views of other instances.
 
 use std::{
     net::SocketAddr,
@@ -15,44 +16,44 @@
     zone::homes::Candidate,
 };
 
-/// First pause before a peer that did not answer is tried again; doubles with each failure.
+/// Pause after a peer's first failure before it is contacted again; doubles with each further failure.
 const RETRY_FIRST: Duration = Duration::from_secs(1);
 
-/// Longest such pause.
+/// Longest pause before a peer that failed is contacted again.
 const RETRY_MAX: Duration = Duration::from_secs(60);
 
-/// Time after which earlier failures no longer count against a peer.
+/// Age of a peer's last failure at which its count of failures starts again.
 const FAILURE_MAX_AGE: Duration = Duration::from_secs(120);
 
-/// Time for which another instance's suspicion is believed.
+/// Time for which a peer stays suspect after another instance reported it.
 const REPORTED_SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
-/// Own contact this recent outweighs a rumour.
+/// Age up to which own contact with a peer outweighs another instance's suspicion.
 const RECENT_CONTACT_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Time for which an introduction is passed on.
+/// Time for which an introduction is propagated to other instances.
 const INTRODUCTION_MAX_AGE: Duration = Duration::from_secs(8);
 
-/// Another instance.
+/// Another instance, as this one sees it.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Id, tag and zone.
+    /// Id, tag and availability zone.
     pub candidate: Candidate,
-    /// Where it is reached.
+    /// Address for messages of other instances.
     pub address: SocketAddr,
-    /// State on the platform's list.
+    /// State in the platform's list.
     pub listed_state: MemberState,
-    /// Start of its running process, as it told; grows with each restart.
+    /// Start time of its process, as it reported; increases with each restart.
     pub incarnation: u64,
-    /// Whether it told that it is leaving.
+    /// Whether it announced that it is leaving.
     pub announced_leaving: bool,
-    /// It did not answer and has not been heard since.
+    /// Whether it failed and there was no contact since.
     down: bool,
-    /// When it may be tried again.
+    /// When it may be contacted again.
     retry_at: Option<Instant>,
-    /// It flaps: it is passed over until then even if it is heard.
+    /// Time until which it stays suspect in spite of contact, because it failed repeatedly.
     backoff_until: Option<Instant>,
-    /// Another instance suspects it.
+    /// Time until which it is suspect because another instance reported it.
     reported_suspect_until: Option<Instant>,
     failures: u32,
     last_failure: Option<Instant>,
@@ -77,10 +78,10 @@
         }
     }
 
-    /// Returns whether it is passed over for now.
+    /// Returns whether it is suspected of being down.
     pub fn is_suspect(&self, now: Instant) -> bool {
-        let holds = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        self.down || holds(self.backoff_until) || holds(self.reported_suspect_until)
+        let pending = |until: Option<Instant>| until.is_some_and(|until| now < until);
+        self.down || pending(self.backoff_until) || pending(self.reported_suspect_until)
     }
 
     /// Returns whether a heartbeat may be sent to it.
@@ -88,18 +89,18 @@
         !self.down || self.retry_at.is_none_or(|at| now >= at)
     }
 
-    /// Returns whether it may be a home.
+    /// Returns whether it may be the home of shards.
     pub fn may_be_home(&self, now: Instant) -> bool {
         self.listed_state == MemberState::Live && !self.announced_leaving && !self.is_suspect(now)
     }
 
-    /// Returns when it was last heard.
+    /// Returns the time of the last contact with it.
     pub fn last_contact(&self) -> Option<Instant> {
         self.last_contact
     }
 }
 
-/// What one instance knows of the others.
+/// One instance's view of the others.
 #[derive(Debug)]
 pub struct Membership {
     own: Candidate,
@@ -108,12 +109,12 @@
     leaving_servers: IndexMap<String, MemberState>,
     recent_introductions: Vec<(Instant, Member)>,
     version: u64,
-    /// Counts changes of who may be a home.
+    /// Number of changes of the set of possible homes.
     changes: u64,
 }
 
 impl Membership {
-    /// Returns the view of an instance that knows only itself.
+    /// Returns the view of an instance that has no peers yet.
     pub fn new(own: Candidate) -> Membership {
         Membership {
             own,
@@ -126,18 +127,18 @@
         }
     }
 
-    /// Returns a number that grows with every change of who may be a home, but for suspicions that
-    /// end by time.
+    /// Returns a number that increases with every change of the set of possible homes, except when a suspicion
+    /// expires.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns the version of the list taken in last.
+    /// Returns the version of the platform's list that was applied last.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in changes of the platform's list.
+    /// Applies changes of the platform's list.
     pub fn apply_list(&mut self, version: u64, changed: Vec<Member>) {
         self.version = version;
         self.changes += 1;
@@ -170,27 +171,27 @@
         peer.listed_state = member.state;
     }
 
-    /// Takes in an instance that introduced itself, sooner than the list shows it.
+    /// Adds an instance that introduced itself before the platform's list has it.
     pub fn introduce(&mut self, now: Instant, member: Member) {
         if member.id == self.own.id.as_str() {
             return;
         }
         let known = member.id.parse::<InstanceId>().ok().and_then(|id| self.peers.get(&id.tag()));
-        let news = known.is_none_or(|peer| peer.address != member.address);
-        if news && member.kind == MemberKind::Instance && member.state == MemberState::Live {
+        let is_new = known.is_none_or(|peer| peer.address != member.address);
+        if is_new && member.kind == MemberKind::Instance && member.state == MemberState::Live {
             self.recent_introductions.push((now, member.clone()));
             self.changes += 1;
             self.apply_instance(member);
         }
     }
 
-    /// Returns the introductions to be passed on.
+    /// Returns the introductions to propagate to other instances.
     pub fn recent_introductions(&mut self, now: Instant) -> Vec<Member> {
         self.recent_introductions.retain(|(at, _)| now.duration_since(*at) < INTRODUCTION_MAX_AGE);
         self.recent_introductions.iter().map(|(_, member)| member.clone()).collect()
     }
 
-    /// Returns the other instances as entries of a list.
+    /// Returns the other instances as members of a list.
     pub fn members(&self) -> Vec<Member> {
         let member = |peer: &Peer| Member {
             id: peer.candidate.id.to_string(),
@@ -202,7 +203,7 @@
         self.peers.values().map(member).collect()
     }
 
-    /// Notes an exchange with a peer.
+    /// Notes contact with a peer: it is no longer down. A message from an earlier process of the peer is ignored.
     pub fn note_contact(&mut self, now: Instant, peer: Tag, incarnation: u64, leaving: bool) {
         let Some(peer) = self.peers.get_mut(&peer) else { return };
         if incarnation < peer.incarnation {
@@ -218,8 +219,8 @@
         peer.last_contact = Some(now);
     }
 
-    /// Notes that a peer could not be reached or did not answer: it is passed over until it is
-    /// heard, and if it fails again and again for a growing time beyond that.
+    /// Notes that a peer could not be reached or did not respond. It is suspect until the next contact and, if it
+    /// failed before, at least for a backoff that doubles with each failure.
     pub fn note_failure(&mut self, now: Instant, peer: Tag) {
         let Some(peer) = self.peers.get_mut(&peer) else { return };
         if peer.down && !peer.may_be_contacted(now) {
@@ -239,7 +240,7 @@
         peer.last_failure = Some(now);
     }
 
-    /// Notes that another instance suspects a peer.
+    /// Notes that another instance suspects a peer; ignored if this instance had contact with it recently.
     pub fn note_reported_suspect(&mut self, now: Instant, peer: Tag) {
         let Some(peer) = self.peers.get_mut(&peer) else { return };
         let recent =
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Notes that this instance itself is leaving.
+    /// Notes that this instance is leaving.
     pub fn leave(&mut self) {
         self.changes += u64::from(!self.own_leaving);
         self.own_leaving = true;
@@ -261,14 +262,14 @@
         self.own_leaving
     }
 
-    /// Returns the peers that this instance has reason to suspect by its own evidence.
+    /// Returns the peers that this instance suspects by its own evidence.
     pub fn own_suspects(&self, now: Instant) -> Vec<Tag> {
         let recent = |at: Instant| now.duration_since(at) < RETRY_MAX;
         let own = |p: &&Peer| p.down && p.last_failure.is_some_and(recent);
         self.peers.values().filter(own).map(|p| p.candidate.tag).collect()
     }
 
-    /// Returns the instances that may be homes; this one stands in when there is no other.
+    /// Returns the instances that may be homes; if there is no other, this one even while it is leaving.
     pub fn homes(&self, now: Instant) -> Vec<&Candidate> {
         let peers = self.peers.values().filter(|p| p.may_be_home(now));
         let mut homes: Vec<&Candidate> = peers.map(|p| &p.candidate).collect();
@@ -278,12 +279,12 @@
         homes
     }
 
-    /// Returns every known peer.
+    /// Returns all peers.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Returns a peer.
+    /// Returns the peer with this tag.
     pub fn peer(&self, tag: Tag) -> Option<&Peer> {
         self.peers.get(&tag)
     }
@@ -293,7 +294,7 @@
         &self.own
     }
 
-    /// Returns whether the list says that a backend server takes nothing new.
+    /// Returns whether the platform's list says that a backend server accepts no new requests.
     pub fn is_server_leaving(&self, id: &str) -> bool {
         self.leaving_servers.get(id).is_some_and(|state| *state != MemberState::Live)
     }
--- a/src/contract/mod.rs
+++ b/src/contract/mod.rs
@@ -1,4 +1,5 @@
-//! What the parts of the system owe each other, as decision machines without I/O.
+//! State machines, without I/O, of what instances, backend servers and the table agree on: claims, leases, permits,
+//! membership, orders to engines, retries and limits.
 
 pub mod claim;
 pub mod fair_queue;
--- a/src/contract/orders.rs
+++ b/src/contract/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: full desired states, staged so that enough engines go on serving.
+//! Orders to engines: complete desired states, rolled out in stages so that enough engines keep serving.
 
 use std::{
     collections::HashMap,
@@ -12,46 +12,46 @@
     names::Tag,
 };
 
-/// First pause before an order that failed is given again; doubles with each failure.
+/// Pause after a failed order before it is sent again; doubles with each further failure.
 const RETRY_PAUSE_FIRST: Duration = Duration::from_secs(2);
 
-/// Longest such pause.
+/// Longest pause after a failed order.
 const RETRY_PAUSE_MAX: Duration = Duration::from_secs(60);
 
-/// Time after which an engine that was ordered and is not ready yet counts as failed.
+/// Time after which an order that the engine accepted, but has not carried out, counts as failed.
 const LOADING_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// A model as an engine is to hold it.
+/// A model that an engine must load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderedModel {
-    /// Id.
+    /// Id of the model.
     pub id: String,
-    /// Version.
+    /// Version of the model.
     pub version: String,
-    /// Adapters.
+    /// Adapters of the model.
     pub adapters: Vec<String>,
 }
 
-/// What an engine is to hold and to be. Never a step, so that giving it twice does no harm.
+/// The complete state that an engine must reach. It is never a difference, so an order may be repeated safely.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct DesiredState {
-    /// Role.
+    /// Role of the engine.
     pub role: String,
-    /// Models.
+    /// Models to load.
     pub models: Vec<OrderedModel>,
 }
 
-/// An order as it is sent.
+/// An order as sent to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Fencing number of the lease under which it is given.
+    /// Fencing number of the lease under which the order is given.
     pub fencing: u64,
     /// The desired state.
     #[serde(flatten)]
     pub state: DesiredState,
 }
 
-/// Returns what the file wants of an engine.
+/// Returns the state that the configuration specifies for an engine.
 pub fn desired_state(fleet: &Fleet, server: &BackendServer) -> DesiredState {
     let names = fleet.services.get(&server.service).map_or(&[][..], |service| &service.models);
     let models = names.iter().filter_map(|name| fleet.models.get(name)).map(|model| OrderedModel {
@@ -62,39 +62,39 @@
     DesiredState { role: server.role.clone(), models: models.collect() }
 }
 
-/// What was last seen of an engine.
+/// Result of an engine's latest status check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// It did not answer.
+    /// The engine did not respond.
     Unreachable,
-    /// It answered.
+    /// The engine responded.
     Responded {
-        /// Whether it holds and is what is wanted.
+        /// Whether the last order it accepted has the desired state.
         up_to_date: bool,
-        /// Whether it takes requests.
+        /// Whether it accepts requests.
         ready: bool,
     },
 }
 
-/// How a rollout is staged.
+/// Limits within which a rollout proceeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RolloutLimits {
-    /// Most engines loading at once, for the weight store's sake.
+    /// Most engines that load at once, to limit the load on the store of model weights.
     pub loads_at_once: usize,
-    /// Least share of the engines that go on serving.
+    /// Least share of the engines that must keep serving.
     pub min_serving: f64,
 }
 
-/// How far a rollout has come.
+/// Progress of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// Engines that are as wanted and take requests.
+    /// Engines that are up to date and accept requests.
     pub done: usize,
-    /// Engines that load.
+    /// Engines that are loading.
     pub loading: usize,
-    /// Engines that wait for their turn.
+    /// Engines that still have to be ordered.
     pub due: usize,
-    /// Engines that did not answer or whose order failed.
+    /// Engines that did not respond or whose order failed.
     pub failed: usize,
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Rollout {
-    /// Returns the engines to be ordered now.
+    /// Returns the engines to order now, given the latest observations of all engines of the shard.
     pub fn next_engines(
         &mut self,
         now: Instant,
@@ -122,11 +122,11 @@
     ) -> Vec<Tag> {
         let mut progress = Progress::default();
         let mut due = Vec::new();
-        // Those that load something else already: ordering them takes no engine out of service.
+        // Engines that are already loading another state: an order takes none of them out of service.
         let mut already_loading = Vec::new();
         let mut serving = 0;
-        for (engine, seen) in engines {
-            match *seen {
+        for (engine, observation) in engines {
+            match *observation {
                 Observation::Unreachable => progress.failed += 1,
                 Observation::Responded { up_to_date: true, ready: true } => {
                     progress.done += 1;
@@ -148,28 +148,28 @@
         }
         progress.due = due.len() + already_loading.len();
         self.progress = progress;
-        let least = (terms.min_serving * engines.len() as f64).floor() as usize;
+        let serving_min = (terms.min_serving * engines.len() as f64).floor() as usize;
         let headroom = terms.loads_at_once.saturating_sub(progress.loading);
-        due.truncate(headroom.min(serving.saturating_sub(least)));
+        due.truncate(headroom.min(serving.saturating_sub(serving_min)));
         already_loading.extend(due);
         already_loading
     }
 
     fn is_paused(&mut self, now: Instant, engine: Tag) -> bool {
-        let stuck =
+        let timed_out =
             self.ordered.get(&engine).is_some_and(|at| now.duration_since(*at) >= LOADING_TIMEOUT);
-        if stuck {
+        if timed_out {
             self.note_failure(now, engine);
         }
         self.failures.get(&engine).is_some_and(|failure| now < failure.retry_at)
     }
 
-    /// Notes that an order was taken.
+    /// Notes that an engine accepted an order.
     pub fn note_ordered(&mut self, now: Instant, engine: Tag) {
         self.ordered.insert(engine, now);
     }
 
-    /// Notes that an order failed.
+    /// Notes that an order to an engine failed.
     pub fn note_failure(&mut self, now: Instant, engine: Tag) {
         let count = self.failures.get(&engine).map_or(0, |failure| failure.count);
         let pause = RETRY_PAUSE_FIRST.saturating_mul(1 << count.min(10)).min(RETRY_PAUSE_MAX);
@@ -177,7 +177,7 @@
         self.failures.insert(engine, Failure { count: count + 1, retry_at: now + pause });
     }
 
-    /// Returns how far the rollout had come when it was last looked at.
+    /// Returns the rollout's progress as of the last [`next_engines`](Rollout::next_engines).
     pub fn progress(&self) -> Progress {
         self.progress
     }
--- a/src/contract/outcome.rs
+++ b/src/contract/outcome.rs
@@ -1,18 +1,18 @@
-//! What became of a request: the one place that classifies it.
+//! Classifies failed attempts: whether the request ran, whether it may be retried, and how the caller is told.
 
 use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a backend server ran the request.
+/// Whether a backend server ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
     /// No backend server can have run it; sending it again is safe.
     NotRun,
-    /// It may have run.
+    /// A backend server may have run it.
     Unknown,
-    /// It ran.
+    /// A backend server ran it.
     Run,
 }
 
@@ -31,30 +31,30 @@
 pub enum AttemptFault {
     /// No connection could be made.
     Connect,
-    /// The connection failed before the first byte of the request was handed to it.
+    /// The connection failed before the first byte of the request was written to it.
     BeforeSend,
-    /// The connection failed after bytes of the request had left and before the answer's head.
+    /// The connection failed after bytes of the request were sent and before the response's head arrived.
     AfterSend,
-    /// The answer's head did not come in time.
+    /// The response's head did not arrive in time.
     HeadTimeout,
-    /// What came is not an HTTP answer, or is too large.
+    /// The bytes received are not a valid HTTP response, or the response is too large.
     Garbage,
-    /// The answer carries another attempt's id.
+    /// The response carries the id of another attempt.
     Foreign,
-    /// The backend server refused the request and says that it has not run it.
+    /// The backend server rejected the request and states that it did not run it.
     Refused,
-    /// The backend server wanted no more requests before this one was sent.
+    /// The request was not sent, because the backend server had asked for no more requests.
     Withheld,
-    /// The answer's body ended early, before any of it reached the caller.
+    /// The response's body ended early, before any of it was sent to the caller.
     CutBody,
-    /// The answer's body stalled.
+    /// The response's body stalled.
     StalledBody,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl AttemptFault {
-    /// Returns what the fault says about the request's outcome.
+    /// Returns the outcome of the request as far as the fault shows it.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptFault::Connect
@@ -71,18 +71,18 @@
         }
     }
 
-    /// Returns whether the fault speaks against the backend server itself.
+    /// Returns whether the fault counts as evidence against the backend server itself.
     pub fn counts_against_server(self) -> bool {
         !matches!(self, AttemptFault::CallerGone | AttemptFault::Refused | AttemptFault::Withheld)
     }
 
-    /// Returns whether the connection ended while the request may have been running: the server may have ended
-    /// with it.
+    /// Returns whether the connection closed while the request may have been running: the server's process may have
+    /// crashed.
     pub fn is_disconnect(self) -> bool {
         matches!(self, AttemptFault::AfterSend | AttemptFault::CutBody)
     }
 
-    /// Returns a sentence for the caller that says what happened.
+    /// Returns the description of the fault that the caller receives.
     pub fn detail(self) -> &'static str {
         match self {
             AttemptFault::Connect => "no backend server accepted a connection",
@@ -110,18 +110,18 @@
     }
 }
 
-/// What a request is, as far as repeating it goes.
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Running it twice does no harm.
+    /// It may run more than once.
     Idempotent,
     /// It must run at most once.
     AtMostOnce,
 }
 
-/// Decides whether a request may be tried again after `fault`.
+/// Returns whether a request may be retried after `fault`.
 ///
-/// `response_started` says whether part of an answer has already reached the caller.
+/// `response_started` says whether part of a response has already been sent to the caller.
 pub fn may_retry(fault: AttemptFault, retry_safety: RetrySafety, response_started: bool) -> bool {
     if response_started || fault == AttemptFault::CallerGone {
         return false;
@@ -129,23 +129,23 @@
     fault.outcome() == Outcome::NotRun || retry_safety == RetrySafety::Idempotent
 }
 
-/// A final answer that the router itself gives.
+/// A final response that the router itself gives instead of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// HTTP status code.
     pub status: u16,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// Short name of the problem, the same for every occurrence.
+    /// Short name of the problem type, the same for every occurrence.
     pub title: &'static str,
-    /// What happened and what to do about it.
+    /// What happened, and what the caller can do about it.
     pub detail: String,
-    /// When another try makes sense.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Returns a refusal of a request that no backend server has seen.
+    /// Returns a refusal of a request that no backend server has run.
     pub fn not_run(status: u16, title: &'static str, detail: impl Into<String>) -> Refusal {
         Refusal {
             status,
@@ -161,12 +161,12 @@
         Refusal { outcome: Outcome::Unknown, ..Refusal::not_run(status, title, detail) }
     }
 
-    /// Returns the refusal with a time after which another try makes sense.
+    /// Returns the refusal with the time after which a retry may succeed.
     pub fn retry_after(self, after: Duration) -> Refusal {
         Refusal { retry_after: Some(after), ..self }
     }
 
-    /// Returns the refusal that ends a request after its last attempt failed with `fault`.
+    /// Returns the refusal for a request whose last attempt failed with `fault`.
     pub fn from_fault(fault: AttemptFault, retry_after: Duration) -> Refusal {
         let status = match fault {
             AttemptFault::HeadTimeout | AttemptFault::StalledBody => 504,
@@ -191,7 +191,7 @@
         if fault.outcome() == Outcome::NotRun { refusal.retry_after(retry_after) } else { refusal }
     }
 
-    /// Returns the `problem+json` body (RFC 9457).
+    /// Returns the body as `problem+json` (RFC 9457).
     pub fn body(&self) -> Vec<u8> {
         let value = serde_json::json!({
             "title": self.title,
@@ -202,7 +202,7 @@
         value.to_string().into_bytes()
     }
 
-    /// Returns `Retry-After` in whole seconds, at least one.
+    /// Returns the value of `Retry-After` in whole seconds, at least one.
     pub fn retry_after_secs(&self) -> Option<u64> {
         self.retry_after.map(|after| (after.as_millis().div_ceil(1000) as u64).max(1))
     }
--- a/src/contract/permit.rs
+++ b/src/contract/permit.rs
@@ -1,4 +1,4 @@
-//! Permits: what an entry asks of a shard's home before it sends a request on.
+//! Permits: an entry requests one from a shard's home before it forwards a caller's request to an engine.
 
 use std::time::Duration;
 
@@ -6,44 +6,44 @@
 
 use crate::{names::Tag, units::Rate, zone::rendezvous::ChatKey};
 
-/// Identity of a permit and of the ask for it.
+/// Identity of a permit and of the request for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PermitId {
-    /// Tag of the entry instance.
+    /// Tag of the instance that is the entry.
     pub entry: Tag,
-    /// Number, unique for the entry across its restarts.
+    /// Number, unique at the entry across its restarts.
     pub number: u64,
 }
 
-/// An entry's question: which engine may take this request?
+/// An entry's request for a permit, which names the engine that may run a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitRequest {
-    /// Identity.
+    /// Identity of the permit.
     pub id: PermitId,
-    /// The chat.
+    /// Chat that the caller's request belongs to.
     pub chat: ChatKey,
-    /// The team.
+    /// Team of the caller.
     pub team: Tag,
-    /// Time left for the request.
+    /// Time left until the deadline of the caller's request.
     pub time_left: Duration,
     /// Engine that the caller's placement hint names.
     pub hint: Option<Tag>,
-    /// Engines already tried for this request.
+    /// Engines at which attempts of this request have already failed.
     pub avoid: Vec<Tag>,
-    /// Whether another shard may be asked when this one is at its bound.
+    /// Whether the entry may try another shard when this one is at its load bound.
     pub may_spill: bool,
 }
 
-/// What a home needs to know of a team; taken from the snapshot in force.
+/// Priority and limits of a team, from the active configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamPolicy {
-    /// Weight among teams that wait.
+    /// Weight in the fair queue.
     pub weight: u32,
-    /// Whether it belongs to the reserved class.
+    /// Whether the team belongs to the reserved class.
     pub reserved: bool,
     /// Most requests in flight.
     pub max_in_flight: Option<u32>,
-    /// Most requests a second.
+    /// Most requests per second.
     pub rate: Option<Rate>,
 }
 
@@ -53,76 +53,76 @@
     }
 }
 
-/// How a request that held a permit ended, as far as its engine is concerned.
+/// How a request that held a permit ended, as evidence about its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseKind {
-    /// A whole answer came.
+    /// The engine responded in full.
     Done,
     /// The engine failed.
     Failed,
-    /// The engine refused: it is full or leaving.
+    /// The engine rejected the request: it is full or leaving.
     Refused,
-    /// Nothing is known of the engine: the caller went away, or the permit was not used.
+    /// No evidence about the engine: the caller disconnected, or the permit was not used.
     Unused,
-    /// The engine answered and says that it is leaving.
+    /// The engine responded and announced that it is leaving.
     Leaving,
 }
 
-/// Gives a permit back.
+/// Returns a permit to its home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// Number of the permit.
     pub number: u64,
     /// How the request ended.
     pub kind: ReleaseKind,
-    /// Load that the engine reported with its answer.
+    /// Load that the engine reported with its response.
     pub load: Option<u32>,
 }
 
-/// A permit that an entry still holds, told to a new home.
+/// A permit that an entry still holds, as it announces it to a new home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedPermit {
     /// Number of the permit.
     pub number: u64,
-    /// Engine it is for.
+    /// Engine that the permit names.
     pub engine: Tag,
-    /// Chat it is for.
+    /// Chat that it was granted for.
     pub chat: ChatKey,
-    /// Team it is for.
+    /// Team that it was granted to.
     pub team: Tag,
-    /// Milliseconds it may still last.
+    /// Milliseconds until the deadline of its request.
     pub left_ms: u32,
 }
 
-/// Why a home refuses.
+/// Why a home refuses a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefuseReason {
-    /// The team has as many requests in flight as it may have.
+    /// The team has reached its limit of requests in flight.
     TeamInFlight,
-    /// The team sends more requests a second than it may.
+    /// The team has reached its limit of requests per second.
     TeamRate,
-    /// More wait than the service's queue may hold.
+    /// The service's queue is full.
     QueueFull,
-    /// The request cannot be done before its deadline.
+    /// The request cannot be served before its deadline.
     Deadline,
-    /// The shard has no engine that could take it.
+    /// The shard has no engine that can run the request.
     NoEngine,
 }
 
-/// A home's answer to an ask.
+/// A home's reply to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The request may go to this engine.
+    /// The entry may send the caller's request to this engine.
     Granted(Tag),
-    /// The request waits; the grant or refusal comes later.
+    /// The request is queued; a grant or refusal follows.
     Queued,
-    /// This shard is at its bound; ask the next in the chat's rank.
+    /// This shard is at its load bound; try the next shard in the chat's rendezvous order.
     Spill,
-    /// The request is not to run.
+    /// The caller's request must not run.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefuseReason,
-        /// When another try makes sense, in milliseconds.
+        /// Milliseconds after which a retry may succeed.
         retry_after_ms: u32,
     },
 }
--- a/src/contract/retry.rs
+++ b/src/contract/retry.rs
@@ -1,20 +1,20 @@
-//! Retries within a budget and a deadline.
+//! Limits retries: a budget and the backoff between them.
 
 use std::time::Duration;
 
-/// Most retries saved up by a budget.
+/// Most retries that a budget accumulates.
 const TOKENS_MAX: f64 = 10.0;
 
-/// Retries that a budget holds at the start.
+/// Retries that a new budget allows.
 const TOKENS_FIRST: f64 = 1.0;
 
-/// Longest first pause before a retry.
+/// Longest pause before the first retry; doubles with each further retry.
 const BACKOFF_FIRST: Duration = Duration::from_millis(20);
 
 /// Longest pause before any retry.
 const BACKOFF_MAX: Duration = Duration::from_secs(1);
 
-/// Allows retries as a share of requests, so that an outage is not made worse by them.
+/// Limits retries to a share of the requests, so that retries don't make an outage worse.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: f64,
@@ -27,17 +27,17 @@
         RetryBudget { share, tokens: TOKENS_FIRST }
     }
 
-    /// Sets the share.
+    /// Sets the retries allowed for each request.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Notes a first attempt.
+    /// Notes a request's first attempt.
     pub fn note_request(&mut self) {
         self.tokens = (self.tokens + self.share).min(TOKENS_MAX);
     }
 
-    /// Takes one retry, if the budget has it.
+    /// Takes one retry from the budget; returns false if none is left.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -47,11 +47,11 @@
     }
 }
 
-/// Returns the pause before retry number `retry` (from 0); `unit` is drawn from 0 to 1.
+/// Returns the pause before retry number `retry` (from 0); `random` is a random number from 0 to 1.
 ///
-/// Full jitter over an exponential range, so that entries that failed together do not try again
-/// together.
-pub fn backoff(retry: u32, unit: f64) -> Duration {
+/// Full jitter over an exponential range, so that entries whose requests failed at the same time don't retry at the
+/// same time.
+pub fn backoff(retry: u32, random: f64) -> Duration {
     let range = BACKOFF_FIRST.saturating_mul(1 << retry.min(10)).min(BACKOFF_MAX);
-    range.mul_f64(unit.clamp(0.0, 1.0))
+    range.mul_f64(random.clamp(0.0, 1.0))
 }
--- a/src/contract/revision.rs
+++ b/src/contract/revision.rs
@@ -1,28 +1,28 @@
-//! Which operators' file is in force at an instance: forward only.
+//! Which revision of the configuration is active at an instance; it only ever increases.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{configs::fleet::chunks::Digest, units::Revision};
 
-/// Key of the row that names the file in force.
+/// Key of the row that names the newest configuration.
 pub const HEAD_KEY: &str = "config/head";
 
-/// The row that names the file in force.
+/// The row that names the newest configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Revision.
+    /// Revision of the configuration.
     pub revision: Revision,
     /// Digest of its manifest.
     pub manifest: Digest,
     /// Id of the apply that wrote the row.
     pub apply: String,
-    /// Who applied it.
+    /// Name of the operator who applied it.
     pub by: String,
-    /// When, in milliseconds since 1970.
+    /// Time of the apply, in milliseconds since 1970.
     pub at: u64,
 }
 
-/// What an instance knows of the file in force.
+/// The configuration that an instance has installed, and the newest that it has heard of.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveRevision {
     installed: Option<Head>,
@@ -30,19 +30,19 @@
 }
 
 impl ActiveRevision {
-    /// Takes in a head learned from the store or a peer; older ones change nothing.
+    /// Notes a head received from the store or a peer; an older one changes nothing.
     ///
-    /// Returns the head to fetch, if there is a newer one than the one installed.
+    /// Returns the head to fetch, if one newer than the installed one is known.
     pub fn note_head(&mut self, head: Head) -> Option<&Head> {
         let newer =
-            |known: &Option<Head>| known.as_ref().is_none_or(|k| k.revision < head.revision);
+            |other: &Option<Head>| other.as_ref().is_none_or(|o| o.revision < head.revision);
         if newer(&self.newest) && newer(&self.installed) {
             self.newest = Some(head);
         }
         self.pending()
     }
 
-    /// Returns the head to fetch.
+    /// Returns the head to fetch, if one newer than the installed one is known.
     pub fn pending(&self) -> Option<&Head> {
         let newest = self.newest.as_ref()?;
         let installed = self.installed.as_ref().map_or(Revision::default(), |h| h.revision);
@@ -51,7 +51,7 @@
 
     /// Notes that the content of `head` has been fetched and checked.
     ///
-    /// Returns whether it is now to be put in force: false when a newer one is already.
+    /// Returns whether to activate it: false if this or a newer revision is already installed.
     pub fn install(&mut self, head: Head) -> bool {
         if self.installed.as_ref().is_some_and(|h| h.revision >= head.revision) {
             return false;
@@ -60,12 +60,12 @@
         true
     }
 
-    /// Returns the head in force.
+    /// Returns the head of the active configuration.
     pub fn installed(&self) -> Option<&Head> {
         self.installed.as_ref()
     }
 
-    /// Returns the revision in force; zero when there is none.
+    /// Returns the active revision, or zero if none is installed.
     pub fn revision(&self) -> Revision {
         self.installed.as_ref().map_or(Revision::default(), |h| h.revision)
     }
--- a/src/contract/team_limits.rs
+++ b/src/contract/team_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of teams: requests in flight and requests a second.
+//! Limits of teams: requests in flight and requests per second.
 
 use std::{
     collections::HashMap,
@@ -13,10 +13,10 @@
     names::Tag,
 };
 
-/// Time to come back for a team with too many requests in flight.
+/// Retry-After for a team that has reached its limit of requests in flight.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What teams use of their limits.
+/// Usage of the limits by team.
 #[derive(Debug, Default)]
 pub struct TeamLimits {
     in_flight: HashMap<Tag, u32>,
@@ -24,11 +24,11 @@
 }
 
 impl TeamLimits {
-    /// Decides whether a team may send one more request.
+    /// Checks whether a team may send one more request, and counts it against the team's rate.
     ///
     /// # Errors
     ///
-    /// Which limit it has reached, and when to come back.
+    /// The limit that the team has reached, and the time after which a retry may succeed.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -36,7 +36,7 @@
         policy: &TeamPolicy,
     ) -> Result<(), (RefuseReason, Duration)> {
         let in_flight = self.in_flight.get(&team).copied().unwrap_or(0);
-        if policy.max_in_flight.is_some_and(|most| in_flight >= most) {
+        if policy.max_in_flight.is_some_and(|max| in_flight >= max) {
             return Err((RefuseReason::TeamInFlight, RETRY_AFTER));
         }
         let Some(rate) = policy.rate else { return Ok(()) };
@@ -45,12 +45,12 @@
         bucket.take(now).map_err(|wait| (RefuseReason::TeamRate, wait))
     }
 
-    /// Counts a request in flight.
+    /// Counts a request as in flight.
     pub fn start_request(&mut self, team: Tag) {
         *self.in_flight.entry(team).or_default() += 1;
     }
 
-    /// Counts a request as ended.
+    /// Counts a request as finished.
     pub fn finish_request(&mut self, team: Tag) {
         if let Some(count) = self.in_flight.get_mut(&team) {
             *count = count.saturating_sub(1);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Forgets rates that say nothing any more.
+    /// Drops token buckets that are full: a new one would allow the same.
     pub fn prune_rates(&mut self, now: Instant) {
         self.rates.retain(|_, bucket| !bucket.is_full(now));
     }
--- a/src/contract/token_bucket.rs
+++ b/src/contract/token_bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket on a clock that is passed in.
+//! A token bucket whose time is passed in by the caller.
 
 use std::time::{Duration, Instant};
 
 use crate::units::Rate;
 
-/// Tokens that come at a rate up to a most.
+/// Tokens that accumulate at a rate, up to a capacity.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate: Rate,
@@ -20,10 +20,14 @@
         TokenBucket { rate, capacity, tokens: capacity, updated_at: now }
     }
 
-    /// Takes one token, or says how long until there is one.
+    /// Takes one token.
+    ///
+    /// # Errors
+    ///
+    /// The bucket is empty; the value is the time until the next token.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.updated_at).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate.0).min(self.capacity);
+        let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate.0).min(self.capacity);
         self.updated_at = now;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -32,7 +36,7 @@
         Err(Duration::from_secs_f64((1.0 - self.tokens) / self.rate.0))
     }
 
-    /// Changes the rate; tokens already there stay, up to the new most.
+    /// Changes the rate; tokens in the bucket stay, up to the new capacity.
     pub fn set_rate(&mut self, rate: Rate) {
         self.rate = rate;
         self.capacity = rate.0.max(1.0);
@@ -41,7 +45,7 @@
 
     /// Returns whether the bucket would be full at `now`.
     pub fn is_full(&self, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.updated_at).as_secs_f64();
-        self.tokens + passed * self.rate.0 >= self.capacity
+        let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.tokens + elapsed * self.rate.0 >= self.capacity
     }
 }
