--- a/src/zone/baseline.rs
+++ b/src/zone/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines for measurements: each entry decides alone, from what it sees itself.
+//! Placements to compare permits with: each entry chooses engines alone, from its own observations.
 
 use std::{
     collections::HashMap,
@@ -18,16 +18,16 @@
 /// Age at which a reported load no longer counts.
 const REPORT_AGE_MAX: Duration = Duration::from_secs(10);
 
-/// What one entry knows of a service's engines by itself.
+/// One entry's own observations of a service's engines.
 #[derive(Debug, Default)]
 pub struct Baseline {
-    round_robin: usize,
+    next: usize,
     in_flight: HashMap<Tag, u32>,
     reported: HashMap<Tag, (u32, Instant)>,
 }
 
 impl Baseline {
-    /// Chooses an engine by `placement`; `None` when none may take work.
+    /// Chooses an engine by `placement`; `None` if all are leaving or in `avoid`.
     pub fn choose(
         &mut self,
         now: Instant,
@@ -53,8 +53,8 @@
     }
 
     fn next_index(&mut self, count: usize) -> usize {
-        self.round_robin = self.round_robin.wrapping_add(1);
-        self.round_robin % count
+        self.next = self.next.wrapping_add(1);
+        self.next % count
     }
 
     fn least_reported(&mut self, now: Instant, usable: &[EngineSpec]) -> usize {
@@ -63,7 +63,7 @@
             Some((load, at)) if now.duration_since(*at) < REPORT_AGE_MAX => *load,
             _ => 0,
         };
-        // Ties go around, so that a fresh report does not draw everything to one engine.
+        // The starting point rotates, so that ties do not send everything to one engine after a new report.
         let order = (0..usable.len()).map(|i| (first + i) % usable.len());
         order.min_by_key(|&i| load(usable[i].tag)).unwrap_or(first)
     }
@@ -75,12 +75,12 @@
         order.iter().copied().find(|&at| load(at) < max).unwrap_or(order[0])
     }
 
-    /// Notes that a request goes to `engine`.
+    /// Notes that a request is sent to `engine`.
     pub fn start_request(&mut self, engine: Tag) {
         *self.in_flight.entry(engine).or_default() += 1;
     }
 
-    /// Notes that a request at `engine` ended, and the load it reported.
+    /// Notes that a request at `engine` finished, and the load that the engine reported.
     pub fn finish_request(&mut self, now: Instant, engine: Tag, load: Option<u32>) {
         if let Some(count) = self.in_flight.get_mut(&engine) {
             *count = count.saturating_sub(1);
--- a/src/zone/chat_locations.rs
+++ b/src/zone/chat_locations.rs
@@ -1,4 +1,4 @@
-//! What a home remembers of chats, and what of it its replica has not been told.
+//! Where the chats of a shard were last, and which of these locations the replica has not received.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
     zone::{recent_chats::RecentChats, rendezvous::ChatKey},
 };
 
-/// Most places of chats kept to be told to the replica.
+/// Most locations kept to be sent to the replica.
 const UNREPLICATED_MAX: usize = 20_000;
 
-/// Where chats were last, and the news for the replica.
+/// The engine that each recent chat was last on, and the locations to send to the replica.
 #[derive(Debug)]
 pub struct ChatLocations {
     recent_chats: RecentChats,
@@ -18,7 +18,7 @@
 }
 
 impl ChatLocations {
-    /// Returns a memory of at most `max` chats.
+    /// Returns an empty map of at most `max` chats.
     pub fn new(max: usize) -> ChatLocations {
         ChatLocations { recent_chats: RecentChats::new(max), unreplicated: VecDeque::new() }
     }
@@ -28,22 +28,22 @@
         self.recent_chats.get(chat)
     }
 
-    /// Returns the number of entries held.
+    /// Returns the number of entries stored; a chat in both generations counts twice.
     pub fn len(&self) -> usize {
         self.recent_chats.len()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether no chat is stored.
     pub fn is_empty(&self) -> bool {
         self.recent_chats.is_empty()
     }
 
-    /// Returns every chat remembered, those not seen for long first.
+    /// Returns all chats with their engines, least recent generation first.
     pub fn all(&self) -> Vec<(ChatKey, Tag)> {
         self.recent_chats.all()
     }
 
-    /// Remembers that `chat` went to `engine`.
+    /// Notes that `chat` was sent to `engine`.
     pub fn put(&mut self, chat: ChatKey, engine: Tag) {
         if self.recent_chats.put(chat, engine) {
             self.unreplicated.push_back((chat, engine));
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes over what another instance remembers; with `keep_own`, what is known here stays.
+    /// Merges the locations that another instance sent; with `keep_own`, a location known here wins.
     pub fn merge(&mut self, chats: Vec<(ChatKey, Tag)>, keep_own: bool) {
         for (chat, engine) in chats {
             if !keep_own || self.recent_chats.get(chat).is_none() {
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Returns up to `max` places of chats that the replica has not been told.
+    /// Takes up to `max` locations that the replica has not received.
     pub fn take_unreplicated(&mut self, max: usize) -> Vec<(ChatKey, Tag)> {
         let count = self.unreplicated.len().min(max);
         self.unreplicated.drain(..count).collect()
     }
 
-    /// Counts everything remembered as untold, since the replica is another now.
+    /// Marks all locations as not replicated, because another instance is the replica now.
     pub fn mark_all_unreplicated(&mut self) {
         let mut all = self.recent_chats.all();
         let most_recent = all.split_off(all.len().saturating_sub(UNREPLICATED_MAX));
--- a/src/zone/context_moves.rs
+++ b/src/zone/context_moves.rs
@@ -1,4 +1,4 @@
-//! Moves the contexts of leaving engines to those that will take their chats.
+//! Moves the contexts of leaving engines to the engines that will serve their chats.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,48 +7,48 @@
     zone::rendezvous::{ChatKey, ranked},
 };
 
-/// One chat's context to be moved.
+/// A chat's context to move from one engine to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContextMove {
     /// The chat.
     pub chat: ChatKey,
-    /// The engine that leaves.
+    /// The engine that is leaving.
     pub from: Tag,
-    /// The engine that takes over: the first of the others in the chat's rank.
+    /// The engine to move it to: the first usable one in the chat's rendezvous order.
     pub to: Tag,
 }
 
-/// Chats of leaving engines whose contexts are still to be moved.
+/// Queues, by leaving engine, of the chats whose contexts are still to be moved.
 #[derive(Debug, Default)]
 pub struct ContextMoveQueue {
     pending: HashMap<Tag, VecDeque<ChatKey>>,
 }
 
 impl ContextMoveQueue {
-    /// Returns whether an engine's chats are in line already.
+    /// Returns whether the moves of an engine's chats have been started.
     pub fn contains(&self, engine: Tag) -> bool {
         self.pending.contains_key(&engine)
     }
 
-    /// Puts the chats of a leaving engine in line.
+    /// Starts to move the contexts of a leaving engine's chats.
     pub fn start(&mut self, engine: Tag, chats: impl Iterator<Item = ChatKey>) {
         self.pending.insert(engine, chats.collect());
     }
 
-    /// Forgets the engines that `leaves` does not name any more.
-    pub fn retain(&mut self, leaves: impl Fn(Tag) -> bool) {
-        self.pending.retain(|engine, _| leaves(*engine));
+    /// Removes the engines for which `is_leaving` is false.
+    pub fn retain(&mut self, is_leaving: impl Fn(Tag) -> bool) {
+        self.pending.retain(|engine, _| is_leaving(*engine));
     }
 
-    /// Gives up an engine that does not hand over; its chats' contexts are read again.
+    /// Cancels the moves from an engine whose contexts could not be moved; other engines compute them again.
     pub fn cancel(&mut self, engine: Tag) {
         if let Some(chats) = self.pending.get_mut(&engine) {
             chats.clear();
         }
     }
 
-    /// Returns up to `max` moves to be made now; `targets` are the engines that may take over,
-    /// with their weights, and `is_current` says whether a chat is still on the engine.
+    /// Returns up to `max` moves to make now. `targets` are the engines that may receive contexts, with their weights;
+    /// `is_current` says whether a chat is still on the engine.
     pub fn next_moves(
         &mut self,
         max: usize,
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -1,9 +1,9 @@
-//! The home of one shard: grants permits and holds the load bound.
+//! The home of one shard: grants permits and enforces the load bound.
 //!
-//! Pure decisions: `handle(now, event)` returns the actions for the shell to carry out. The home
-//! knows every request in flight on its engines, so no engine is granted more than
-//! `ceil(bound x mean)` requests, the mean taken over the service and counting the arriving one
-//! (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2018).
+//! A state machine without I/O: `handle(now, event)` returns the actions for the shell to carry out. The home knows
+//! every request in flight on its engines, so no engine is granted more than `ceil(bound x mean)` requests. The mean is
+//! taken over the service and counts the arriving request (consistent hashing with bounded loads, Mirrokni, Thorup and
+//! Zadimoghaddam, 2018).
 
 use std::{
     collections::HashMap,
@@ -37,16 +37,16 @@
     permit_table::{DISCONNECTED_ENTRY_TIMEOUT, ENTRY_TIMEOUT},
 };
 
-/// Time in which a new home also counts what engines report, until entries have announced theirs.
+/// Time for which a new home also counts the loads that engines report, until entries have announced their permits.
 pub const WARM_UP: Duration = Duration::from_millis(1500);
 
-/// Age at which another home's load no longer counts.
+/// Age at which another shard's load no longer counts.
 const OTHER_SHARD_AGE_MAX: Duration = Duration::from_secs(5);
 
-/// Time added to a permit's life over the request's own deadline.
+/// Time from the deadline of a request until its permit expires.
 const PERMIT_MARGIN: Duration = Duration::from_secs(2);
 
-/// Retry-After told with refusals that have no better estimate.
+/// Retry-After of refusals for which there is no better estimate, and the least of those with one.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The home of one shard.
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Takes in one event and returns what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::PermitRequest(request, policy) => {
-                self.request(now, request, policy, &mut actions)
+                self.handle_request(now, request, policy, &mut actions)
             }
             Event::Release(entry, release) => self.release(now, entry, release, &mut actions),
             Event::EntryDisconnected(entry) => self.permits.note_disconnect(now, entry),
@@ -104,8 +104,8 @@
             Event::AnnouncedLeaving(engine, leaving) => {
                 self.with_engine(engine, |e| e.announced_leaving = leaving)
             }
-            Event::OtherShardLoad(home, load) => {
-                self.other_shards.insert(home, (load, now));
+            Event::OtherShardLoad(shard, load) => {
+                self.other_shards.insert(shard, (load, now));
             }
             Event::ContextsMoved(moves) => self.apply_context_moves(moves),
             Event::ContextsNotMoved(engine) => self.move_queue.cancel(engine),
@@ -116,7 +116,7 @@
         actions
     }
 
-    /// Returns the load of this shard, as other homes of the service need it.
+    /// Returns the load of this shard, for other homes of the service.
     pub fn shard_load(&self, now: Instant) -> ShardLoad {
         let view = self.view(now);
         let usable = self.engines.values().filter(|e| view.is_usable(e));
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Returns the greatest load that an engine may have once one more request has arrived.
+    /// Returns the highest load that an engine may have once one more request has arrived.
     pub fn bound(&self, now: Instant) -> u32 {
         self.view(now).bound
     }
@@ -149,7 +149,7 @@
         )
     }
 
-    /// Returns the engines and their loads.
+    /// Returns the engines with their loads.
     pub fn engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines.values()
     }
@@ -159,22 +159,22 @@
         self.is_home
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the number of permits in force.
+    /// Returns the number of permits granted and not released.
     pub fn permits(&self) -> usize {
         self.permits.len()
     }
 
-    /// Returns the number of chats remembered.
+    /// Returns the number of chats whose locations are stored.
     pub fn chat_count(&self) -> usize {
         self.chats.len()
     }
 
-    /// Returns the engine that `chat` was last on, and the engine it would go to now.
+    /// Returns the engine that `chat` was last on, and the engine that it would be sent to now.
     pub fn explain(&self, now: Instant, chat: ChatKey) -> (Option<Tag>, Option<Tag>) {
         (self.chats.get(chat), self.choose(now, chat, None, &[]))
     }
@@ -183,7 +183,7 @@
         !self.is_home || self.warm_up_until.is_some_and(|until| now < until)
     }
 
-    fn request(
+    fn handle_request(
         &mut self,
         now: Instant,
         request: PermitRequest,
@@ -192,7 +192,7 @@
     ) {
         self.permits.note_contact(now, request.id.entry);
         if let Some(permit) = self.permits.get(&request.id) {
-            // The answer to the same ask was lost on its way.
+            // The reply to an earlier copy of this request was lost.
             actions.push(Action::Reply(request.id, Reply::Granted(permit.engine)));
             return;
         }
@@ -210,8 +210,8 @@
             self.waiting.add_affinity_waiter(AffinityWaiter { waiting, engine, give_up_at });
             return;
         }
-        let first_in_line = policy.reserved || self.waiting.queue().is_empty();
-        let engine = if first_in_line {
+        let is_first = policy.reserved || self.waiting.queue().is_empty();
+        let engine = if is_first {
             self.choose(now, request.chat, request.hint, &request.avoid)
         } else {
             None
@@ -225,8 +225,8 @@
         }
     }
 
-    /// Returns the engine with the chat's context when it is full just now and a place on it is
-    /// likely within the service's patience.
+    /// Returns the engine that has the chat's context if it is full now and a slot on it is expected to become free
+    /// within the service's affinity wait.
     fn engine_to_wait_for(
         &self,
         now: Instant,
@@ -239,8 +239,8 @@
         {
             return None;
         }
-        let known = [self.chats.get(request.chat), request.hint].into_iter().flatten();
-        let engine = known.filter_map(|tag| self.engines.get(&tag)).next()?;
+        let preferred = [self.chats.get(request.chat), request.hint].into_iter().flatten();
+        let engine = preferred.filter_map(|tag| self.engines.get(&tag)).next()?;
         let (tag, view) = (engine.spec.tag, self.view(now));
         if !view.is_usable(engine) || request.avoid.contains(&tag) || view.accepts(engine) {
             return None;
@@ -250,16 +250,17 @@
         (wait < self.settings.affinity_wait.as_secs_f64()).then_some(tag)
     }
 
-    /// Grants to patients whose engine has room; those whose patience is over go elsewhere.
+    /// Grants affinity waiters whose engine has headroom again. Those that have waited too long get another engine or
+    /// are queued.
     fn serve_affinity_waiters(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let mut at = 0;
         while let Some(AffinityWaiter { engine, give_up_at, .. }) = self.waiting.affinity_waiter(at)
         {
-            let slot = self.engines.get(engine);
+            let state = self.engines.get(engine);
             let view = self.view(now);
-            let stays = slot.is_some_and(|slot| view.is_usable(slot)) && now < *give_up_at;
-            let granted = slot.filter(|slot| view.accepts(slot)).map(|slot| slot.spec.tag);
-            if granted.is_none() && stays {
+            let may_wait = state.is_some_and(|state| view.is_usable(state)) && now < *give_up_at;
+            let granted = state.filter(|state| view.accepts(state)).map(|state| state.spec.tag);
+            if granted.is_none() && may_wait {
                 at += 1;
                 continue;
             }
@@ -274,23 +275,24 @@
         }
     }
 
-    /// Chooses an engine: the one that holds the chat's context if it is under the bound, else
-    /// the first under the bound in the chat's own rank; a new chat fills the least loaded.
+    /// Chooses an engine: the one that has the chat's context if it is under the bound, else the first under the bound
+    /// in the chat's rendezvous order. A new chat is sent to the least loaded engine.
     fn choose(&self, now: Instant, chat: ChatKey, hint: Option<Tag>, avoid: &[Tag]) -> Option<Tag> {
         let view = self.view(now);
         let accepts =
             |engine: &&EngineState| view.accepts(engine) && !avoid.contains(&engine.spec.tag);
-        let known = [self.chats.get(chat), hint];
-        let mut known_engines = known.iter().flatten().filter_map(|tag| self.engines.get(tag));
-        if let Some(engine) = known_engines.find(accepts) {
+        let preferred = [self.chats.get(chat), hint];
+        let mut preferred_engines =
+            preferred.iter().flatten().filter_map(|tag| self.engines.get(tag));
+        if let Some(engine) = preferred_engines.find(accepts) {
             return Some(engine.spec.tag);
         }
         let free = self.engines.values().filter(accepts);
         let ranked = |engine: &EngineState| score(chat.0, engine.spec.tag, engine.spec.weight);
-        if known.iter().any(Option::is_some) {
+        if preferred.iter().any(Option::is_some) {
             return free.max_by(|a, b| ranked(a).total_cmp(&ranked(b))).map(|e| e.spec.tag);
         }
-        // A new chat has no context to go to: it fills up the least loaded engine.
+        // A new chat has no context on any engine, so it is sent to the least loaded one.
         let order = |a: &&EngineState, b: &&EngineState| {
             view.fill_level(a)
                 .total_cmp(&view.fill_level(b))
@@ -313,7 +315,7 @@
         actions.push(Action::Reply(request.id, Reply::Granted(engine)));
     }
 
-    /// Returns what is remembered of chats.
+    /// Returns the locations of chats.
     pub fn chat_locations_mut(&mut self) -> &mut ChatLocations {
         &mut self.chats
     }
@@ -335,7 +337,7 @@
         Some(permit)
     }
 
-    /// Puts an ask in line; `is_notified` says that its entry knows already that it waits.
+    /// Queues a request or refuses it; `is_notified` says that its entry has already received [`Reply::Queued`].
     fn enqueue(
         &mut self,
         now: Instant,
@@ -371,8 +373,7 @@
         self.waiting.push(WaitingRequest { request, policy, until });
     }
 
-    /// Returns how long the request at `position` in line is expected to wait, from the mean time
-    /// that permits are held.
+    /// Returns the expected wait of the request at `position` in the queue, from the mean holding time of permits.
     fn expected_wait(&self, position: usize) -> Duration {
         let slots: u32 =
             self.engines.values().filter(|e| !e.is_leaving()).map(|e| e.spec.capacity).sum();
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Grants to waiting requests while engines have room.
+    /// Grants waiting requests while engines have headroom.
     fn serve_queue(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.serve_affinity_waiters(now, actions);
         while let Some(waiting) = self.waiting.pop() {
@@ -450,8 +451,9 @@
         let named = |id: &PermitId| {
             pending.contains(&id.number) || held.iter().any(|h| h.number == id.number)
         };
-        let gone: Vec<PermitId> = self.permits.of_entry(entry).filter(|id| !named(id)).collect();
-        for id in gone {
+        let released: Vec<PermitId> =
+            self.permits.of_entry(entry).filter(|id| !named(id)).collect();
+        for id in released {
             self.remove_permit(id);
         }
         for AnnouncedPermit { number, engine, chat, team, left_ms } in held {
@@ -469,10 +471,10 @@
     fn set_engines(&mut self, now: Instant, specs: Vec<EngineSpec>, actions: &mut Vec<Action>) {
         let mut old = std::mem::take(&mut self.engines);
         for spec in specs {
-            let mut slot = old.swap_remove(&spec.tag).unwrap_or_else(|| EngineState::new(spec));
-            slot.spec = spec;
-            slot.permits = self.permits.on_engine(spec.tag);
-            self.engines.insert(spec.tag, slot);
+            let mut engine = old.swap_remove(&spec.tag).unwrap_or_else(|| EngineState::new(spec));
+            engine.spec = spec;
+            engine.permits = self.permits.on_engine(spec.tag);
+            self.engines.insert(spec.tag, engine);
         }
         self.serve_queue(now, actions);
     }
@@ -481,7 +483,7 @@
         self.engines.get_mut(&engine).map(f);
     }
 
-    /// Returns the engines that are due for a probe, if this is the shard's home.
+    /// Returns the engines for which a probe is due, if this is the shard's home.
     pub fn probes_due(&mut self, now: Instant) -> Vec<Tag> {
         if !self.is_home {
             return Vec::new();
@@ -497,8 +499,8 @@
         }
     }
 
-    /// Returns up to `most` contexts of leaving engines to be moved now, if this is the home.
-    pub fn context_moves(&mut self, now: Instant, most: usize) -> Vec<ContextMove> {
+    /// Returns up to `max` contexts of leaving engines to move now, if this is the shard's home.
+    pub fn context_moves(&mut self, now: Instant, max: usize) -> Vec<ContextMove> {
         if !self.is_home {
             return Vec::new();
         }
@@ -516,7 +518,7 @@
         let usable = self.engines.values().filter(|e| view.is_usable(e));
         let targets: Vec<(Tag, f64)> = usable.map(|e| (e.spec.tag, e.spec.weight)).collect();
         let chats = &self.chats;
-        self.move_queue.next_moves(most, &targets, |chat, engine| chats.get(chat) == Some(engine))
+        self.move_queue.next_moves(max, &targets, |chat, engine| chats.get(chat) == Some(engine))
     }
 
     fn set_role(&mut self, now: Instant, is_home: bool) {
--- a/src/zone/home_event.rs
+++ b/src/zone/home_event.rs
@@ -1,4 +1,4 @@
-//! What happens to a home, and what it wants done.
+//! The events that a home handles, and the actions that it returns.
 
 use std::time::Duration;
 
@@ -8,73 +8,73 @@
     zone::{engine::EngineSpec, rendezvous::ChatKey},
 };
 
-/// What the operators state for the service of the shard.
+/// Settings of a home, from the configuration of the shard's service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HomeSettings {
-    /// Most load of one engine, as a multiple of the mean.
+    /// Highest load of one engine, as a multiple of the mean.
     pub load_bound: f64,
-    /// Most requests waiting.
+    /// Most requests in the queue.
     pub queue_max: usize,
-    /// Most chats remembered.
+    /// Most chats whose locations are stored.
     pub chats_max: usize,
     /// Longest wait of a returning chat for the engine that holds its context.
     pub affinity_wait: Duration,
 }
 
-/// What happens to a home.
+/// An event that a home handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// An entry asks for a permit.
+    /// An entry requests a permit; the policy is that of its team.
     PermitRequest(PermitRequest, TeamPolicy),
-    /// An entry gives a permit back, or no longer waits for one.
+    /// An entry releases a permit, or withdraws its request for one.
     Release(Tag, Release),
     /// The stream of an entry has ended.
     EntryDisconnected(Tag),
-    /// An entry tells the number of permits it holds here.
+    /// An entry reports the number of permits that it holds here.
     HeldCount(Tag, usize),
-    /// An entry tells every permit it holds here and the numbers of its asks under way; what it
-    /// does not name, it no longer holds.
+    /// An entry announces all permits that it holds here and the numbers of its pending requests. It no longer holds
+    /// any other permit.
     Announce(Tag, Vec<AnnouncedPermit>, Vec<u64>),
     /// The engines of the shard changed.
     Engines(Vec<EngineSpec>),
-    /// The terms changed.
+    /// The settings changed.
     Settings(HomeSettings),
-    /// An engine answered a probe with its load.
+    /// An engine responded to a probe with its load.
     Probed(Tag, u32),
-    /// An engine did not answer a probe.
+    /// An engine did not respond to a probe.
     ProbeFailed(Tag),
-    /// The membership list says that an engine is leaving, or no longer.
+    /// The membership list says whether an engine is leaving.
     ListedLeaving(Tag, bool),
-    /// An engine says itself that it is leaving, or no longer.
+    /// An engine announced whether it is leaving.
     AnnouncedLeaving(Tag, bool),
-    /// The home of another shard of the service tells its load and number of usable engines.
+    /// Load of another shard of the service, with the shard's number as its tag.
     OtherShardLoad(Tag, ShardLoad),
-    /// Contexts of chats were moved from one engine to another.
+    /// The contexts of these chats were moved from one engine to another.
     ContextsMoved(Vec<(ChatKey, Tag, Tag)>),
-    /// An engine that leaves does not hand its contexts over.
+    /// The contexts of this leaving engine could not be moved.
     ContextsNotMoved(Tag),
-    /// Another instance tells where chats were last.
+    /// Another instance sent the engines that these chats were last on.
     ReplicatedChats(Vec<(ChatKey, Tag)>),
-    /// By this instance's view it is the home of the shard, or is not.
+    /// Whether this instance, by its own view, is the home of the shard.
     Role(bool),
-    /// Time passes.
+    /// Periodic event that drops what has expired.
     Tick,
 }
 
-/// What a home wants done.
+/// An action that a home returns for the shell to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Answer an ask.
+    /// Reply to a permit request.
     Reply(PermitId, Reply),
-    /// Ask the entry to announce the permits it holds.
+    /// Request the entry to announce the permits that it holds.
     RequestAnnouncement(Tag),
 }
 
-/// Load of a shard, as homes of one service tell each other.
+/// Load of a shard, as homes of one service report it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct ShardLoad {
-    /// Permits in force.
+    /// Permits granted and not released.
     pub load: u32,
-    /// Engines that may get work.
+    /// Engines that may get requests.
     pub engines: u32,
 }
--- a/src/zone/homes.rs
+++ b/src/zone/homes.rs
@@ -1,4 +1,4 @@
-//! Which instance is the home of a shard.
+//! Chooses the instance that is the home of a shard.
 
 use crate::{
     names::{InstanceId, Tag, ZoneId},
@@ -8,16 +8,16 @@
 /// An instance that may be a home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Id.
+    /// Id of the instance.
     pub id: InstanceId,
     /// Tag of the id.
     pub tag: Tag,
-    /// Its zone.
+    /// Availability zone of the instance.
     pub zone: ZoneId,
 }
 
-/// Returns the home of `shard` among `live`: rendezvous hashing, instances of the shard's own
-/// zone first.
+/// Returns the home of `shard` among `live`: the first in rendezvous order, where instances of the shard's own zone
+/// precede all others.
 pub fn home_of<'c>(
     shard: ShardId,
     zone: Option<&ZoneId>,
--- a/src/zone/load_view.rs
+++ b/src/zone/load_view.rs
@@ -1,4 +1,4 @@
-//! The loads of a shard's engines at one instant, and what follows from them.
+//! The loads of a shard's engines at one point in time, and the load bound that follows from them.
 
 use std::time::Instant;
 
@@ -9,21 +9,21 @@
     zone::{engine::EngineState, home_event::ShardLoad},
 };
 
-/// What decides at one instant whether an engine may be granted a request.
+/// Decides, at one point in time, whether an engine may be granted a request.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadView {
     now: Instant,
     counts_reported: bool,
-    /// Every engine is suspected: they are tried rather than all work refused.
+    /// Whether every engine is suspect or leaving: then suspect engines are used rather than all requests refused.
     all_suspect: bool,
-    /// Most load of one engine, one more request counted in the mean.
+    /// Highest load of one engine; the mean counts one more request.
     pub bound: u32,
 }
 
 impl LoadView {
-    /// Looks at `engines`; `other_shards` is the load of the service's other shards.
+    /// Computes the view of `engines`; `other_shards` is the load of the service's other shards.
     ///
-    /// While `counts_reported`, reported loads count where they are larger than the permits known.
+    /// With `counts_reported`, reported loads count where they are larger than the number of permits.
     pub fn new(
         now: Instant,
         engines: &IndexMap<Tag, EngineState>,
@@ -45,7 +45,7 @@
         engine.load(self.now, self.counts_reported)
     }
 
-    /// Returns whether the engine may get work at all.
+    /// Returns whether the engine may get requests, regardless of its load.
     pub fn is_usable(&self, engine: &EngineState) -> bool {
         !engine.is_leaving() && (self.all_suspect || !engine.is_suspect(self.now))
     }
@@ -56,7 +56,7 @@
         self.is_usable(engine) && load < engine.spec.capacity && load < self.bound
     }
 
-    /// Returns how full one more request would make the engine, relative to its weight.
+    /// Returns the engine's load with one more request, relative to its weight.
     pub fn fill_level(&self, engine: &EngineState) -> f64 {
         f64::from(self.load(engine) + 1) / engine.spec.weight.max(f64::MIN_POSITIVE)
     }
--- a/src/zone/mod.rs
+++ b/src/zone/mod.rs
@@ -1,4 +1,4 @@
-//! Places: how chats rank engines, how engines form shards, and the home of each shard.
+//! Placement of requests: how chats rank engines, how engines form shards, and which instance is the home of a shard.
 
 pub mod baseline;
 pub mod chat_locations;
--- a/src/zone/permit_table.rs
+++ b/src/zone/permit_table.rs
@@ -1,4 +1,4 @@
-//! The permits in force at a home, and the entries that hold them.
+//! The permits that a home has granted, and the entries that hold them.
 
 use std::{
     collections::HashMap,
@@ -7,22 +7,22 @@
 
 use crate::{contract::permit::PermitId, names::Tag};
 
-/// Silence after which an entry counts as lost and its permits end.
+/// Time without contact after which an entry counts as lost and its permits expire.
 pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The same once the entry's stream has ended; engines may still work on what it sent for a while.
+/// The same time if the entry's stream has ended. It is not zero because engines may still run the entry's requests.
 pub const DISCONNECTED_ENTRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A permit in force.
+/// A permit that has been granted and not released.
 #[derive(Debug, Clone)]
 pub struct Permit {
-    /// Engine it is for.
+    /// Engine that it names.
     pub engine: Tag,
-    /// Team it is for.
+    /// Team that it was granted to.
     pub team: Tag,
     /// When it was granted.
     pub granted: Instant,
-    /// When it ends if it is not given back.
+    /// When it expires if it is not released.
     pub expires: Instant,
 }
 
@@ -32,7 +32,7 @@
     held: usize,
 }
 
-/// Permits by identity, and their entries.
+/// Permits by identity, and the entries that hold them.
 #[derive(Debug, Default)]
 pub struct PermitTable {
     permits: HashMap<PermitId, Permit>,
@@ -40,14 +40,14 @@
 }
 
 impl PermitTable {
-    /// Notes a sign of life of an entry.
+    /// Notes contact with an entry.
     pub fn note_contact(&mut self, now: Instant, entry: Tag) {
         self.entries.entry(entry).or_insert(Entry { last_contact: now, held: 0 }).last_contact =
             now;
     }
 
-    /// Notes that an entry's stream has ended. An entry that is alive opens its stream anew and is
-    /// heard again before its permits end.
+    /// Notes that an entry's stream has ended. An entry that is live opens its stream again and so makes contact before
+    /// its permits expire.
     pub fn note_disconnect(&mut self, now: Instant, entry: Tag) {
         if let Some(entry) = self.entries.get_mut(&entry) {
             let earlier = now.checked_sub(ENTRY_TIMEOUT - DISCONNECTED_ENTRY_TIMEOUT);
@@ -66,7 +66,7 @@
         self.permits.len()
     }
 
-    /// Returns whether there is no permit.
+    /// Returns whether there are no permits.
     pub fn is_empty(&self) -> bool {
         self.permits.is_empty()
     }
@@ -76,7 +76,7 @@
         self.entries.get(&entry).map_or(0, |entry| entry.held)
     }
 
-    /// Returns the permits that an entry holds.
+    /// Returns the ids of the permits that an entry holds.
     pub fn of_entry(&self, entry: Tag) -> impl Iterator<Item = PermitId> {
         self.permits.keys().filter(move |id| id.entry == entry).copied()
     }
@@ -86,7 +86,7 @@
         self.permits.values().filter(|permit| permit.engine == engine).count() as u32
     }
 
-    /// Adds a permit of an entry that has been heard.
+    /// Adds a permit; there has been contact with its entry.
     pub fn insert(&mut self, id: PermitId, permit: Permit) {
         if self.permits.insert(id, permit).is_none()
             && let Some(entry) = self.entries.get_mut(&id.entry)
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes a permit away.
+    /// Removes a permit.
     pub fn remove(&mut self, id: PermitId) -> Option<Permit> {
         let permit = self.permits.remove(&id)?;
         if let Some(entry) = self.entries.get_mut(&id.entry) {
@@ -104,7 +104,7 @@
         Some(permit)
     }
 
-    /// Returns the permits that have expired or whose entry is silent.
+    /// Returns the permits that have expired or whose entry is unresponsive.
     pub fn expired(&self, now: Instant) -> Vec<PermitId> {
         let unresponsive =
             |id: &PermitId| self.entries.get(&id.entry).is_none_or(|e| is_unresponsive(e, now));
@@ -113,7 +113,7 @@
         expired.map(|(id, _)| *id).collect()
     }
 
-    /// Forgets entries that are silent; their permits have been taken away.
+    /// Removes entries that are unresponsive and hold no permits.
     pub fn prune_entries(&mut self, now: Instant) {
         self.entries.retain(|_, entry| entry.held > 0 || !is_unresponsive(entry, now));
     }
--- a/src/zone/recent_chats.rs
+++ b/src/zone/recent_chats.rs
@@ -1,14 +1,14 @@
-//! Where chats were last, in bounded memory.
+//! The engines of recent chats, in bounded memory.
 
 use std::collections::HashMap;
 
 use super::rendezvous::ChatKey;
 use crate::names::Tag;
 
-/// Remembers the engine of the most recently seen chats.
+/// Stores the engines of the most recent chats.
 ///
-/// Two generations of half the size: a chat seen again moves to the young one, and when that is
-/// full the old one is dropped. The chats kept are at least the most recent half.
+/// There are two generations of half the size each: a chat that returns is written to the young one, and when that is
+/// full it replaces the old one. At least the most recent half of the chats is kept.
 #[derive(Debug)]
 pub struct RecentChats {
     generation_max: usize,
@@ -17,7 +17,7 @@
 }
 
 impl RecentChats {
-    /// Returns a memory of at most `max` chats.
+    /// Returns an empty map of at most `max` chats.
     pub fn new(max: usize) -> RecentChats {
         RecentChats { generation_max: (max / 2).max(1), young: HashMap::new(), old: HashMap::new() }
     }
@@ -27,7 +27,7 @@
         self.young.get(&chat).or_else(|| self.old.get(&chat)).copied()
     }
 
-    /// Remembers that `chat` went to `engine`; returns whether that is news.
+    /// Notes that `chat` was sent to `engine`; returns whether that is another engine than before.
     pub fn put(&mut self, chat: ChatKey, engine: Tag) -> bool {
         let changed = self.get(chat) != Some(engine);
         self.young.insert(chat, engine);
@@ -37,24 +37,24 @@
         changed
     }
 
-    /// Returns every chat remembered, those not seen for long first.
+    /// Returns all chats with their engines, the old generation first.
     pub fn all(&self) -> Vec<(ChatKey, Tag)> {
         let old = self.old.iter().filter(|(chat, _)| !self.young.contains_key(*chat));
         old.chain(&self.young).map(|(chat, engine)| (*chat, *engine)).collect()
     }
 
-    /// Forgets `chat`.
+    /// Removes `chat`.
     pub fn remove(&mut self, chat: ChatKey) {
         self.young.remove(&chat);
         self.old.remove(&chat);
     }
 
-    /// Returns the number of entries held.
+    /// Returns the number of entries stored; a chat in both generations counts twice.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether no chat is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/src/zone/rendezvous.rs
+++ b/src/zone/rendezvous.rs
@@ -10,7 +10,7 @@
 pub struct ChatKey(pub u64);
 
 impl ChatKey {
-    /// Returns the key of the chat that `parts` name together.
+    /// Returns the key of the chat identified by `parts`.
     pub fn of(parts: &[&str]) -> ChatKey {
         let key = parts
             .iter()
@@ -25,18 +25,18 @@
     }
 }
 
-/// Returns the score of `node` for `key`; the node with the greatest score comes first.
+/// Returns the score of `node` for `key`; the node with the highest score ranks first.
 ///
-/// A node of weight 2 comes first for twice as many keys as a node of weight 1; a change of one
-/// node's weight moves only keys to or from that node.
+/// A node of weight 2 ranks first for twice as many keys as a node of weight 1. A change of one node's weight moves
+/// only keys to or from that node.
 pub fn score(key: u64, node: Tag, weight: f64) -> f64 {
     let hash = xxh3_64_with_seed(&node.0.to_le_bytes(), key);
-    // 53 bits make a float in (0, 1).
+    // The upper 53 bits of the hash give a float in (0, 1).
     let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -weight / unit.ln()
 }
 
-/// Returns the positions of `nodes`, best first, for `key`.
+/// Returns the indices of `nodes` in rendezvous order for `key`, highest score first.
 pub fn ranked(key: u64, nodes: impl Iterator<Item = (Tag, f64)>) -> Vec<usize> {
     let mut scored: Vec<(f64, usize)> =
         nodes.enumerate().map(|(i, (node, weight))| (score(key, node, weight), i)).collect();
--- a/src/zone/shard.rs
+++ b/src/zone/shard.rs
@@ -1,4 +1,4 @@
-//! Shards: the engines of one service in groups of bounded size, each with one home.
+//! Shards: the engines of one service, in groups of bounded size, each with one home.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -10,8 +10,8 @@
     zone::{engine::EngineSpec, rendezvous},
 };
 
-/// Most engines of a shard. A service with no more engines is one shard across its zones, so
-/// that one home knows its whole load and holds the bound exactly.
+/// Most engines of a shard. A service with no more engines than this is one shard across its zones, so that one home
+/// knows its whole load and enforces the load bound exactly.
 pub const SHARD_ENGINES_MAX: usize = 32;
 
 /// Identity of a shard: service and number.
@@ -19,7 +19,7 @@
 pub struct ShardId {
     /// Tag of the service.
     pub service: Tag,
-    /// Number within the service, stable while its zones and sizes are.
+    /// Number within the service; stable while its zones and their numbers of groups are.
     pub number: u16,
 }
 
@@ -29,23 +29,23 @@
     }
 }
 
-/// A shard.
+/// A group of engines with one home.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shard {
     /// Identity.
     pub id: ShardId,
-    /// The zone that holds all its engines; none for a shard across zones.
+    /// Availability zone of all its engines; none for a shard across zones.
     pub zone: Option<ZoneId>,
     /// Its engines.
     pub engines: Vec<EngineSpec>,
-    /// Sum of its engines' weights, for ranking shards.
+    /// Sum of its engines' weights, by which chats rank shards.
     pub weight: f64,
 }
 
-/// Forms the shards of `service`.
+/// Returns the shards of `service`.
 ///
-/// Engines that operators are taking out stay in their shard, marked as leaving, so that their
-/// requests in flight stay counted.
+/// Engines that operators are removing stay in their shard, marked as leaving, so that their requests in flight are
+/// still counted.
 pub fn shards_of(fleet: &Fleet, service: &ServiceId) -> Vec<Shard> {
     let servers: Vec<&BackendServer> = fleet.servers_of(service).collect();
     let specs = engine_specs(fleet, service, &servers);
@@ -76,8 +76,8 @@
     Shard { id: ShardId { service: service.tag(), number }, zone, engines, weight }
 }
 
-/// Splits the engines of a zone into groups; an engine's group hangs on its own id and the number
-/// of groups only.
+/// Splits the engines of a zone into groups. As long as no group is full, an engine's group depends only on its own id
+/// and on the number of groups.
 fn split(specs: Vec<EngineSpec>) -> Vec<Vec<EngineSpec>> {
     let count = specs.len().div_ceil(SHARD_ENGINES_MAX);
     let mut groups = vec![Vec::new(); count];
@@ -90,7 +90,7 @@
     groups
 }
 
-/// Gives each engine its weight: its zone's share, split by the engines' own weights.
+/// Returns the engines with their weights: their zone's share, divided in proportion to the engines' own weights.
 fn engine_specs(fleet: &Fleet, service: &ServiceId, servers: &[&BackendServer]) -> Vec<EngineSpec> {
     let zone_weight = |zone: &ZoneId| -> f64 {
         servers.iter().filter(|b| b.zone == *zone && !b.leaving).map(|b| b.weight).sum()
