--- a/tests/suite/home.rs
+++ b/tests/suite/home.rs
@@ -1,4 +1,4 @@
-//! The home of a shard: the bound, queues, patience, recovery. Pure decisions on a made-up clock.
+//! The home of a shard: load bound, queues, affinity waits and recovery, on a simulated clock.
 
 use std::time::{Duration, Instant};
 
@@ -51,7 +51,7 @@
     Event::Release(ENTRY, Release { number, kind: ReleaseKind::Done, load: None })
 }
 
-/// A home past its warm-up, and the time.
+/// Returns a home past its warm-up, and the time.
 pub(crate) fn home(count: u32, capacity: u32, settings: HomeSettings) -> (Home, Instant) {
     let start = Instant::now();
     (Home::new(settings, engines(count, capacity), start), start + WARM_UP)
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_returning_chat_goes_where_it_was() {
+fn a_returning_chat_gets_its_last_engine() {
     let (mut home, now) = home(5, 8, settings());
     let first = request_now(&mut home, now, request(1, 77));
     home.handle(now, release(1));
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn a_hint_stands_in_for_lost_memory() {
+fn a_hint_replaces_a_lost_chat_location() {
     let (mut home, now) = home(5, 8, settings());
     let hinted = PermitRequest { hint: Some(Tag(4)), ..request(1, 77) };
     assert_eq!(request_now(&mut home, now, hinted), Some(Reply::Granted(Tag(4))));
-    let strange = PermitRequest { hint: Some(Tag(4444)), ..request(2, 78) };
-    assert!(matches!(request_now(&mut home, now, strange), Some(Reply::Granted(_))));
+    let unknown_hint = PermitRequest { hint: Some(Tag(4444)), ..request(2, 78) };
+    assert!(matches!(request_now(&mut home, now, unknown_hint), Some(Reply::Granted(_))));
 }
 
 #[test]
-fn the_same_ask_twice_gets_the_same_permit_once() {
+fn a_repeated_request_gets_the_same_permit() {
     let (mut home, now) = home(5, 8, settings());
     let first = request_now(&mut home, now, request(1, 7));
     assert_eq!(request_now(&mut home, now, request(1, 7)), first);
@@ -98,21 +98,25 @@
 }
 
 #[test]
-fn a_returning_chat_waits_for_its_engine_and_not_longer_than_its_patience() {
+fn a_returning_chat_waits_for_its_engine_up_to_the_affinity_wait() {
     let (mut home, now) =
         home(2, 8, HomeSettings { affinity_wait: Duration::from_millis(300), ..settings() });
     let engine = request_now(&mut home, now, request(1, 7)).expect("granted");
-    // The chat's engine is at the bound: ceil(1.25 x 2 / 2) = 2, and it holds two of two.
+    // With another request the bound is ceil(1.25 x 3 / 2) = 2, and the chat's engine has two requests.
     let other =
         request_now(&mut home, now, PermitRequest { hint: granted_tag(engine), ..request(2, 8) });
     assert_eq!(other, Some(engine));
     assert_eq!(request_now(&mut home, now, request(3, 7)), Some(Reply::Queued));
     let actions = home.handle(now + Duration::from_millis(100), release(1));
-    assert_eq!(reply_to(&actions, 3), Some(engine), "the place that came free is its own");
+    assert_eq!(
+        reply_to(&actions, 3),
+        Some(engine),
+        "the freed slot goes to the chat that waits for the engine"
+    );
     assert_eq!(request_now(&mut home, now, request(4, 7)), Some(Reply::Queued));
     let actions = home.handle(now + Duration::from_millis(301), Event::Tick);
-    let elsewhere = reply_to(&actions, 4).expect("its patience is over");
-    assert!(matches!(elsewhere, Reply::Granted(tag) if Some(tag) != granted_tag(engine)));
+    let other_engine = reply_to(&actions, 4).expect("a grant when the affinity wait is over");
+    assert!(matches!(other_engine, Reply::Granted(tag) if Some(tag) != granted_tag(engine)));
 }
 
 fn granted_tag(reply: Reply) -> Option<Tag> {
@@ -120,10 +124,10 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new() {
+fn a_leaving_engine_gets_no_new_requests() {
     let (mut home, now) = home(3, 8, settings());
     home.handle(now, Event::ListedLeaving(Tag(1), true));
-    // What an engine says of itself does not undo what the list says.
+    // An engine's own announcement does not override the membership list.
     home.handle(now, Event::AnnouncedLeaving(Tag(1), false));
     let mut specs = engines(3, 8);
     specs[1].leaving = true;
@@ -137,7 +141,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_is_passed_over_ever_longer_and_tried_again() {
+fn a_failed_engine_is_skipped_for_growing_times() {
     let (mut home, mut now) = home(2, 8, settings());
     let mut pauses = Vec::new();
     for number in 0..3 {
@@ -145,7 +149,7 @@
         assert_eq!(request_now(&mut home, now, hinted), Some(Reply::Granted(Tag(1))));
         let failed = Release { number: number * 100, kind: ReleaseKind::Failed, load: None };
         home.handle(now, Event::Release(ENTRY, failed));
-        let began = now;
+        let failed_at = now;
         let mut probe = number * 100 + 1;
         while request_now(
             &mut home,
@@ -161,13 +165,13 @@
             now,
             Event::Release(ENTRY, Release { number: probe, kind: ReleaseKind::Unused, load: None }),
         );
-        pauses.push(now - began);
+        pauses.push(now - failed_at);
     }
     assert!(pauses[0] < pauses[1] && pauses[1] < pauses[2], "{pauses:?}");
 }
 
 #[test]
-fn an_engine_that_answers_a_probe_is_used_again_at_once() {
+fn an_engine_that_responds_to_a_probe_is_used_at_once() {
     let (mut home, now) = home(2, 8, settings());
     home.handle(now, Event::ProbeFailed(Tag(1)));
     let hinted = |number| PermitRequest { hint: Some(Tag(1)), ..request(number, number) };
@@ -177,14 +181,15 @@
 }
 
 #[test]
-fn a_surging_team_waits_behind_its_own_requests() {
+fn a_surge_of_one_team_does_not_delay_another() {
     let (mut home, now) = home(1, 2, settings());
-    let of = |team: u32, number: u64| PermitRequest { team: Tag(team), ..request(number, number) };
+    let by_team =
+        |team: u32, number: u64| PermitRequest { team: Tag(team), ..request(number, number) };
     for number in 1..=12 {
-        request_now(&mut home, now, of(1, number));
+        request_now(&mut home, now, by_team(1, number));
     }
-    assert_eq!(request_now(&mut home, now, of(2, 50)), Some(Reply::Queued));
-    assert_eq!(request_now(&mut home, now, of(2, 51)), Some(Reply::Queued));
+    assert_eq!(request_now(&mut home, now, by_team(2, 50)), Some(Reply::Queued));
+    assert_eq!(request_now(&mut home, now, by_team(2, 51)), Some(Reply::Queued));
     let mut order = Vec::new();
     for number in 1..=6 {
         for action in home.handle(now, release(number)) {
@@ -193,12 +198,12 @@
             }
         }
     }
-    let place = |number| order.iter().position(|n| *n == number);
-    assert!(place(50) < Some(3) && place(51) < Some(5), "{order:?}");
+    let position = |number| order.iter().position(|n| *n == number);
+    assert!(position(50) < Some(3) && position(51) < Some(5), "{order:?}");
 }
 
 #[test]
-fn a_reserved_request_goes_before_all_that_wait() {
+fn a_reserved_request_precedes_all_queued_ones() {
     let (mut home, now) = home(1, 1, settings());
     for number in 1..=5 {
         request_now(&mut home, now, request(number, number));
@@ -214,15 +219,15 @@
 }
 
 #[test]
-fn what_cannot_be_done_in_time_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let (mut home, now) = home(1, 1, settings());
     request_now(&mut home, now, request(1, 1));
     home.handle(now + Duration::from_secs(2), release(1));
     let now = now + Duration::from_secs(2);
     request_now(&mut home, now, request(2, 2));
     assert_eq!(request_now(&mut home, now, request(3, 3)), Some(Reply::Queued));
-    let hurried = PermitRequest { time_left: Duration::from_secs(3), ..request(4, 4) };
-    let reply = request_now(&mut home, now, hurried);
+    let urgent = PermitRequest { time_left: Duration::from_secs(3), ..request(4, 4) };
+    let reply = request_now(&mut home, now, urgent);
     assert!(
         matches!(reply, Some(Reply::Refused { reason: RefuseReason::Deadline, .. })),
         "{reply:?}"
@@ -233,8 +238,8 @@
 fn a_queued_request_is_refused_when_its_deadline_passes() {
     let (mut home, now) = home(1, 1, settings());
     request_now(&mut home, now, request(1, 1));
-    let hurried = PermitRequest { time_left: Duration::from_secs(1), ..request(2, 2) };
-    assert_eq!(request_now(&mut home, now, hurried), Some(Reply::Queued));
+    let urgent = PermitRequest { time_left: Duration::from_secs(1), ..request(2, 2) };
+    assert_eq!(request_now(&mut home, now, urgent), Some(Reply::Queued));
     let actions = home.handle(now + Duration::from_secs(1), Event::Tick);
     let reply = reply_to(&actions, 2);
     assert!(
@@ -245,7 +250,7 @@
 }
 
 #[test]
-fn a_full_queue_and_team_limits_refuse() {
+fn a_full_queue_and_team_limits_refuse_requests() {
     let (mut home, now) = home(1, 1, HomeSettings { queue_max: 1, ..settings() });
     request_now(&mut home, now, request(1, 1));
     assert_eq!(request_now(&mut home, now, request(2, 2)), Some(Reply::Queued));
@@ -262,7 +267,7 @@
 }
 
 #[test]
-fn a_new_home_counts_reports_until_permits_are_announced() {
+fn a_new_home_counts_reported_loads_until_permits_are_announced() {
     let start = Instant::now();
     let mut home = Home::new(settings(), engines(2, 4), start);
     home.handle(start, Event::Probed(Tag(1), 4));
@@ -282,7 +287,7 @@
     let other = Tag(901);
     home.handle(start, Event::Announce(other, vec![held(1, Tag(1)), held(2, Tag(1))], Vec::new()));
     assert_eq!(home.permits(), 6);
-    // What is not named any more is no longer held; what is under way stays.
+    // Permits that are no longer announced are removed; those of pending requests stay.
     home.handle(start, Event::Announce(other, vec![held(2, Tag(1))], Vec::new()));
     assert_eq!(home.permits(), 5);
     home.handle(start, Event::Announce(ENTRY, Vec::new(), vec![0, 1]));
@@ -290,7 +295,7 @@
 }
 
 #[test]
-fn a_count_that_differs_asks_for_an_announcement() {
+fn a_differing_count_of_permits_requests_an_announcement() {
     let (mut home, now) = home(2, 4, settings());
     request_now(&mut home, now, request(1, 1));
     assert!(home.handle(now, Event::HeldCount(ENTRY, 1)).is_empty());
@@ -298,7 +303,7 @@
 }
 
 #[test]
-fn the_permits_of_a_silent_entry_end() {
+fn permits_of_an_unresponsive_entry_expire() {
     let (mut home, now) = home(2, 4, settings());
     request_now(&mut home, now, request(1, 1));
     home.handle(now + ENTRY_TIMEOUT / 2, Event::Tick);
@@ -308,23 +313,23 @@
 }
 
 #[test]
-fn the_permits_of_an_entry_whose_stream_ended_end_sooner_unless_it_is_heard_again() {
-    for heard in [false, true] {
+fn permits_of_a_disconnected_entry_expire_sooner_unless_it_reconnects() {
+    for reconnects in [false, true] {
         let (mut home, now) = home(2, 4, settings());
         request_now(&mut home, now, request(1, 1));
         home.handle(now, Event::EntryDisconnected(ENTRY));
         home.handle(now + DISCONNECTED_ENTRY_TIMEOUT / 2, Event::Tick);
         assert_eq!(home.permits(), 1);
-        if heard {
+        if reconnects {
             home.handle(now + DISCONNECTED_ENTRY_TIMEOUT / 2, Event::HeldCount(ENTRY, 1));
         }
         home.handle(now + DISCONNECTED_ENTRY_TIMEOUT, Event::Tick);
-        assert_eq!(home.permits(), usize::from(heard));
+        assert_eq!(home.permits(), usize::from(reconnects));
     }
 }
 
 #[test]
-fn a_permit_ends_some_time_after_its_requests_deadline() {
+fn a_permit_expires_after_its_requests_deadline() {
     let (mut home, mut now) = home(2, 4, settings());
     request_now(&mut home, now, request(1, 1));
     let until = now + Duration::from_secs(13);
@@ -337,17 +342,17 @@
 }
 
 #[test]
-fn the_bound_follows_the_load_elsewhere() {
+fn the_bound_counts_the_load_of_other_shards() {
     let (mut home, now) = home(2, 100, settings());
     assert_eq!(home.bound(now), 1);
     home.handle(now, Event::OtherShardLoad(Tag(2), ShardLoad { load: 39, engines: 2 }));
     assert_eq!(home.bound(now), bound_of(1.25, 40, 4));
     let later = now + Duration::from_secs(6);
-    assert_eq!(home.bound(later), 1, "a load heard long ago no longer counts");
+    assert_eq!(home.bound(later), 1, "an old load no longer counts");
 }
 
 #[test]
-fn a_full_shard_sends_on_what_may_go_on() {
+fn a_full_shard_spills_requests_that_may_spill() {
     let (mut home, now) = home(1, 1, settings());
     request_now(&mut home, now, request(1, 1));
     assert_eq!(
@@ -357,14 +362,14 @@
 }
 
 #[test]
-fn the_contexts_of_a_leaving_engine_move_to_where_its_chats_will_go() {
+fn contexts_of_a_leaving_engine_move_to_the_next_engines_of_its_chats() {
     let (mut home, now) = home(4, 8, settings());
     for number in 0..40 {
         let hinted = PermitRequest { hint: Some(Tag(1)), ..request(number, number) };
         assert_eq!(request_now(&mut home, now, hinted), Some(Reply::Granted(Tag(1))));
         home.handle(now, release(number));
     }
-    assert!(home.context_moves(now, 10).is_empty(), "nobody leaves");
+    assert!(home.context_moves(now, 10).is_empty(), "no engine is leaving");
     home.handle(now, Event::ListedLeaving(Tag(1), true));
     let moves: Vec<_> =
         std::iter::from_fn(|| Some(home.context_moves(now, 15)).filter(|m| !m.is_empty()))
@@ -372,14 +377,14 @@
     assert_eq!(
         moves.iter().map(Vec::len).collect::<Vec<_>>(),
         [15, 15, 10],
-        "within the rate, each once"
+        "at most 15 moves at once, and each once"
     );
     let first = moves[0][0];
     assert!(moves.iter().flatten().all(|m| m.from == Tag(1) && m.to != Tag(1)));
     home.handle(now, Event::ContextsMoved(vec![(first.chat, first.from, first.to)]));
     let returning = PermitRequest { chat: first.chat, ..request(100, 0) };
     assert_eq!(request_now(&mut home, now, returning), Some(Reply::Granted(first.to)));
-    // A chat that has gone elsewhere meanwhile is left where it is.
+    // The location of a chat that is no longer on the engine does not change.
     home.handle(
         now,
         Event::ContextsMoved(vec![(first.chat, Tag(1), Tag(3)), (first.chat, Tag(1), Tag(4))]),
@@ -388,7 +393,7 @@
 }
 
 #[test]
-fn an_engine_that_does_not_hand_over_is_given_up() {
+fn moves_from_an_engine_are_cancelled_after_a_failure() {
     let (mut home, now) = home(3, 8, settings());
     for number in 0..20 {
         request_now(
@@ -405,5 +410,9 @@
     home.handle(now, Event::AnnouncedLeaving(Tag(1), false));
     home.context_moves(now, 5);
     home.handle(now, Event::AnnouncedLeaving(Tag(1), true));
-    assert_eq!(home.context_moves(now, 5).len(), 5, "it leaves anew");
+    assert_eq!(
+        home.context_moves(now, 5).len(),
+        5,
+        "the moves start again when the engine leaves again"
+    );
 }
--- a/tests/suite/home_random.rs
+++ b/tests/suite/home_random.rs
@@ -1,4 +1,4 @@
-//! The home of a shard under drawn histories: every grant is held against an account of its own.
+//! The home of a shard under random events: every grant is checked against a reference model.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -17,56 +17,66 @@
 
 use crate::home::{ENTRY, home, request, settings};
 
-/// One drawn event.
+/// An event whose kind and values are random. Indices select from the permits held or the requests that wait.
 #[derive(Debug, Clone)]
-enum Draw {
+enum RandomEvent {
     Request { chat: u64, team: u32, hint: u32 },
     Release(usize),
     Fail(usize),
     Leave(u32, bool),
     Advance(u64),
-    Drop(usize),
+    Withdraw(usize),
 }
 
-fn draws() -> impl Strategy<Value = Vec<Draw>> {
-    let draw = prop_oneof![
-        6 => (0..40_u64, 1..4_u32, 0..9_u32).prop_map(|(chat, team, hint)| Draw::Request { chat, team, hint }),
-        4 => any::<prop::sample::Index>().prop_map(|i| Draw::Release(i.index(1000))),
-        1 => any::<prop::sample::Index>().prop_map(|i| Draw::Fail(i.index(1000))),
-        1 => (1..7_u32, any::<bool>()).prop_map(|(engine, leaving)| Draw::Leave(engine, leaving)),
-        2 => (1..400_u64).prop_map(Draw::Advance),
-        1 => any::<prop::sample::Index>().prop_map(|i| Draw::Drop(i.index(1000))),
+fn random_events() -> impl Strategy<Value = Vec<RandomEvent>> {
+    let random_event = prop_oneof![
+        6 => (0..40_u64, 1..4_u32, 0..9_u32).prop_map(|(chat, team, hint)| RandomEvent::Request { chat, team, hint }),
+        4 => any::<prop::sample::Index>().prop_map(|i| RandomEvent::Release(i.index(1000))),
+        1 => any::<prop::sample::Index>().prop_map(|i| RandomEvent::Fail(i.index(1000))),
+        1 => (1..7_u32, any::<bool>()).prop_map(|(engine, leaving)| RandomEvent::Leave(engine, leaving)),
+        2 => (1..400_u64).prop_map(RandomEvent::Advance),
+        1 => any::<prop::sample::Index>().prop_map(|i| RandomEvent::Withdraw(i.index(1000))),
     ];
-    proptest::collection::vec(draw, 1..300)
+    proptest::collection::vec(random_event, 1..300)
 }
 
-/// Checks every grant against an account of its own.
-struct Account {
+/// Reference model: the permits and requests that the home must have after each event.
+struct Model {
     held: HashMap<u64, Tag>,
     waiting: HashSet<u64>,
     leaving: HashSet<Tag>,
 }
 
-impl Account {
-    fn take(&mut self, home: &Home, now: Instant, actions: &[Action]) -> Result<(), TestCaseError> {
+impl Model {
+    fn check(
+        &mut self,
+        home: &Home,
+        now: Instant,
+        actions: &[Action],
+    ) -> Result<(), TestCaseError> {
         for action in actions {
             let Action::Reply(id, reply) = action else { continue };
             match reply {
-                Reply::Queued => prop_assert!(self.waiting.insert(id.number), "queued twice"),
+                Reply::Queued => {
+                    prop_assert!(self.waiting.insert(id.number), "a request was queued twice")
+                }
                 Reply::Granted(engine) => {
                     self.waiting.remove(&id.number);
-                    prop_assert!(!self.leaving.contains(engine), "a leaving engine got work");
-                    prop_assert!(self.held.insert(id.number, *engine).is_none(), "granted twice");
+                    prop_assert!(!self.leaving.contains(engine), "a leaving engine got a request");
+                    prop_assert!(
+                        self.held.insert(id.number, *engine).is_none(),
+                        "a request was granted twice"
+                    );
                     let load = self.held.values().filter(|e| *e == engine).count() as u32;
-                    prop_assert!(load <= 6, "over capacity: {load}");
-                    // The bound once this request counts is at most that of one more arriving.
+                    prop_assert!(load <= 6, "load {load} exceeds the capacity");
+                    // The bound now counts one more arriving request, so it is at least the one at the grant.
                     prop_assert!(
                         load <= home.bound(now),
-                        "{load} on {engine}, bound {}",
+                        "load {load} on {engine} exceeds the bound {}",
                         home.bound(now)
                     );
                 }
-                Reply::Spill => prop_assert!(false, "nothing may spill here"),
+                Reply::Spill => prop_assert!(false, "a request spilled that must not"),
                 Reply::Refused { .. } => {
                     self.waiting.remove(&id.number);
                 }
@@ -79,29 +89,29 @@
 }
 
 #[test]
-fn drawn_events_never_break_the_bound_and_lose_no_ask() {
+fn random_events_keep_the_bound_and_lose_no_request() {
     let config = Config {
         cases: 200,
         rng_seed: RngSeed::Fixed(7),
         failure_persistence: None,
         ..Config::default()
     };
-    let done = TestRunner::new(config).run(&draws(), |draws| {
+    let result = TestRunner::new(config).run(&random_events(), |random_events| {
         let (mut home, mut now) =
             home(6, 6, HomeSettings { affinity_wait: Duration::from_millis(250), ..settings() });
-        let mut account =
-            Account { held: HashMap::new(), waiting: HashSet::new(), leaving: HashSet::new() };
+        let mut model =
+            Model { held: HashMap::new(), waiting: HashSet::new(), leaving: HashSet::new() };
         let mut number = 0;
-        for draw in draws {
+        for random_event in random_events {
             let pick = |set: Vec<u64>, at: usize| {
                 if set.is_empty() { None } else { Some(set[at % set.len()]) }
             };
-            let mut held: Vec<u64> = account.held.keys().copied().collect();
+            let mut held: Vec<u64> = model.held.keys().copied().collect();
             held.sort_unstable();
-            let mut waiting: Vec<u64> = account.waiting.iter().copied().collect();
+            let mut waiting: Vec<u64> = model.waiting.iter().copied().collect();
             waiting.sort_unstable();
-            let event = match draw {
-                Draw::Request { chat, team, hint } => {
+            let event = match random_event {
+                RandomEvent::Request { chat, team, hint } => {
                     number += 1;
                     let hint = (hint > 0).then_some(Tag(hint));
                     Event::PermitRequest(
@@ -109,40 +119,40 @@
                         TeamPolicy::default(),
                     )
                 }
-                Draw::Release(at) | Draw::Fail(at) => {
+                RandomEvent::Release(at) | RandomEvent::Fail(at) => {
                     let Some(number) = pick(held, at) else { continue };
-                    account.held.remove(&number);
-                    let kind = if matches!(draw, Draw::Fail(_)) {
+                    model.held.remove(&number);
+                    let kind = if matches!(random_event, RandomEvent::Fail(_)) {
                         ReleaseKind::Failed
                     } else {
                         ReleaseKind::Done
                     };
                     Event::Release(ENTRY, Release { number, kind, load: None })
                 }
-                Draw::Drop(at) => {
+                RandomEvent::Withdraw(at) => {
                     let Some(number) = pick(waiting, at) else { continue };
-                    account.waiting.remove(&number);
+                    model.waiting.remove(&number);
                     Event::Release(ENTRY, Release { number, kind: ReleaseKind::Unused, load: None })
                 }
-                Draw::Leave(engine, leaving) => {
+                RandomEvent::Leave(engine, leaving) => {
                     if leaving {
-                        account.leaving.insert(Tag(engine))
+                        model.leaving.insert(Tag(engine))
                     } else {
-                        account.leaving.remove(&Tag(engine))
+                        model.leaving.remove(&Tag(engine))
                     };
                     Event::AnnouncedLeaving(Tag(engine), leaving)
                 }
-                Draw::Advance(millis) => {
+                RandomEvent::Advance(millis) => {
                     now += Duration::from_millis(millis);
-                    let count = account.held.len();
+                    let count = model.held.len();
                     home.handle(now, Event::HeldCount(ENTRY, count));
                     Event::Tick
                 }
             };
             let actions = home.handle(now, event);
-            account.take(&home, now, &actions)?;
+            model.check(&home, now, &actions)?;
         }
         Ok(())
     });
-    done.expect("the home keeps its promises");
+    result.expect("the home agrees with the model");
 }
--- a/tests/suite/state_machines.rs
+++ b/tests/suite/state_machines.rs
@@ -1,4 +1,4 @@
-//! The smaller decision machines, each on a made-up clock.
+//! The smaller state machines of the contract and zone modules, each on a simulated clock.
 
 use std::{
     collections::HashMap,
@@ -60,53 +60,61 @@
 }
 
 #[test]
-fn a_peer_that_fails_is_passed_over_until_heard_and_longer_the_more_it_flaps() {
+fn a_failed_peer_is_suspect_until_contact_and_longer_if_it_flaps() {
     let mut view = Membership::new(candidate("a"));
     let mut now = Instant::now();
     view.apply_list(1, vec![member("a", 1, MemberState::Live), member("b", 2, MemberState::Live)]);
     assert_eq!(home_names(&view, now), ["a", "b"]);
     let b = id("b").tag();
     view.note_failure(now, b);
-    assert_eq!(home_names(&view, now + Duration::from_secs(3600)), ["a"], "silence heals nothing");
+    assert_eq!(
+        home_names(&view, now + Duration::from_secs(3600)),
+        ["a"],
+        "a failed peer stays suspect without contact"
+    );
     view.note_contact(now, b, 1, false);
-    assert_eq!(home_names(&view, now), ["a", "b"], "one failure is forgiven at once");
+    assert_eq!(
+        home_names(&view, now),
+        ["a", "b"],
+        "contact after a single failure ends the suspicion"
+    );
     let mut pauses = Vec::new();
     for _ in 0..3 {
         view.note_failure(now, b);
         view.note_contact(now, b, 1, false);
-        let began = now;
+        let contact_at = now;
         while home_names(&view, now) == ["a"] {
             now += Duration::from_millis(100);
         }
-        pauses.push(now - began);
+        pauses.push(now - contact_at);
     }
     assert!(pauses[0] < pauses[1] && pauses[1] < pauses[2], "{pauses:?}");
     now += Duration::from_secs(200);
     view.note_failure(now, b);
     view.note_contact(now, b, 1, false);
-    assert_eq!(home_names(&view, now), ["a", "b"], "what was long ago no longer counts");
+    assert_eq!(home_names(&view, now), ["a", "b"], "old failures no longer count");
 }
 
 #[test]
-fn a_peer_that_is_down_is_tried_ever_less_often() {
+fn a_peer_that_is_down_is_contacted_with_backoff() {
     let mut view = Membership::new(candidate("a"));
     let mut now = Instant::now();
     view.apply_list(1, vec![member("b", 2, MemberState::Live)]);
     let b = id("b").tag();
-    let mut tries = 0;
+    let mut attempts = 0;
     let until = now + Duration::from_secs(120);
     while now < until {
-        if view.peer(b).expect("known").may_be_contacted(now) {
-            tries += 1;
+        if view.peer(b).expect("a peer").may_be_contacted(now) {
+            attempts += 1;
             view.note_failure(now, b);
         }
         now += Duration::from_millis(100);
     }
-    assert!((6..=9).contains(&tries), "{tries}");
+    assert!((6..=9).contains(&attempts), "{attempts} attempts in 120 s");
 }
 
 #[test]
-fn a_rumour_counts_only_where_nothing_was_heard_lately() {
+fn a_reported_suspicion_counts_only_without_recent_contact() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
     view.apply_list(1, vec![member("b", 2, MemberState::Live), member("c", 3, MemberState::Live)]);
@@ -114,12 +122,12 @@
     view.note_reported_suspect(now, id("b").tag());
     view.note_reported_suspect(now, id("c").tag());
     assert_eq!(home_names(&view, now), ["a", "b"]);
-    assert!(view.own_suspects(now).is_empty(), "a rumour is not passed on as own evidence");
+    assert!(view.own_suspects(now).is_empty(), "a reported suspicion is not own evidence");
     assert_eq!(home_names(&view, now + Duration::from_secs(3)), ["a", "b", "c"]);
 }
 
 #[test]
-fn leaving_and_replaced_instances_are_known_as_such() {
+fn leaving_and_replaced_instances_are_recognized() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
     view.apply_list(
@@ -130,19 +138,27 @@
     view.note_contact(now, id("b").tag(), 7, true);
     assert_eq!(home_names(&view, now), ["a"]);
     view.note_contact(now, id("b").tag(), 6, false);
-    assert_eq!(home_names(&view, now), ["a"], "what an older process said no longer counts");
+    assert_eq!(home_names(&view, now), ["a"], "messages of an earlier process are ignored");
     view.note_contact(now, id("b").tag(), 8, false);
-    assert_eq!(home_names(&view, now), ["a", "b"], "the same address, a new process");
+    assert_eq!(
+        home_names(&view, now),
+        ["a", "b"],
+        "a new process at the same address is not leaving"
+    );
     view.apply_list(2, vec![member("b", 9, MemberState::Live)]);
-    assert_eq!(view.peer(id("b").tag()).expect("known").address.port(), 9);
+    assert_eq!(view.peer(id("b").tag()).expect("a peer").address.port(), 9);
     view.apply_list(3, vec![member("b", 9, MemberState::Gone)]);
     assert_eq!(home_names(&view, now), ["a"]);
     view.leave();
-    assert_eq!(home_names(&view, now), ["a"], "the last one stays its own home");
+    assert_eq!(
+        home_names(&view, now),
+        ["a"],
+        "an instance without peers stays the home even while it leaves"
+    );
 }
 
 #[test]
-fn introductions_are_passed_on_for_a_while() {
+fn introductions_are_propagated_for_a_limited_time() {
     let mut view = Membership::new(candidate("a"));
     let now = Instant::now();
     view.introduce(now, member("b", 2, MemberState::Live));
@@ -150,7 +166,11 @@
     assert_eq!(view.recent_introductions(now).len(), 1);
     view.introduce(now, member("b", 2, MemberState::Live));
     view.introduce(now, member("a", 1, MemberState::Live));
-    assert_eq!(view.recent_introductions(now).len(), 1, "neither twice nor back to itself");
+    assert_eq!(
+        view.recent_introductions(now).len(),
+        1,
+        "neither a repeated introduction nor the own one is propagated"
+    );
     assert!(view.recent_introductions(now + Duration::from_secs(60)).is_empty());
 }
 
@@ -166,7 +186,7 @@
 }
 
 #[test]
-fn revisions_in_any_order_only_ever_go_forward() {
+fn the_active_revision_only_increases() {
     let strategy = proptest::collection::vec((any::<bool>(), 1..20_u64), 1..60);
     let config = Config {
         cases: 200,
@@ -174,42 +194,45 @@
         failure_persistence: None,
         ..Config::default()
     };
-    let done = TestRunner::new(config).run(&strategy, |events| {
-        let mut in_force = ActiveRevision::default();
-        let mut greatest = 0;
+    let result = TestRunner::new(config).run(&strategy, |events| {
+        let mut active_revision = ActiveRevision::default();
+        let mut newest = 0;
         let mut before = Revision::default();
-        for (learns, revision) in events {
-            if learns {
-                greatest = greatest.max(revision);
-                in_force.note_head(head(revision));
-            } else if let Some(wanted) = in_force.pending().cloned() {
-                prop_assert!(wanted.revision > in_force.revision());
-                prop_assert!(in_force.install(wanted));
-            } else if in_force.installed().is_some() {
-                let older = head(revision.min(in_force.revision().0));
-                prop_assert!(!in_force.install(older), "an older file is never put in force");
+        for (is_notified, revision) in events {
+            if is_notified {
+                newest = newest.max(revision);
+                active_revision.note_head(head(revision));
+            } else if let Some(pending) = active_revision.pending().cloned() {
+                prop_assert!(pending.revision > active_revision.revision());
+                prop_assert!(active_revision.install(pending));
+            } else if active_revision.installed().is_some() {
+                let older = head(revision.min(active_revision.revision().0));
+                prop_assert!(
+                    !active_revision.install(older),
+                    "an older revision is never activated"
+                );
             }
-            prop_assert!(in_force.revision() >= before);
-            before = in_force.revision();
+            prop_assert!(active_revision.revision() >= before);
+            before = active_revision.revision();
         }
-        while let Some(wanted) = in_force.pending().cloned() {
-            in_force.install(wanted);
+        while let Some(pending) = active_revision.pending().cloned() {
+            active_revision.install(pending);
         }
-        prop_assert_eq!(in_force.revision(), Revision(greatest));
+        prop_assert_eq!(active_revision.revision(), Revision(newest));
         Ok(())
     });
-    done.expect("forward only");
+    result.expect("the active revision only increases");
 }
 
-/// A table row as a lease sees it.
+/// The lease's row with its version, as the table stores it.
 #[derive(Default)]
 struct LeaseTable(Option<(LeaseRow, u64)>);
 
 impl LeaseTable {
     fn step(&mut self, lease: &mut Lease, now: Instant) {
         if let LeaseStep::Write(row, version) = lease.step(now, self.0.clone()) {
-            let holds = version == self.0.as_ref().map(|(_, version)| *version);
-            if holds {
+            let unchanged = version == self.0.as_ref().map(|(_, version)| *version);
+            if unchanged {
                 self.0 = Some((row.clone(), version.unwrap_or(0) + 1));
                 lease.note_written(now, &row);
             } else {
@@ -220,7 +243,7 @@
 }
 
 #[test]
-fn a_paused_holder_finds_its_lease_lapsed_before_another_holds_it() {
+fn a_paused_holders_lease_expires_before_another_acquires_it() {
     let (mut a, mut b) = (Lease::new(id("a"), 1), Lease::new(id("b"), 1));
     let mut table = LeaseTable::default();
     let start = Instant::now();
@@ -230,15 +253,25 @@
     while b.fencing(now).is_none() {
         now += Duration::from_secs(1);
         table.step(&mut b, now);
-        assert!(a.fencing(now).is_none() || b.fencing(now).is_none(), "two at once");
+        assert!(
+            a.fencing(now).is_none() || b.fencing(now).is_none(),
+            "two instances hold the lease"
+        );
     }
-    assert!(now - start >= LEASE_TTL, "taken over only once it stood still for its life");
+    assert!(
+        now - start >= LEASE_TTL,
+        "the lease is taken over only after its row was unchanged for its TTL"
+    );
     assert_eq!(a.fencing(start + LEASE_TTL - LEASE_MARGIN), None);
-    assert_eq!(b.fencing(now), Some(2), "the number grows with the holder");
+    assert_eq!(b.fencing(now), Some(2), "the fencing number increases with the holder");
     table.step(&mut a, now);
-    assert_eq!(a.fencing(now), None, "the holder before finds that it is no longer");
+    assert_eq!(a.fencing(now), None, "the previous holder finds that it no longer holds the lease");
     table.step(&mut b, now + Duration::from_secs(5));
-    assert_eq!(b.fencing(now + Duration::from_secs(5)), Some(2), "renewed under the same number");
+    assert_eq!(
+        b.fencing(now + Duration::from_secs(5)),
+        Some(2),
+        "a renewal keeps the fencing number"
+    );
 }
 
 #[test]
@@ -246,15 +279,15 @@
     let mut table = LeaseTable::default();
     let now = Instant::now();
     table.step(&mut Lease::new(id("a"), 1), now);
-    let mut again = Lease::new(id("a"), 2);
-    table.step(&mut again, now);
-    assert_eq!(again.fencing(now), None);
-    table.step(&mut again, now + LEASE_TTL);
-    assert_eq!(again.fencing(now + LEASE_TTL), Some(2));
+    let mut restarted = Lease::new(id("a"), 2);
+    table.step(&mut restarted, now);
+    assert_eq!(restarted.fencing(now), None);
+    table.step(&mut restarted, now + LEASE_TTL);
+    assert_eq!(restarted.fencing(now + LEASE_TTL), Some(2));
 }
 
 #[test]
-fn a_claim_is_judged_by_whose_it_is_and_how_far_it_came() {
+fn claims_are_decided_by_their_attempt_and_state() {
     let own = Claim {
         attempt: "mine".to_owned(),
         request: Digest::of(b"a"),
@@ -262,8 +295,8 @@
         deadline_at: 100,
         expires_at: 1000,
     };
-    let answer = StoredResponse { status: 200, headers: Vec::new(), body: b"x".to_vec() };
-    let other = |state| Claim { attempt: "other".to_owned(), state, ..own.clone() };
+    let response = StoredResponse { status: 200, headers: Vec::new(), body: b"x".to_vec() };
+    let other_attempt = |state| Claim { attempt: "other".to_owned(), state, ..own.clone() };
     let status = |found: &Claim, now| match decide(&own, found, now) {
         ClaimVerdict::Run => "run".to_owned(),
         ClaimVerdict::Renew => "renew".to_owned(),
@@ -273,18 +306,18 @@
     let table = [
         ("own", own.clone(), 50, "run"),
         ("own, past its deadline", own.clone(), 500, "run"),
-        ("running", other(ClaimState::Running), 50, "409 unknown"),
-        ("running past its deadline", other(ClaimState::Running), 500, "409 unknown"),
-        ("unknown", other(ClaimState::Unknown), 500, "409 unknown"),
-        ("done", other(ClaimState::Done(answer)), 500, "replay"),
-        ("done, too large", other(ClaimState::DoneTooLarge), 500, "409 run"),
+        ("running", other_attempt(ClaimState::Running), 50, "409 unknown"),
+        ("running past its deadline", other_attempt(ClaimState::Running), 500, "409 unknown"),
+        ("unknown", other_attempt(ClaimState::Unknown), 500, "409 unknown"),
+        ("done", other_attempt(ClaimState::Done(response)), 500, "replay"),
+        ("done, too large", other_attempt(ClaimState::DoneTooLarge), 500, "409 run"),
         (
             "another request",
-            Claim { request: Digest::of(b"b"), ..other(ClaimState::Unknown) },
+            Claim { request: Digest::of(b"b"), ..other_attempt(ClaimState::Unknown) },
             500,
             "422 not-run",
         ),
-        ("expired", other(ClaimState::Unknown), 1000, "renew"),
+        ("expired", other_attempt(ClaimState::Unknown), 1000, "renew"),
     ];
     for (name, found, now, verdict) in table {
         assert_eq!(status(&found, now), verdict, "{name}");
@@ -292,7 +325,7 @@
 }
 
 #[test]
-fn faults_are_classified_by_whether_a_byte_can_have_been_seen() {
+fn faults_are_classified_by_whether_the_request_may_have_run() {
     use AttemptFault::{
         AfterSend, BeforeSend, CallerGone, Connect, CutBody, Foreign, Garbage, HeadTimeout,
         Refused, StalledBody,
@@ -313,13 +346,13 @@
         );
         assert!(
             !may_retry(fault, RetrySafety::Idempotent, true),
-            "{fault:?}: part of an answer is out"
+            "{fault:?}: part of the response has been sent"
         );
     }
 }
 
 #[test]
-fn retries_stay_under_their_share_and_pauses_in_their_range() {
+fn retries_stay_within_their_share_and_backoff_within_its_range() {
     let mut budget = RetryBudget::new(0.1);
     let retries = (0..10_000).filter(|_| {
         budget.note_request();
@@ -334,7 +367,7 @@
 }
 
 #[test]
-fn a_token_bucket_gives_its_rate() {
+fn a_token_bucket_enforces_its_rate() {
     let start = Instant::now();
     let mut bucket = TokenBucket::new(Rate(5.0), start);
     let mut taken = 0;
@@ -349,51 +382,52 @@
 }
 
 #[test]
-fn a_fair_queue_shares_by_weight_and_loses_nothing() {
+fn a_fair_queue_shares_by_weight_and_loses_no_items() {
     let mut queue = FairQueue::default();
     for n in 0..300 {
         queue.push(Tag(1), 1, false, (1, n));
         queue.push(Tag(2), 3, false, (2, n));
     }
     let first: Vec<(u32, i32)> = (0..200).filter_map(|_| queue.pop()).collect();
-    let of_two = first.iter().filter(|(team, _)| *team == 2).count();
-    assert_eq!(of_two, 150);
+    let of_team_2 = first.iter().filter(|(team, _)| *team == 2).count();
+    assert_eq!(of_team_2, 150);
     for team in [1, 2] {
         let order: Vec<i32> = first.iter().filter(|(t, _)| *t == team).map(|(_, n)| *n).collect();
-        assert!(order.is_sorted(), "each line in its own order");
+        assert!(order.is_sorted(), "items of one team keep their order");
     }
     let item = queue.pop().expect("more");
     queue.push_front(Tag(item.0), 1, false, item);
     assert_eq!(queue.len(), 400);
-    let gone = queue.extract(|(team, _)| *team == 2);
-    assert_eq!((gone.len(), queue.len()), (150, 250));
+    let extracted = queue.extract(|(team, _)| *team == 2);
+    assert_eq!((extracted.len(), queue.len()), (150, 250));
     assert_eq!(std::iter::from_fn(|| queue.pop()).count(), 250);
     assert!(queue.is_empty() && queue.pop().is_none());
 }
 
 #[test]
-fn rendezvous_moves_only_what_it_must_and_follows_weights() {
+fn rendezvous_moves_only_keys_of_a_removed_node_and_follows_weights() {
     let nodes: Vec<(Tag, f64)> =
         (1..=10).map(|n| (Tag(n * 7919), if n == 1 { 2.0 } else { 1.0 })).collect();
     let mut counts: HashMap<usize, u32> = HashMap::new();
     for key in 0..20_000_u64 {
         let key = ChatKey::of(&["s", &key.to_string()]).0;
-        let rank = ranked(key, nodes.iter().copied());
-        *counts.entry(rank[0]).or_default() += 1;
-        let without =
-            ranked(key, nodes.iter().copied().filter(|(tag, _)| *tag != nodes[rank[0]].0));
-        // Without the first, the second takes over; everything else stays.
-        let second = nodes[rank[1]].0;
-        let rest: Vec<Tag> = nodes.iter().map(|n| n.0).filter(|t| *t != nodes[rank[0]].0).collect();
-        assert_eq!(rest[without[0]], second);
+        let order = ranked(key, nodes.iter().copied());
+        *counts.entry(order[0]).or_default() += 1;
+        let without_first =
+            ranked(key, nodes.iter().copied().filter(|(tag, _)| *tag != nodes[order[0]].0));
+        // Without the first node, the key moves to the second.
+        let second = nodes[order[1]].0;
+        let rest: Vec<Tag> =
+            nodes.iter().map(|n| n.0).filter(|t| *t != nodes[order[0]].0).collect();
+        assert_eq!(rest[without_first[0]], second);
     }
     let share = f64::from(counts[&0]) / 20_000.0;
-    assert!((0.165..0.20).contains(&share), "weight 2 of 11 is 0.182: {share}");
+    assert!((0.165..0.20).contains(&share), "weight 2 of 11 gives a share of 0.182, not {share}");
     assert!(score(1, Tag(1), 1.0).is_finite());
 }
 
 #[test]
-fn losing_an_instance_moves_only_its_own_homes() {
+fn removing_an_instance_moves_only_its_own_shards() {
     let all: Vec<Candidate> = (0..8).map(|n| candidate(&format!("r{n}"))).collect();
     let homes = |live: &[Candidate]| -> Vec<InstanceId> {
         let shard = |number| ShardId { service: Tag(5), number };
@@ -404,43 +438,47 @@
         assert!(a == b || *a == all[0].id);
     }
     let own = before.iter().filter(|home| **home == all[0].id).count();
-    assert!((10..45).contains(&own), "about an eighth of 200: {own}");
+    assert!((10..45).contains(&own), "one of 8 instances has {own} of 200 homes");
 }
 
 #[test]
-fn memory_keeps_the_most_recent_and_tells_only_news() {
-    let mut recency = RecentChats::new(1000);
+fn recent_chats_are_kept_and_only_changes_are_replicated() {
+    let mut recent = RecentChats::new(1000);
     for chat in 0..5000 {
-        recency.put(ChatKey(chat), Tag(1));
+        recent.put(ChatKey(chat), Tag(1));
     }
     assert!(
-        recency.len() <= 1000
-            && recency.get(ChatKey(4999)).is_some()
-            && recency.get(ChatKey(0)).is_none()
+        recent.len() <= 1000
+            && recent.get(ChatKey(4999)).is_some()
+            && recent.get(ChatKey(0)).is_none()
     );
-    let mut memory = ChatLocations::new(1000);
+    let mut locations = ChatLocations::new(1000);
     for _ in 0..3 {
-        memory.put(ChatKey(1), Tag(1));
-        memory.put(ChatKey(2), Tag(1));
+        locations.put(ChatKey(1), Tag(1));
+        locations.put(ChatKey(2), Tag(1));
     }
-    memory.put(ChatKey(1), Tag(2));
-    assert_eq!(memory.take_unreplicated(10).len(), 3, "two chats, one of which moved");
-    memory.mark_all_unreplicated();
-    let all = memory.take_unreplicated(10);
+    locations.put(ChatKey(1), Tag(2));
+    assert_eq!(
+        locations.take_unreplicated(10).len(),
+        3,
+        "two chats, one of which went to another engine"
+    );
+    locations.mark_all_unreplicated();
+    let all = locations.take_unreplicated(10);
     assert_eq!(all.len(), 2);
     let mut replica = ChatLocations::new(1000);
     replica.merge(all, false);
     assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)));
     replica.merge(vec![(ChatKey(1), Tag(3))], true);
-    assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)), "what was seen here stays");
+    assert_eq!(replica.get(ChatKey(1)), Some(Tag(2)), "a location known here wins");
 }
 
 #[test]
-fn the_table_of_homes_follows_every_change_of_the_members() {
+fn the_home_table_follows_every_membership_change() {
     let text =
         std::fs::read_to_string(format!("{}/examples/hanbit.toml", env!("CARGO_MANIFEST_DIR")))
             .expect("the example");
-    let snapshot = Snapshot::new(head(1), Fleet::parse(&text).expect("sound"));
+    let snapshot = Snapshot::new(head(1), Fleet::parse(&text).expect("a valid configuration"));
     let shards: Vec<&Shard> = snapshot.services().flat_map(|view| &view.shards).collect();
     let mut view = Membership::new(candidate("a"));
     let mut table = HomeTable::default();
@@ -465,17 +503,17 @@
     view.note_failure(now, b);
     check(&view, now, "failed");
     view.note_contact(now, b, 1, false);
-    check(&view, now, "heard");
+    check(&view, now, "contact");
     view.note_contact(now, b, 1, true);
     check(&view, now, "leaving");
     for n in 0..20 {
         view.note_reported_suspect(now, id(&format!("r{n}")).tag());
     }
-    check(&view, now, "rumours");
+    check(&view, now, "reported suspicions");
     now += Duration::from_secs(3);
-    check(&view, now, "rumours that have ended by time");
+    check(&view, now, "reported suspicions that have expired");
     view.introduce(now, member("c", 99, MemberState::Live));
     check(&view, now, "introduced");
     view.leave();
-    check(&view, now, "this instance leaves");
+    check(&view, now, "this instance is leaving");
 }
