--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,13 +1,13 @@
 //! All integration tests, in one crate.
 
 mod answers;
-mod backoff_drawn;
+mod backoff_random;
 mod bodies;
-mod budget_drawn;
 mod budget_fleet;
+mod budget_random;
 mod callers;
 mod cluster_state;
-mod cold_drawn;
+mod cold_random;
 mod cold_servers;
 mod config;
 mod crash_suspects;
@@ -18,11 +18,10 @@
 mod files;
 mod framing;
 mod gateway;
-mod growth;
 mod herding;
 mod home;
 mod home_random;
-mod homes_of_requests;
+mod home_regions;
 mod idle_callers;
 mod incarnations;
 mod intent_changes;
@@ -41,6 +40,7 @@
 mod rollouts_random;
 mod roster_fleet;
 mod routing;
+mod scaling;
 mod server_notices;
 mod sessions;
 mod silent_links;
