--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -16,7 +16,7 @@
     contract::outcome::Outcome,
     link::{
         caller::{Served, linger},
-        http1::{BodyReader, Conn, HeadFault, ReadFault, RequestHead, body::BodyFraming},
+        http1::{BodyReader, Conn, HeadError, ReadError, RequestHead, body::BodyFraming},
     },
     names::TeamName,
     routing::{Intent, Route},
@@ -145,18 +145,18 @@
     Done { status: own.status.as_u16(), outcome: Outcome::NotRun, keep, reason: own.reason }
 }
 
-fn refuse_head(conn: &mut Conn, fault: &HeadFault) -> After {
+fn refuse_head(conn: &mut Conn, fault: &HeadError) -> After {
     let own = match fault {
-        HeadFault::Read(ReadFault::Timeout) => {
+        HeadError::Read(ReadError::Timeout) => {
             OwnAnswer::new(StatusCode::REQUEST_TIMEOUT, "the head did not come in time")
         }
-        HeadFault::Read(_) => return After::Ends,
-        HeadFault::TooLarge => OwnAnswer::new(
+        HeadError::Read(_) => return After::Ends,
+        HeadError::TooLarge => OwnAnswer::new(
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             "the head is larger than allowed; send fewer or shorter headers",
         ),
-        HeadFault::Bad(what) => OwnAnswer::new(StatusCode::BAD_REQUEST, what),
-        HeadFault::Coding => OwnAnswer::new(
+        HeadError::Invalid(what) => OwnAnswer::new(StatusCode::BAD_REQUEST, what),
+        HeadError::UnsupportedCoding => OwnAnswer::new(
             StatusCode::NOT_IMPLEMENTED,
             "only the transfer coding chunked is understood",
         ),
@@ -195,7 +195,7 @@
         let piece = match reader.next_by(conn, |conn| conn.fill_beside(began + idle, None)) {
             Ok(Some(piece)) => piece,
             Ok(None) => return Ok(body),
-            Err(ReadFault::TooLarge) => return Err(too_large()),
+            Err(ReadError::TooLarge) => return Err(too_large()),
             Err(fault) => return Err(cut_body(&fault)),
         };
         if body.len() + piece.len() > most {
@@ -211,8 +211,8 @@
     }
 }
 
-fn cut_body(fault: &ReadFault) -> OwnAnswer {
-    if matches!(fault, ReadFault::Timeout) {
+fn cut_body(fault: &ReadError) -> OwnAnswer {
+    if matches!(fault, ReadError::Timeout) {
         return OwnAnswer::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
     }
     OwnAnswer::new(StatusCode::BAD_REQUEST, "the body was cut or is not framed")
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -12,7 +12,7 @@
     adapter,
     contract::outcome::AttemptFault,
     link::http1::{
-        BodyReader, Conn, ReadFault, ResponseHead,
+        BodyReader, Conn, ReadError, ResponseHead,
         head::{write_header, write_headers},
     },
 };
@@ -65,9 +65,9 @@
     let bytes = request_bytes(request, outgoing);
     let sent = match conn.send_until_answered(&bytes, until, caller) {
         Ok(sent) => sent,
-        Err((_, ReadFault::GivenUp)) => return Err(AttemptFault::CallerGone),
+        Err((_, ReadError::Cancelled)) => return Err(AttemptFault::CallerGone),
         Err((0, _)) => return Err(AttemptFault::BeforeSend),
-        Err((_, ReadFault::Timeout)) => return Err(AttemptFault::HeadTimeout),
+        Err((_, ReadError::Timeout)) => return Err(AttemptFault::HeadTimeout),
         Err(_) => return Err(AttemptFault::AfterSend),
     };
     let request_whole = sent == bytes.len();
@@ -143,8 +143,8 @@
         }
         match conn.fill_beside(until, caller) {
             Ok(()) => {}
-            Err(ReadFault::Timeout) => until = (wait.longer)().ok_or(AttemptFault::HeadTimeout)?,
-            Err(ReadFault::GivenUp) => return Err(AttemptFault::CallerGone),
+            Err(ReadError::Timeout) => until = (wait.longer)().ok_or(AttemptFault::HeadTimeout)?,
+            Err(ReadError::Cancelled) => return Err(AttemptFault::CallerGone),
             Err(_) => return Err(AttemptFault::AfterSend),
         }
     }
@@ -159,12 +159,12 @@
     body.next_by(conn, |conn| conn.fill_beside(until, caller)).map_err(body_fault)
 }
 
-fn body_fault(fault: ReadFault) -> AttemptFault {
+fn body_fault(fault: ReadError) -> AttemptFault {
     match fault {
-        ReadFault::Timeout => AttemptFault::StalledBody,
-        ReadFault::GivenUp => AttemptFault::CallerGone,
-        ReadFault::Closed | ReadFault::Io(_) => AttemptFault::CutBody,
-        ReadFault::Protocol(_) | ReadFault::TooLarge => AttemptFault::Garbage,
+        ReadError::Timeout => AttemptFault::StalledBody,
+        ReadError::Cancelled => AttemptFault::CallerGone,
+        ReadError::Closed | ReadError::Io(_) => AttemptFault::CutBody,
+        ReadError::Protocol(_) | ReadError::TooLarge => AttemptFault::Garbage,
     }
 }
 
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -20,7 +20,7 @@
     link::{
         answer::{AnswerNote, OwnHeaders, send_refusal},
         caller::linger,
-        http1::{BodyFraming, BodyReader, Conn, HeadFault, ReadFault, RequestHead},
+        http1::{BodyFraming, BodyReader, Conn, HeadError, ReadError, RequestHead},
     },
     utils::usage::UsageGuard,
 };
@@ -79,9 +79,9 @@
     conn.fill(until, &mut || !idle_ends()).is_ok()
 }
 
-fn refuse_head(shared: &Shared, conn: &mut Conn, fault: &HeadFault, id: String) {
+fn refuse_head(shared: &Shared, conn: &mut Conn, fault: &HeadError, id: String) {
     let refusal = match fault {
-        HeadFault::Read(ReadFault::Timeout) => Refusal::not_run(
+        HeadError::Read(ReadError::Timeout) => Refusal::not_run(
             408,
             "request too slow",
             format!(
@@ -89,7 +89,7 @@
                 shared.settings.timeouts.head
             ),
         ),
-        HeadFault::TooLarge => Refusal::not_run(
+        HeadError::TooLarge => Refusal::not_run(
             431,
             "head too large",
             format!(
@@ -97,9 +97,11 @@
                 shared.settings.limits.head
             ),
         ),
-        HeadFault::Bad(what) => Refusal::not_run(400, "bad request", *what),
-        HeadFault::Coding => Refusal::not_run(501, "unknown transfer coding", fault.to_string()),
-        HeadFault::Read(_) => return,
+        HeadError::Invalid(what) => Refusal::not_run(400, "bad request", *what),
+        HeadError::UnsupportedCoding => {
+            Refusal::not_run(501, "unknown transfer coding", fault.to_string())
+        }
+        HeadError::Read(_) => return,
     };
     refuse(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
 }
@@ -218,7 +220,7 @@
     now: Instant,
 ) -> Result<Taken<'s>, NotTaken> {
     let framing = head.framing().map_err(|fault| {
-        let status = if matches!(fault, HeadFault::Coding) { 501 } else { 400 };
+        let status = if matches!(fault, HeadError::UnsupportedCoding) { 501 } else { 400 };
         NotTaken::unread(Refusal::not_run(status, "bad request", fault.to_string()))
     })?;
     let bodiless = framing == BodyFraming::Length(0);
@@ -301,8 +303,8 @@
     let until = shared.clock.now() + shared.settings.timeouts.body.0;
     let mut reader = BodyReader::new(framing);
     reader.read_all(conn, limits.body.bytes(), until).map_err(|fault| match fault {
-        ReadFault::TooLarge => too_large(),
-        ReadFault::Timeout => Refusal::not_run(
+        ReadError::TooLarge => too_large(),
+        ReadError::Timeout => Refusal::not_run(
             408,
             "request too slow",
             format!(
--- a/src/link/backend.rs
+++ b/src/link/backend.rs
@@ -16,7 +16,7 @@
     clock::Clock,
     contract::outcome::AttemptFault,
     link::http1::{
-        BodyReader, Conn, HeadFault, ReadFault, ResponseHead,
+        BodyReader, Conn, HeadError, ReadError, ResponseHead,
         conn::ConnState,
         head::{write_header, write_headers},
     },
@@ -177,10 +177,10 @@
         go_on: &mut dyn FnMut() -> bool,
     ) -> Result<Option<Vec<u8>>, AttemptFault> {
         self.body.next(&mut self.conn, until, go_on).map_err(|e| match e {
-            ReadFault::Timeout => AttemptFault::StalledBody,
-            ReadFault::GivenUp => AttemptFault::CallerGone,
-            ReadFault::Closed | ReadFault::Io(_) => AttemptFault::CutBody,
-            ReadFault::Protocol(_) | ReadFault::TooLarge => AttemptFault::Garbage,
+            ReadError::Timeout => AttemptFault::StalledBody,
+            ReadError::Cancelled => AttemptFault::CallerGone,
+            ReadError::Closed | ReadError::Io(_) => AttemptFault::CutBody,
+            ReadError::Protocol(_) | ReadError::TooLarge => AttemptFault::Garbage,
         })
     }
 
@@ -198,11 +198,11 @@
     }
 }
 
-fn head_fault(fault: HeadFault) -> AttemptFault {
+fn head_fault(fault: HeadError) -> AttemptFault {
     match fault {
-        HeadFault::Read(ReadFault::Timeout) => AttemptFault::HeadTimeout,
-        HeadFault::Read(ReadFault::GivenUp) => AttemptFault::CallerGone,
-        HeadFault::Read(ReadFault::Closed | ReadFault::Io(_)) => AttemptFault::AfterSend,
+        HeadError::Read(ReadError::Timeout) => AttemptFault::HeadTimeout,
+        HeadError::Read(ReadError::Cancelled) => AttemptFault::CallerGone,
+        HeadError::Read(ReadError::Closed | ReadError::Io(_)) => AttemptFault::AfterSend,
         _ => AttemptFault::Garbage,
     }
 }
--- a/src/link/call.rs
+++ b/src/link/call.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderMap, Method, StatusCode};
 
-use super::http1::{BodyReader, Conn, ReadFault, ResponseHead};
+use super::http1::{BodyReader, Conn, ReadError, ResponseHead};
 
 /// Largest head of a reply, in bytes.
 const HEAD_MAX: usize = 8 << 10;
@@ -93,7 +93,7 @@
         let began = !conn.buffered().is_empty();
         match conn.fill_beside(until, None) {
             Ok(()) => {}
-            Err(ReadFault::Timeout) => return Err(CallFault::Silent(time.head)),
+            Err(ReadError::Timeout) => return Err(CallFault::Silent(time.head)),
             Err(e) if began => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
             Err(e) => return Err(CallFault::Ended(e.to_string())),
         }
--- a/src/link/http1/body.rs
+++ b/src/link/http1/body.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::conn::{Conn, ReadFault};
+use super::conn::{Conn, ReadError};
 
 /// Longest line that announces a chunk, extensions included.
 const CHUNK_LINE_MAX: usize = 256;
@@ -68,7 +68,7 @@
         conn: &mut Conn,
         until: Instant,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<Option<Vec<u8>>, ReadFault> {
+    ) -> Result<Option<Vec<u8>>, ReadError> {
         self.next_by(conn, |conn| conn.fill(until, go_on))
     }
 
@@ -80,8 +80,8 @@
     pub fn next_by(
         &mut self,
         conn: &mut Conn,
-        mut fill: impl FnMut(&mut Conn) -> Result<(), ReadFault>,
-    ) -> Result<Option<Vec<u8>>, ReadFault> {
+        mut fill: impl FnMut(&mut Conn) -> Result<(), ReadError>,
+    ) -> Result<Option<Vec<u8>>, ReadError> {
         loop {
             if self.state == State::Done {
                 return Ok(None);
@@ -93,7 +93,7 @@
                 continue;
             }
             match fill(conn) {
-                Err(ReadFault::Closed) if self.state == State::UntilClose => {
+                Err(ReadError::Closed) if self.state == State::UntilClose => {
                     self.state = State::Done
                 }
                 filled => filled?,
@@ -112,7 +112,7 @@
         max: usize,
         until: Instant,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<Option<Vec<u8>>, ReadFault> {
+    ) -> Result<Option<Vec<u8>>, ReadError> {
         let mut chunk = Vec::new();
         loop {
             let Some(piece) = self.next(conn, until, go_on)? else { return Ok(None) };
@@ -122,7 +122,7 @@
                 chunk.extend_from_slice(&piece)
             }
             if chunk.len() > max {
-                return Err(ReadFault::TooLarge);
+                return Err(ReadError::TooLarge);
             }
             if !matches!(self.state, State::ChunkData(_)) {
                 return Ok(Some(chunk));
@@ -140,17 +140,17 @@
         conn: &mut Conn,
         max: usize,
         until: Instant,
-    ) -> Result<Vec<u8>, ReadFault> {
+    ) -> Result<Vec<u8>, ReadError> {
         if let State::Data(length) = self.state
             && length > max as u64
         {
-            return Err(ReadFault::TooLarge);
+            return Err(ReadError::TooLarge);
         }
         let mut body = Vec::new();
         while let Some(piece) = self.next_by(conn, |conn| conn.fill_beside(until, None))? {
             body.extend_from_slice(&piece);
             if body.len() > max {
-                return Err(ReadFault::TooLarge);
+                return Err(ReadError::TooLarge);
             }
         }
         Ok(body)
@@ -168,7 +168,7 @@
         max: usize,
         stall: Duration,
         end: Instant,
-    ) -> Result<Vec<u8>, (usize, ReadFault)> {
+    ) -> Result<Vec<u8>, (usize, ReadError)> {
         let mut body = Vec::new();
         loop {
             let fill = |conn: &mut Conn| {
@@ -179,13 +179,13 @@
             let Some(piece) = piece else { return Ok(body) };
             body.extend_from_slice(&piece);
             if body.len() > max {
-                return Err((body.len(), ReadFault::TooLarge));
+                return Err((body.len(), ReadError::TooLarge));
             }
         }
     }
 
     /// Takes what the buffer holds; `None` when more bytes are needed or the body is done.
-    fn advance(&mut self, conn: &mut Conn) -> Result<Option<Vec<u8>>, ReadFault> {
+    fn advance(&mut self, conn: &mut Conn) -> Result<Option<Vec<u8>>, ReadError> {
         loop {
             match self.state {
                 State::Done => return Ok(None),
@@ -207,7 +207,7 @@
                         return Ok(None);
                     }
                     if !conn.buffered().starts_with(b"\r\n") {
-                        return Err(ReadFault::Protocol("a chunk does not end where it says"));
+                        return Err(ReadError::Protocol("a chunk does not end where it says"));
                     }
                     conn.consume(2);
                     self.state = State::ChunkLine;
@@ -222,7 +222,7 @@
                     let Some(line) = take_line(conn, TRAILERS_MAX)? else { return Ok(None) };
                     let seen = seen + line.len();
                     if seen > TRAILERS_MAX {
-                        return Err(ReadFault::TooLarge);
+                        return Err(ReadError::TooLarge);
                     }
                     self.state = if line.is_empty() { State::Done } else { State::Trailers(seen) };
                 }
@@ -238,20 +238,20 @@
 }
 
 /// Takes a line without its end; `None` when it is not whole yet.
-fn take_line(conn: &mut Conn, max: usize) -> Result<Option<Vec<u8>>, ReadFault> {
+fn take_line(conn: &mut Conn, max: usize) -> Result<Option<Vec<u8>>, ReadError> {
     let Some(end) = conn.buffered().windows(2).position(|w| w == b"\r\n") else {
-        return if conn.buffered().len() > max { Err(ReadFault::TooLarge) } else { Ok(None) };
+        return if conn.buffered().len() > max { Err(ReadError::TooLarge) } else { Ok(None) };
     };
     if end > max {
-        return Err(ReadFault::TooLarge);
+        return Err(ReadError::TooLarge);
     }
     let line = conn.take(end);
     conn.consume(2);
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, ReadFault> {
-    const FAULT: ReadFault = ReadFault::Protocol("a chunk's size is not a hexadecimal number");
+fn chunk_size(line: &[u8]) -> Result<u64, ReadError> {
+    const FAULT: ReadError = ReadError::Protocol("a chunk's size is not a hexadecimal number");
     let text = std::str::from_utf8(line).map_err(|_| FAULT)?;
     let digits = text.split(';').next().unwrap_or_default().trim_end();
     if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
--- a/src/link/http1/conn.rs
+++ b/src/link/http1/conn.rs
@@ -37,7 +37,7 @@
 
 /// Why bytes could not be read.
 #[derive(Debug, thiserror::Error)]
-pub enum ReadFault {
+pub enum ReadError {
     /// The other side closed its sending direction.
     #[error("the connection was closed")]
     Closed,
@@ -46,7 +46,7 @@
     Timeout,
     /// The reader's condition to go on no longer holds.
     #[error("the reading was given up")]
-    GivenUp,
+    Cancelled,
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(io::Error),
@@ -130,28 +130,28 @@
     ///
     /// # Errors
     ///
-    /// See [`ReadFault`]; the buffer keeps what was read before.
+    /// See [`ReadError`]; the buffer keeps what was read before.
     pub fn fill(
         &mut self,
         until: Instant,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<(), ReadFault> {
+    ) -> Result<(), ReadError> {
         loop {
             let left = until.saturating_duration_since(self.clock.now());
             if left.is_zero() {
-                return Err(ReadFault::Timeout);
+                return Err(ReadError::Timeout);
             }
             let wait = left.min(LOOK_PERIOD).max(TIMEOUT_MIN);
-            self.stream.set_read_timeout(Some(wait)).map_err(ReadFault::Io)?;
+            self.stream.set_read_timeout(Some(wait)).map_err(ReadError::Io)?;
             match self.read_once() {
-                Ok(0) => return Err(ReadFault::Closed),
+                Ok(0) => return Err(ReadError::Closed),
                 Ok(_) => return Ok(()),
                 Err(e) if is_wait(&e) => {
                     if !go_on() {
-                        return Err(ReadFault::GivenUp);
+                        return Err(ReadError::Cancelled);
                     }
                 }
-                Err(e) => return Err(ReadFault::Io(e)),
+                Err(e) => return Err(ReadError::Io(e)),
             }
         }
     }
@@ -177,8 +177,8 @@
     ///
     /// # Errors
     ///
-    /// See [`ReadFault`]; a caller that left is `GivenUp`.
-    pub fn fill_beside(&mut self, until: Instant, caller: Option<&Conn>) -> Result<(), ReadFault> {
+    /// See [`ReadError`]; a caller that left is `Cancelled`.
+    pub fn fill_beside(&mut self, until: Instant, caller: Option<&Conn>) -> Result<(), ReadError> {
         let caller = caller.map(|caller| PollFd::new(&caller.stream, PollFlags::RDHUP));
         self.fill_watching(until, caller)
     }
@@ -188,13 +188,13 @@
     /// # Errors
     ///
     /// The connection is closed or has failed.
-    pub fn first_byte(&mut self, until: Instant) -> Result<bool, ReadFault> {
+    pub fn first_byte(&mut self, until: Instant) -> Result<bool, ReadError> {
         if !self.buffered().is_empty() {
             return Ok(true);
         }
         match self.fill_watching(until, None) {
             Ok(()) => Ok(true),
-            Err(ReadFault::Timeout) => Ok(false),
+            Err(ReadError::Timeout) => Ok(false),
             Err(fault) => Err(fault),
         }
     }
@@ -203,14 +203,14 @@
         &mut self,
         until: Instant,
         watched: Option<PollFd<'_>>,
-    ) -> Result<(), ReadFault> {
+    ) -> Result<(), ReadError> {
         match self.wait(until, watched, PollFlags::IN)? {
-            Wake::Timeout => Err(ReadFault::Timeout),
-            Wake::Watched => Err(ReadFault::GivenUp),
+            Wake::Timeout => Err(ReadError::Timeout),
+            Wake::Watched => Err(ReadError::Cancelled),
             Wake::Ready(_) => match self.read_once() {
-                Ok(0) => Err(ReadFault::Closed),
+                Ok(0) => Err(ReadError::Closed),
                 Ok(_) => Ok(()),
-                Err(e) => Err(ReadFault::Io(e)),
+                Err(e) => Err(ReadError::Io(e)),
             },
         }
     }
@@ -227,7 +227,7 @@
         bytes: &[u8],
         until: Instant,
         caller: Option<&Conn>,
-    ) -> Result<usize, (usize, ReadFault)> {
+    ) -> Result<usize, (usize, ReadError)> {
         let flags = SendFlags::DONTWAIT | SendFlags::NOSIGNAL;
         let mut sent = 0;
         while sent < bytes.len() {
@@ -238,14 +238,14 @@
                 }
                 Err(rustix::io::Errno::INTR) => continue,
                 Err(rustix::io::Errno::AGAIN) => {}
-                Err(e) => return Err((sent, ReadFault::Io(e.into()))),
+                Err(e) => return Err((sent, ReadError::Io(e.into()))),
             }
             let caller = caller.map(|caller| PollFd::new(&caller.stream, PollFlags::RDHUP));
             match self.wait(until, caller, PollFlags::IN | PollFlags::OUT) {
                 Ok(Wake::Ready(events)) if events.contains(PollFlags::IN) => return Ok(sent),
                 Ok(Wake::Ready(_)) => {}
-                Ok(Wake::Timeout) => return Err((sent, ReadFault::Timeout)),
-                Ok(Wake::Watched) => return Err((sent, ReadFault::GivenUp)),
+                Ok(Wake::Timeout) => return Err((sent, ReadError::Timeout)),
+                Ok(Wake::Watched) => return Err((sent, ReadError::Cancelled)),
                 Err(fault) => return Err((sent, fault)),
             }
         }
@@ -267,7 +267,7 @@
         until: Instant,
         watched: Option<PollFd<'_>>,
         events: PollFlags,
-    ) -> Result<Wake, ReadFault> {
+    ) -> Result<Wake, ReadError> {
         let mut fds = vec![PollFd::new(&self.stream, events)];
         fds.extend(watched);
         loop {
@@ -278,7 +278,7 @@
             let timeout = Timespec::try_from(left.min(WAIT_MAX)).ok();
             match poll(&mut fds, timeout.as_ref()) {
                 Ok(_) | Err(rustix::io::Errno::INTR) => {}
-                Err(e) => return Err(ReadFault::Io(e.into())),
+                Err(e) => return Err(ReadError::Io(e.into())),
             }
             if !fds[0].revents().is_empty() {
                 return Ok(Wake::Ready(fds[0].revents()));
--- a/src/link/http1/head.rs
+++ b/src/link/http1/head.rs
@@ -6,7 +6,7 @@
 
 use super::{
     body::BodyFraming,
-    conn::{Conn, ReadFault},
+    conn::{Conn, ReadError},
 };
 
 /// Most header lines of a head.
@@ -27,19 +27,19 @@
 
 /// Why a head cannot be taken.
 #[derive(Debug, thiserror::Error)]
-pub enum HeadFault {
+pub enum HeadError {
     /// Reading failed.
     #[error(transparent)]
-    Read(#[from] ReadFault),
+    Read(#[from] ReadError),
     /// The head does not follow the protocol.
     #[error("bad request: {0}")]
-    Bad(&'static str),
+    Invalid(&'static str),
     /// The head is larger than allowed.
     #[error("the head is larger than allowed; send fewer or shorter headers")]
     TooLarge,
     /// A transfer coding other than chunked.
     #[error("only the transfer coding chunked is understood")]
-    Coding,
+    UnsupportedCoding,
 }
 
 /// A request's head.
@@ -71,8 +71,8 @@
     ///
     /// # Errors
     ///
-    /// See [`HeadFault`]; a connection closed before its first byte is `Read(Closed)`.
-    pub fn read(conn: &mut Conn, max: usize, until: Instant) -> Result<RequestHead, HeadFault> {
+    /// See [`HeadError`]; a connection closed before its first byte is `Read(Closed)`.
+    pub fn read(conn: &mut Conn, max: usize, until: Instant) -> Result<RequestHead, HeadError> {
         skip_blank_lines(conn);
         let length = wait_for_head(conn, max, |conn| conn.fill_beside(until, None))?;
         let head = RequestHead::parse(&conn.buffered()[..length])?;
@@ -85,26 +85,28 @@
     /// # Errors
     ///
     /// The bytes are no head, or one that different readers could take differently.
-    pub fn parse(bytes: &[u8]) -> Result<RequestHead, HeadFault> {
+    pub fn parse(bytes: &[u8]) -> Result<RequestHead, HeadError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
-            Ok(httparse::Status::Partial) => return Err(HeadFault::Bad("the head is not whole")),
-            Err(httparse::Error::TooManyHeaders) => return Err(HeadFault::TooLarge),
-            Err(_) => return Err(HeadFault::Bad("the head cannot be read")),
+            Ok(httparse::Status::Partial) => {
+                return Err(HeadError::Invalid("the head is not whole"));
+            }
+            Err(httparse::Error::TooManyHeaders) => return Err(HeadError::TooLarge),
+            Err(_) => return Err(HeadError::Invalid("the head cannot be read")),
         }
         let method = request.method.unwrap_or_default();
-        let method =
-            Method::from_bytes(method.as_bytes()).map_err(|_| HeadFault::Bad("unknown method"))?;
+        let method = Method::from_bytes(method.as_bytes())
+            .map_err(|_| HeadError::Invalid("unknown method"))?;
         let target = request.path.unwrap_or_default().to_owned();
         if !target.starts_with('/') {
-            return Err(HeadFault::Bad("the target must be a path that starts with /"));
+            return Err(HeadError::Invalid("the target must be a path that starts with /"));
         }
         let http10 = request.version == Some(0);
         let headers = header_map(request.headers)?;
         if !http10 && headers.get_all("host").iter().count() != 1 {
-            return Err(HeadFault::Bad("send exactly one Host header"));
+            return Err(HeadError::Invalid("send exactly one Host header"));
         }
         Ok(RequestHead { method, target, http10, headers })
     }
@@ -114,13 +116,13 @@
     /// # Errors
     ///
     /// Framing that different readers could take differently (RFC 9112, 6.3) is refused.
-    pub fn framing(&self) -> Result<BodyFraming, HeadFault> {
+    pub fn framing(&self) -> Result<BodyFraming, HeadError> {
         let length = content_length(&self.headers)?;
         match (is_chunked(&self.headers)?, length) {
             (true, Some(_)) => {
-                Err(HeadFault::Bad("both Content-Length and Transfer-Encoding; send one"))
+                Err(HeadError::Invalid("both Content-Length and Transfer-Encoding; send one"))
             }
-            (true, None) if self.http10 => Err(HeadFault::Bad("Transfer-Encoding in HTTP/1.0")),
+            (true, None) if self.http10 => Err(HeadError::Invalid("Transfer-Encoding in HTTP/1.0")),
             (true, None) => Ok(BodyFraming::Chunked),
             (false, Some(length)) => Ok(BodyFraming::Length(length)),
             (false, None) => Ok(BodyFraming::Length(0)),
@@ -149,13 +151,13 @@
     ///
     /// # Errors
     ///
-    /// See [`HeadFault`].
+    /// See [`HeadError`].
     pub fn read(
         conn: &mut Conn,
         max: usize,
         until: Instant,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<ResponseHead, HeadFault> {
+    ) -> Result<ResponseHead, HeadError> {
         loop {
             let length = wait_for_head(conn, max, |conn| conn.fill(until, go_on))?;
             let head = ResponseHead::parse(&conn.buffered()[..length])?;
@@ -172,15 +174,15 @@
     ///
     /// # Errors
     ///
-    /// See [`HeadFault`].
-    pub fn take_buffered(conn: &mut Conn, max: usize) -> Result<Option<ResponseHead>, HeadFault> {
+    /// See [`HeadError`].
+    pub fn take_buffered(conn: &mut Conn, max: usize) -> Result<Option<ResponseHead>, HeadError> {
         loop {
             let Some(length) = find_end(conn.buffered(), 0) else {
                 let fits = conn.buffered().len() <= max;
-                return if fits { Ok(None) } else { Err(HeadFault::TooLarge) };
+                return if fits { Ok(None) } else { Err(HeadError::TooLarge) };
             };
             if length > max {
-                return Err(HeadFault::TooLarge);
+                return Err(HeadError::TooLarge);
             }
             let head = ResponseHead::parse(&conn.buffered()[..length])?;
             conn.consume(length);
@@ -190,15 +192,16 @@
         }
     }
 
-    fn parse(bytes: &[u8]) -> Result<ResponseHead, HeadFault> {
+    fn parse(bytes: &[u8]) -> Result<ResponseHead, HeadError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut response = httparse::Response::new(&mut headers);
         match response.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
-            _ => return Err(HeadFault::Bad("the answer's head cannot be read")),
+            _ => return Err(HeadError::Invalid("the answer's head cannot be read")),
         }
         let code = response.code.unwrap_or_default();
-        let status = StatusCode::from_u16(code).map_err(|_| HeadFault::Bad("no such status"))?;
+        let status =
+            StatusCode::from_u16(code).map_err(|_| HeadError::Invalid("no such status"))?;
         let http10 = response.version == Some(0);
         Ok(ResponseHead { status, http10, headers: header_map(response.headers)? })
     }
@@ -208,14 +211,14 @@
     /// # Errors
     ///
     /// Contradicting framing.
-    pub fn framing(&self, method: &Method) -> Result<BodyFraming, HeadFault> {
+    pub fn framing(&self, method: &Method) -> Result<BodyFraming, HeadError> {
         let bodiless = matches!(self.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if bodiless || *method == Method::HEAD {
             return Ok(BodyFraming::Length(0));
         }
         let length = content_length(&self.headers)?;
         match (is_chunked(&self.headers)?, length) {
-            (true, Some(_)) => Err(HeadFault::Bad("both Content-Length and Transfer-Encoding")),
+            (true, Some(_)) => Err(HeadError::Invalid("both Content-Length and Transfer-Encoding")),
             (true, None) => Ok(BodyFraming::Chunked),
             (false, Some(length)) => Ok(BodyFraming::Length(length)),
             (false, None) => Ok(BodyFraming::UntilClose),
@@ -272,16 +275,16 @@
 fn wait_for_head(
     conn: &mut Conn,
     max: usize,
-    mut fill: impl FnMut(&mut Conn) -> Result<(), ReadFault>,
-) -> Result<usize, HeadFault> {
+    mut fill: impl FnMut(&mut Conn) -> Result<(), ReadError>,
+) -> Result<usize, HeadError> {
     let mut searched = 0;
     loop {
         let buffered = conn.buffered();
         if let Some(end) = find_end(buffered, searched) {
-            return if end > max { Err(HeadFault::TooLarge) } else { Ok(end) };
+            return if end > max { Err(HeadError::TooLarge) } else { Ok(end) };
         }
         if buffered.len() > max {
-            return Err(HeadFault::TooLarge);
+            return Err(HeadError::TooLarge);
         }
         searched = buffered.len().saturating_sub(3);
         fill(conn)?;
@@ -293,40 +296,40 @@
     Some(from + at + 4)
 }
 
-fn header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadFault> {
+fn header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadError> {
     let mut headers = HeaderMap::with_capacity(parsed.len());
     for header in parsed {
         let name = HeaderName::from_bytes(header.name.as_bytes())
-            .map_err(|_| HeadFault::Bad("bad header name"))?;
+            .map_err(|_| HeadError::Invalid("bad header name"))?;
         let value = HeaderValue::from_bytes(header.value)
-            .map_err(|_| HeadFault::Bad("bad header value"))?;
+            .map_err(|_| HeadError::Invalid("bad header value"))?;
         headers.append(name, value);
     }
     Ok(headers)
 }
 
-fn content_length(headers: &HeaderMap) -> Result<Option<u64>, HeadFault> {
+fn content_length(headers: &HeaderMap) -> Result<Option<u64>, HeadError> {
     let mut length = None;
     for value in headers.get_all("content-length") {
-        let text = value.to_str().map_err(|_| HeadFault::Bad("bad Content-Length"))?;
+        let text = value.to_str().map_err(|_| HeadError::Invalid("bad Content-Length"))?;
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(HeadFault::Bad("Content-Length is not a number"));
+            return Err(HeadError::Invalid("Content-Length is not a number"));
         }
-        let parsed = text.parse().map_err(|_| HeadFault::Bad("Content-Length is too large"))?;
+        let parsed = text.parse().map_err(|_| HeadError::Invalid("Content-Length is too large"))?;
         if length.is_some_and(|known| known != parsed) {
-            return Err(HeadFault::Bad("two different Content-Length headers"));
+            return Err(HeadError::Invalid("two different Content-Length headers"));
         }
         length = Some(parsed);
     }
     Ok(length)
 }
 
-fn is_chunked(headers: &HeaderMap) -> Result<bool, HeadFault> {
+fn is_chunked(headers: &HeaderMap) -> Result<bool, HeadError> {
     let mut codings = headers.get_all("transfer-encoding").iter();
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
         (Some(value), None) if value.as_bytes().eq_ignore_ascii_case(b"chunked") => Ok(true),
-        _ => Err(HeadFault::Coding),
+        _ => Err(HeadError::UnsupportedCoding),
     }
 }
 
--- a/src/link/http1/mod.rs
+++ b/src/link/http1/mod.rs
@@ -7,5 +7,5 @@
 pub mod head;
 
 pub use body::{BodyFraming, BodyReader, ChunkWriter};
-pub use conn::{Conn, ReadFault};
-pub use head::{HeadFault, RequestHead, ResponseHead};
+pub use conn::{Conn, ReadError};
+pub use head::{HeadError, RequestHead, ResponseHead};
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -21,7 +21,7 @@
     link::{
         call::{CallTime, WHOLE_MESSAGE},
         caller::Served,
-        http1::{BodyFraming, BodyReader, ChunkWriter, Conn, HeadFault, RequestHead, ResponseHead},
+        http1::{BodyFraming, BodyReader, ChunkWriter, Conn, HeadError, RequestHead, ResponseHead},
         kept::{Call, KeptConns, KeptFault},
         traffic::{Purpose, Traffic},
     },
@@ -347,7 +347,7 @@
     conn: &mut Conn,
     head: &RequestHead,
     timeout: Duration,
-) -> Result<Vec<u8>, HeadFault> {
+) -> Result<Vec<u8>, HeadError> {
     let end = conn.clock().now() + WHOLE_MESSAGE;
     let mut reader = BodyReader::new(head.framing()?);
     let body = reader.read_progressing(conn, MESSAGE_MAX, timeout, end);
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -7,7 +7,7 @@
 
 use cartvane::{
     clock::Clock,
-    link::http1::{BodyReader, Conn, HeadFault, ReadFault, ResponseHead},
+    link::http1::{BodyReader, Conn, HeadError, ReadError, ResponseHead},
 };
 use http::HeaderMap;
 
@@ -96,7 +96,7 @@
         answer
     }
 
-    fn read(&self, conn: &mut Conn, began: Instant, answer: &mut Answer) -> Result<(), HeadFault> {
+    fn read(&self, conn: &mut Conn, began: Instant, answer: &mut Answer) -> Result<(), HeadError> {
         let until = began + self.timeout;
         let head = ResponseHead::read(conn, HEAD_MAX, until, &mut || true)?;
         answer.status = head.status.as_u16();
@@ -114,7 +114,7 @@
                     answer.whole = true;
                     return Ok(());
                 }
-                Err(fault) => return Err(ReadFault::into(fault)),
+                Err(fault) => return Err(ReadError::into(fault)),
             }
         }
     }
--- a/tests/suite/framing.rs
+++ b/tests/suite/framing.rs
@@ -9,7 +9,7 @@
 use cartvane::{
     clock::Clock,
     link::http1::{
-        BodyFraming, BodyReader, ChunkWriter, Conn, HeadFault, ReadFault, RequestHead,
+        BodyFraming, BodyReader, ChunkWriter, Conn, HeadError, ReadError, RequestHead,
         body::LAST_CHUNK,
     },
 };
@@ -36,7 +36,7 @@
 }
 
 /// Sends `bytes` and the end of the stream; returns what the reader makes of them.
-fn read_body(framing: BodyFraming, bytes: &[u8]) -> Result<Vec<u8>, ReadFault> {
+fn read_body(framing: BodyFraming, bytes: &[u8]) -> Result<Vec<u8>, ReadError> {
     let (mut near, mut far) = pair();
     near.write_all(bytes).expect("sent");
     near.shutdown(Shutdown::Write).expect("closed");
@@ -67,11 +67,11 @@
     let bytes = chunked(&pieces);
     for end in 0..bytes.len() {
         let read = read_body(BodyFraming::Chunked, &bytes[..end]);
-        assert!(matches!(read, Err(ReadFault::Closed)), "cut at {end}: {read:?}");
+        assert!(matches!(read, Err(ReadError::Closed)), "cut at {end}: {read:?}");
     }
     for end in 0..10 {
         let read = read_body(BodyFraming::Length(10), &b"0123456789"[..end]);
-        assert!(matches!(read, Err(ReadFault::Closed)), "cut at {end}: {read:?}");
+        assert!(matches!(read, Err(ReadError::Closed)), "cut at {end}: {read:?}");
     }
 }
 
@@ -131,10 +131,10 @@
 fn a_chunk_size_beyond_reason_is_refused() {
     for line in ["fffffffffffffffff\r\n", "-1\r\n", "\r\n", "g\r\n", "1 2\r\n"] {
         let read = read_body(BodyFraming::Chunked, line.as_bytes());
-        assert!(matches!(read, Err(ReadFault::Protocol(_))), "{line:?}: {read:?}");
+        assert!(matches!(read, Err(ReadError::Protocol(_))), "{line:?}: {read:?}");
     }
     let long = format!("1;{}\r\n", "x".repeat(1000));
-    assert!(matches!(read_body(BodyFraming::Chunked, long.as_bytes()), Err(ReadFault::TooLarge)));
+    assert!(matches!(read_body(BodyFraming::Chunked, long.as_bytes()), Err(ReadError::TooLarge)));
 }
 
 #[test]
@@ -143,7 +143,7 @@
     near.write_all(b"GET /a HTTP/1.1\r\nhost: x\r\nlong: ").expect("sent");
     near.write_all(&vec![b'x'; 4096]).expect("sent");
     let read = RequestHead::read(&mut far, 1024, soon());
-    assert!(matches!(read, Err(HeadFault::TooLarge)), "{read:?}");
+    assert!(matches!(read, Err(HeadError::TooLarge)), "{read:?}");
 }
 
 #[test]
--- a/tests/suite/suspended.rs
+++ b/tests/suite/suspended.rs
@@ -14,7 +14,7 @@
 use cartvane::{
     clock::Clock,
     gateway::GatewayHandle,
-    link::http1::{Conn, ReadFault},
+    link::http1::{Conn, ReadError},
 };
 use standins::{
     caller::Call,
@@ -63,7 +63,7 @@
             advancing.advance(Duration::from_secs(20));
         });
         let waited = conn.fill_beside(until, None);
-        assert!(matches!(waited, Err(ReadFault::Timeout)), "{waited:?}");
+        assert!(matches!(waited, Err(ReadError::Timeout)), "{waited:?}");
     });
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
 }
