--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -72,8 +72,8 @@
     // An instance that has just started knows enough within some hundredths of a second.
     gateway.cluster_state.wait_complete(START_PATIENCE);
     loop {
-        conn.give_back_buffer();
-        match conn.first_byte(gateway.clock.now() + BUSY) {
+        conn.release_buffer();
+        match conn.wait_for_data(gateway.clock.now() + BUSY) {
             Ok(true) => {}
             Ok(false) => return Served::Waits(conn),
             Err(_) => return Served::Ended,
@@ -192,7 +192,7 @@
     let idle = gateway.cluster_state.idle_time().max(IDLE_TIME_FIRST);
     let mut body = Vec::new();
     loop {
-        let piece = match reader.next_by(conn, |conn| conn.fill_beside(began + idle, None)) {
+        let piece = match reader.next_with(conn, |conn| conn.fill_until(began + idle, None)) {
             Ok(Some(piece)) => piece,
             Ok(None) => return Ok(body),
             Err(ReadError::TooLarge) => return Err(too_large()),
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -63,7 +63,7 @@
 ) -> Result<ServerAnswer, AttemptFault> {
     let until = wait.until;
     let bytes = request_bytes(request, outgoing);
-    let sent = match conn.send_until_answered(&bytes, until, caller) {
+    let sent = match conn.send_until_response(&bytes, until, caller) {
         Ok(sent) => sent,
         Err((_, ReadError::Cancelled)) => return Err(AttemptFault::CallerGone),
         Err((0, _)) => return Err(AttemptFault::BeforeSend),
@@ -141,7 +141,7 @@
             Ok(None) => {}
             Err(_) => return Err(AttemptFault::Garbage),
         }
-        match conn.fill_beside(until, caller) {
+        match conn.fill_until(until, caller) {
             Ok(()) => {}
             Err(ReadError::Timeout) => until = (wait.longer)().ok_or(AttemptFault::HeadTimeout)?,
             Err(ReadError::Cancelled) => return Err(AttemptFault::CallerGone),
@@ -156,7 +156,7 @@
     until: Instant,
     caller: Option<&Conn>,
 ) -> Result<Option<Vec<u8>>, AttemptFault> {
-    body.next_by(conn, |conn| conn.fill_beside(until, caller)).map_err(body_fault)
+    body.next_with(conn, |conn| conn.fill_until(until, caller)).map_err(body_fault)
 }
 
 fn body_fault(fault: ReadError) -> AttemptFault {
--- a/src/gateway/server_conns.rs
+++ b/src/gateway/server_conns.rs
@@ -103,7 +103,7 @@
         kept_for: Option<Duration>,
         most: u32,
     ) {
-        conn.give_back_buffer();
+        conn.release_buffer();
         let usable_for = kept_for.map_or(IDLE_UNSAID, |time| time.mul_f64(IDLE_SHARE));
         // Half of an instance's part stays free for requests in flight.
         let part = most as usize / (2 * self.instances.load(Ordering::Relaxed));
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -110,7 +110,7 @@
                     }
                     None => {
                         // Nothing may follow that makes the cut answer look whole.
-                        writer.cut(&[]);
+                        writer.abort(&[]);
                         return ended(false, "stream broke");
                     }
                 }
--- a/src/instance/homes/links.rs
+++ b/src/instance/homes/links.rs
@@ -55,7 +55,7 @@
     pub fn cut(&self, home: Tag) {
         let slot = lock(&self.homes).get(&home).cloned();
         if let Some(end) = slot.and_then(|slot| lock(&slot).take()) {
-            end.sender.cut();
+            end.sender.shutdown();
         }
     }
 
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -80,7 +80,7 @@
             break;
         }
     }
-    end.sender.cut();
+    end.sender.shutdown();
     let Some(hello) = entry else { return };
     if shared.home_links.remove_entry(hello.from, &end) {
         shared.homes.each(|_| vec![Event::EntryCut(hello.from)]);
@@ -124,7 +124,7 @@
         }
         shared.desk.take(home, message);
     }
-    end.sender.cut();
+    end.sender.shutdown();
     {
         let mut opened = lock(slot);
         if opened.as_ref().is_some_and(|known| Arc::ptr_eq(known, end)) {
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -404,7 +404,7 @@
                     }
                     let words =
                         if events { error_event(fault, &self.request.id) } else { Vec::new() };
-                    writer.cut(&words);
+                    writer.abort(&words);
                     return Tried::Cut(fault, status.as_u16());
                 }
             }
--- a/src/link/answer.rs
+++ b/src/link/answer.rs
@@ -123,12 +123,12 @@
     }
 
     /// Ends a body that cannot be completed: `last_words` go out and the connection is cut.
-    pub fn cut(mut self, last_words: &[u8]) {
+    pub fn abort(mut self, last_words: &[u8]) {
         if !last_words.is_empty() {
             // A caller that is gone needs no last words.
             let _ = self.piece(last_words);
         }
-        self.conn.cut();
+        self.conn.shutdown();
     }
 
     /// Returns the connection's state as the caller left it.
--- a/src/link/call.rs
+++ b/src/link/call.rs
@@ -76,7 +76,7 @@
     let cut = |reason: &dyn ToString, read| CallFault::Cut { reason: reason.to_string(), read };
     let framing = head.framing(method).map_err(|e| cut(&e, 0))?;
     let mut reader = BodyReader::new(framing);
-    let body = reader.read_progressing(conn, most, time.stall, end);
+    let body = reader.read_all_with_stall_limit(conn, most, time.stall, end);
     let body = body.map_err(|(read, e)| cut(&e, read))?;
     let keep_alive = head.keep_alive() && conn.buffered().is_empty();
     Ok(CallReply { status: head.status, headers: head.headers, body, keep_alive })
@@ -91,7 +91,7 @@
             Err(e) => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
         }
         let began = !conn.buffered().is_empty();
-        match conn.fill_beside(until, None) {
+        match conn.fill_until(until, None) {
             Ok(()) => {}
             Err(ReadError::Timeout) => return Err(CallFault::Silent(time.head)),
             Err(e) if began => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
--- a/src/link/caller.rs
+++ b/src/link/caller.rs
@@ -214,10 +214,10 @@
 /// reads and drops the rest until the caller closes too, for a moment. Closing both directions with bytes
 /// unread, or still to come, would reset the connection and destroy the answer on its way.
 pub fn linger(conn: &mut Conn) {
-    conn.end_sending();
+    conn.shutdown_write();
     let until = conn.clock().now() + DISCARD_TIME;
     let mut dropped = 0;
-    while dropped < DISCARD_MAX && conn.fill_beside(until, None).is_ok() {
+    while dropped < DISCARD_MAX && conn.fill_until(until, None).is_ok() {
         dropped += conn.buffered().len();
         conn.consume(conn.buffered().len());
     }
--- a/src/link/http1/body.rs
+++ b/src/link/http1/body.rs
@@ -69,7 +69,7 @@
         until: Instant,
         go_on: &mut dyn FnMut() -> bool,
     ) -> Result<Option<Vec<u8>>, ReadError> {
-        self.next_by(conn, |conn| conn.fill(until, go_on))
+        self.next_with(conn, |conn| conn.fill(until, go_on))
     }
 
     /// Returns the next piece as [`BodyReader::next`] does; `fill` waits for more bytes.
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Those of `fill`, and [`ReadFault::Closed`] for a body that was cut short.
-    pub fn next_by(
+    pub fn next_with(
         &mut self,
         conn: &mut Conn,
         mut fill: impl FnMut(&mut Conn) -> Result<(), ReadError>,
@@ -147,7 +147,7 @@
             return Err(ReadError::TooLarge);
         }
         let mut body = Vec::new();
-        while let Some(piece) = self.next_by(conn, |conn| conn.fill_beside(until, None))? {
+        while let Some(piece) = self.next_with(conn, |conn| conn.fill_until(until, None))? {
             body.extend_from_slice(&piece);
             if body.len() > max {
                 return Err(ReadError::TooLarge);
@@ -162,7 +162,7 @@
     /// # Errors
     ///
     /// The bytes that had come, and why there are no more.
-    pub fn read_progressing(
+    pub fn read_all_with_stall_limit(
         &mut self,
         conn: &mut Conn,
         max: usize,
@@ -173,9 +173,9 @@
         loop {
             let fill = |conn: &mut Conn| {
                 let until = conn.clock().now() + stall;
-                conn.fill_beside(until.min(end), None)
+                conn.fill_until(until.min(end), None)
             };
-            let piece = self.next_by(conn, fill).map_err(|fault| (body.len(), fault))?;
+            let piece = self.next_with(conn, fill).map_err(|fault| (body.len(), fault))?;
             let Some(piece) = piece else { return Ok(body) };
             body.extend_from_slice(&piece);
             if body.len() > max {
--- a/src/link/http1/conn.rs
+++ b/src/link/http1/conn.rs
@@ -109,7 +109,7 @@
     }
 
     /// Gives an empty buffer's memory back, before a connection is left idle: most connections are.
-    pub fn give_back_buffer(&mut self) {
+    pub fn release_buffer(&mut self) {
         if self.buffered().is_empty() {
             self.buf = Vec::new();
         }
@@ -178,7 +178,7 @@
     /// # Errors
     ///
     /// See [`ReadError`]; a caller that left is `Cancelled`.
-    pub fn fill_beside(&mut self, until: Instant, caller: Option<&Conn>) -> Result<(), ReadError> {
+    pub fn fill_until(&mut self, until: Instant, caller: Option<&Conn>) -> Result<(), ReadError> {
         let caller = caller.map(|caller| PollFd::new(&caller.stream, PollFlags::RDHUP));
         self.fill_watching(until, caller)
     }
@@ -188,7 +188,7 @@
     /// # Errors
     ///
     /// The connection is closed or has failed.
-    pub fn first_byte(&mut self, until: Instant) -> Result<bool, ReadError> {
+    pub fn wait_for_data(&mut self, until: Instant) -> Result<bool, ReadError> {
         if !self.buffered().is_empty() {
             return Ok(true);
         }
@@ -222,7 +222,7 @@
     /// # Errors
     ///
     /// The count of bytes handed over before the failure, and the failure.
-    pub fn send_until_answered(
+    pub fn send_until_response(
         &mut self,
         bytes: &[u8],
         until: Instant,
@@ -324,13 +324,13 @@
     }
 
     /// Closes the own direction, so that the other side sees the end of what was sent and may send on.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         // A connection that is already gone needs no closing.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
     /// Closes both directions at once, so that the other side sees a cut.
-    pub fn cut(&self) {
+    pub fn shutdown(&self) {
         // A connection that is already gone needs no cutting.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -340,7 +340,7 @@
     /// # Errors
     ///
     /// The handle cannot be duplicated.
-    pub fn handle(&self) -> io::Result<TcpStream> {
+    pub fn try_clone_stream(&self) -> io::Result<TcpStream> {
         self.stream.try_clone()
     }
 
--- a/src/link/http1/head.rs
+++ b/src/link/http1/head.rs
@@ -74,7 +74,7 @@
     /// See [`HeadError`]; a connection closed before its first byte is `Read(Closed)`.
     pub fn read(conn: &mut Conn, max: usize, until: Instant) -> Result<RequestHead, HeadError> {
         skip_blank_lines(conn);
-        let length = wait_for_head(conn, max, |conn| conn.fill_beside(until, None))?;
+        let length = wait_for_head(conn, max, |conn| conn.fill_until(until, None))?;
         let head = RequestHead::parse(&conn.buffered()[..length])?;
         conn.consume(length);
         Ok(head)
@@ -140,7 +140,7 @@
     }
 
     /// Returns the key that a caller shows as a bearer token (RFC 6750).
-    pub fn bearer(&self) -> Option<&str> {
+    pub fn bearer_token(&self) -> Option<&str> {
         let (scheme, key) = self.header("authorization")?.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
     }
--- a/src/link/kept.rs
+++ b/src/link/kept.rs
@@ -104,7 +104,7 @@
     }
 
     fn put(&self, to: SocketAddr, mut conn: Conn) {
-        conn.give_back_buffer();
+        conn.release_buffer();
         let mut idle = lock(&self.idle);
         let conns = idle.entry(to).or_default();
         if conns.len() < IDLE_MAX {
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -185,7 +185,7 @@
 
 impl StreamSender {
     fn new(conn: &Conn, purpose: Purpose, traffic: &Traffic) -> std::io::Result<StreamSender> {
-        let stream = conn.handle()?;
+        let stream = conn.try_clone_stream()?;
         stream.set_write_timeout(Some(STREAM_SEND_TIME))?;
         Ok(StreamSender { stream: Mutex::new(stream), purpose, traffic: traffic.clone() })
     }
@@ -201,18 +201,18 @@
         if sent {
             self.traffic.sent(self.purpose, bytes.len());
         } else {
-            cut(&stream);
+            shutdown(&stream);
         }
         sent
     }
 
     /// Ends the stream in both directions.
-    pub fn cut(&self) {
-        cut(&lock(&self.stream));
+    pub fn shutdown(&self) {
+        shutdown(&lock(&self.stream));
     }
 }
 
-fn cut(stream: &TcpStream) {
+fn shutdown(stream: &TcpStream) {
     // A stream that has ended already needs no cutting.
     let _ = stream.shutdown(Shutdown::Both);
 }
@@ -289,7 +289,7 @@
 {
     let mut shown = service.accepted.is_none();
     loop {
-        match conn.first_byte(conn.clock().now() + idle) {
+        match conn.wait_for_data(conn.clock().now() + idle) {
             Ok(true) => {}
             Ok(false) => return Served::Waits(conn),
             Err(_) => return Served::Ended,
@@ -319,7 +319,7 @@
         if conn.send(&reply, service.timeout).is_err() {
             return Served::Ended;
         }
-        conn.give_back_buffer();
+        conn.release_buffer();
     }
 }
 
@@ -350,6 +350,6 @@
 ) -> Result<Vec<u8>, HeadError> {
     let end = conn.clock().now() + WHOLE_MESSAGE;
     let mut reader = BodyReader::new(head.framing()?);
-    let body = reader.read_progressing(conn, MESSAGE_MAX, timeout, end);
+    let body = reader.read_all_with_stall_limit(conn, MESSAGE_MAX, timeout, end);
     Ok(body.map_err(|(_, fault)| fault)?)
 }
--- a/src/link/small.rs
+++ b/src/link/small.rs
@@ -33,7 +33,7 @@
 /// Answers the questions on a connection, whatever they ask, as long as they follow each other closely.
 pub fn serve(mut conn: Conn, answer: impl Fn() -> SmallAnswer) -> Served {
     loop {
-        match conn.first_byte(conn.clock().now() + BUSY) {
+        match conn.wait_for_data(conn.clock().now() + BUSY) {
             Ok(true) => {}
             Ok(false) => return Served::Waits(conn),
             Err(_) => return Served::Ended,
@@ -45,7 +45,7 @@
         if conn.send(reply.as_bytes(), TIME).is_err() || !keep {
             return Served::Ended;
         }
-        conn.give_back_buffer();
+        conn.release_buffer();
     }
 }
 
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -122,7 +122,7 @@
         thread::sleep(faults.slow);
     }
     if faults.cut {
-        conn.cut();
+        conn.shutdown();
         return Next::Close;
     }
     if faults.down {
@@ -136,7 +136,7 @@
     }
     let reply = answer(state, &received);
     if writes && lose_reply(state) {
-        conn.cut();
+        conn.shutdown();
         return Next::Close;
     }
     send(conn, &reply.bytes(), Next::KeepAlive)
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -184,7 +184,7 @@
             (false, _) => faults.take(),
         };
         if fault == Fault::CloseBeforeRead {
-            conn.cut();
+            conn.shutdown();
             return;
         }
         let Ok(framing) = head.framing() else { return };
--- a/tests/suite/framing.rs
+++ b/tests/suite/framing.rs
@@ -165,7 +165,7 @@
     let mut writer = ChunkWriter::default();
     far.send(writer.frame(b"token"), Duration::from_secs(1)).expect("sent");
     drop(writer);
-    far.cut();
+    far.shutdown();
     let mut seen = Vec::new();
     // How the cut shows, as an end or as an error, is the machine's choice.
     let _ = near.read_to_end(&mut seen);
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -275,7 +275,7 @@
             picker.in_flight().map(|(_, own)| own).sum::<u32>()
         };
         eventually("it is under way", || in_flight() == 1);
-        conn.cut();
+        conn.shutdown();
         eventually("it has ended", || in_flight() == 0);
     }
 }
--- a/tests/suite/idle_callers.rs
+++ b/tests/suite/idle_callers.rs
@@ -64,7 +64,10 @@
     let slow: Vec<_> = (0..SLOW)
         .map(|_| {
             let conn = connect(callers);
-            conn.handle().expect("a handle").write_all(b"POST /once/").expect("some bytes");
+            conn.try_clone_stream()
+                .expect("a handle")
+                .write_all(b"POST /once/")
+                .expect("some bytes");
             conn
         })
         .collect();
--- a/tests/suite/suspended.rs
+++ b/tests/suite/suspended.rs
@@ -62,7 +62,7 @@
             thread::sleep(Duration::from_millis(100));
             advancing.advance(Duration::from_secs(20));
         });
-        let waited = conn.fill_beside(until, None);
+        let waited = conn.fill_until(until, None);
         assert!(matches!(waited, Err(ReadError::Timeout)), "{waited:?}");
     });
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
