--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -15,8 +15,8 @@
     adapter,
     contract::outcome::Outcome,
     link::{
-        caller::{Served, linger},
         http1::{BodyReader, Conn, HeadError, ReadError, RequestHead, body::BodyFraming},
+        listener::{ConnOutcome, lingering_close},
     },
     names::TeamName,
     routing::{Intent, Route},
@@ -68,22 +68,22 @@
 }
 
 /// Serves a connection as long as one request closely follows the other.
-pub fn serve(gateway: &Gateway, mut conn: Conn) -> Served {
+pub fn serve(gateway: &Gateway, mut conn: Conn) -> ConnOutcome {
     // An instance that has just started knows enough within some hundredths of a second.
     gateway.cluster_state.wait_complete(START_PATIENCE);
     loop {
         conn.release_buffer();
         match conn.wait_for_data(gateway.clock.now() + BUSY) {
             Ok(true) => {}
-            Ok(false) => return Served::Waits(conn),
-            Err(_) => return Served::Ended,
+            Ok(false) => return ConnOutcome::Idle(conn),
+            Err(_) => return ConnOutcome::Closed,
         }
         match serve_one(gateway, &mut conn) {
             After::GoesOn => {}
-            After::Ends => return Served::Ended,
+            After::Ends => return ConnOutcome::Closed,
             After::EndsUnread => {
-                linger(&mut conn);
-                return Served::Ended;
+                lingering_close(&mut conn);
+                return ConnOutcome::Closed;
             }
         }
     }
--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     clock::Clock,
-    link::{caller::Listener, idle::IdleConns},
+    link::{idle::IdleMonitor, listener::Listener},
 };
 
 /// A running instance, with its listeners.
@@ -34,7 +34,7 @@
     pub fn spawn(settings: GatewaySettings, clock: &Clock) -> anyhow::Result<GatewayHandle> {
         let gateway = Arc::new(Gateway::open(settings, clock)?);
         let closing = gateway.drain.idle_end().context("cannot create a pipe")?;
-        let idle = IdleConns::spawn(clock.clone(), closing)
+        let idle = IdleMonitor::spawn(clock.clone(), closing)
             .context("cannot start the watch over idle connections")?;
         let readiness = serve_readiness(&gateway, &idle)?;
         let metrics = serve_metrics(&gateway, &idle);
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -11,9 +11,9 @@
 
 use super::{Gateway, connection, peer_server};
 use crate::link::{
-    caller::{IdleRules, Listener, Served},
     http1::Conn,
-    idle::IdleConns,
+    idle::IdleMonitor,
+    listener::{ConnOutcome, IdlePolicy, Listener},
     peer,
     small::{self, SmallAnswer},
 };
@@ -28,7 +28,7 @@
 /// Serves readiness checks at any path.
 pub(super) fn serve_readiness(
     gateway: &Arc<Gateway>,
-    idle: &IdleConns,
+    idle: &IdleMonitor,
 ) -> anyhow::Result<Listener> {
     let address = gateway.settings.addresses.readiness;
     let serving = Arc::clone(gateway);
@@ -40,7 +40,7 @@
 }
 
 /// Serves the metrics at any path. If their address is in use, the instance runs without metrics.
-pub(super) fn serve_metrics(gateway: &Arc<Gateway>, idle: &IdleConns) -> Option<Listener> {
+pub(super) fn serve_metrics(gateway: &Arc<Gateway>, idle: &IdleMonitor) -> Option<Listener> {
     let serving = Arc::clone(gateway);
     let address = gateway.settings.addresses.metrics;
     let served = serve_status(gateway, idle, address, "metrics", move || {
@@ -52,43 +52,46 @@
 
 fn serve_status(
     gateway: &Gateway,
-    idle: &IdleConns,
+    idle: &IdleMonitor,
     address: SocketAddr,
     what: &str,
     answer: impl Fn() -> SmallAnswer + Send + Sync + 'static,
 ) -> anyhow::Result<Listener> {
     let rules = idle_rules(idle, |since| since + STATUS_IDLE_TIMEOUT, false);
     let serve = move |conn: Conn| small::serve(conn, &answer);
-    Listener::bind_idling(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
+    Listener::bind_with_idle(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
         .with_context(|| format!("cannot listen for {what} on {address}"))
 }
 
 /// Serves other instances.
-pub(super) fn serve_peers(gateway: &Arc<Gateway>, idle: &IdleConns) -> anyhow::Result<Listener> {
+pub(super) fn serve_peers(gateway: &Arc<Gateway>, idle: &IdleMonitor) -> anyhow::Result<Listener> {
     let listen = gateway.settings.addresses.peers;
     let rules = idle_rules(idle, |since| since + peer::IDLE_TIME, false);
     let serving = Arc::clone(gateway);
     let serve = move |conn: Conn| peer_server::serve(&serving, conn);
     let most = gateway.settings.peer_connections;
-    Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
+    Listener::bind_with_idle(listen, gateway.clock.clone(), most, rules, serve)
         .with_context(|| format!("cannot listen for other instances on {listen}"))
 }
 
 /// Serves callers.
-pub(super) fn serve_callers(gateway: &Arc<Gateway>, idle: &IdleConns) -> anyhow::Result<Listener> {
+pub(super) fn serve_callers(
+    gateway: &Arc<Gateway>,
+    idle: &IdleMonitor,
+) -> anyhow::Result<Listener> {
     let listen = gateway.settings.addresses.callers;
     let most = gateway.settings.connections;
     let (waiting, serving) = (Arc::clone(gateway), Arc::clone(gateway));
     let rules = idle_rules(idle, move |since| connection::idle_until(&waiting, since), true);
-    let serve = move |conn: Conn| -> Served { connection::serve(&serving, conn) };
-    Listener::bind_idling(listen, gateway.clock.clone(), most, rules, serve)
+    let serve = move |conn: Conn| -> ConnOutcome { connection::serve(&serving, conn) };
+    Listener::bind_with_idle(listen, gateway.clock.clone(), most, rules, serve)
         .with_context(|| format!("cannot listen for callers on {listen}"))
 }
 
 fn idle_rules(
-    watch: &IdleConns,
-    until: impl Fn(Instant) -> Instant + Send + Sync + 'static,
+    monitor: &IdleMonitor,
+    deadline: impl Fn(Instant) -> Instant + Send + Sync + 'static,
     is_callers: bool,
-) -> IdleRules {
-    IdleRules { watch: watch.clone(), until: Arc::new(until), is_callers }
+) -> IdlePolicy {
+    IdlePolicy { monitor: monitor.clone(), deadline: Arc::new(deadline), is_callers }
 }
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -18,8 +18,8 @@
 use crate::{
     configs::fleet::chunks::{decode, encode},
     link::{
-        caller::Served,
         http1::Conn,
+        listener::ConnOutcome,
         peer::{self, PeerService},
         traffic::Purpose,
     },
@@ -190,7 +190,7 @@
 }
 
 /// Serves a connection of another instance, as long as messages follow each other closely.
-pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> Served {
+pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> ConnOutcome {
     let service = PeerService {
         accepted: None,
         timeout: EXCHANGE_TIMEOUT,
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -27,7 +27,7 @@
     configs::settings::Settings,
     context::Context,
     link::{
-        caller::Listener,
+        listener::Listener,
         peer::{self, PeerService},
     },
     metrics::Metrics,
@@ -144,10 +144,10 @@
             let age = self.shared.drain.age(self.shared.clock.now());
             age.is_none_or(|age| age >= timeouts.drain.0)
         };
-        while self.callers.open() > 0 && !over() && !hurry() {
+        while self.callers.open_connections() > 0 && !over() && !hurry() {
             thread::sleep(background::TICK);
         }
-        let clean = self.callers.open() == 0;
+        let clean = self.callers.open_connections() == 0;
         while self.shared.claims.deferred() > 0 && !over() && !hurry() {
             thread::sleep(background::TICK);
         }
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -19,8 +19,8 @@
     },
     link::{
         answer::{AnswerNote, OwnHeaders, send_refusal},
-        caller::linger,
         http1::{BodyFraming, BodyReader, Conn, HeadError, ReadError, RequestHead},
+        listener::lingering_close,
     },
     utils::usage::UsageGuard,
 };
@@ -37,12 +37,12 @@
         match RequestHead::read(&mut conn, shared.settings.limits.head.bytes(), until) {
             Ok(head) => {
                 if !serve_request(shared, &mut conn, head, id) {
-                    return linger(&mut conn);
+                    return lingering_close(&mut conn);
                 }
             }
             Err(fault) => {
                 refuse_head(shared, &mut conn, &fault, id);
-                return linger(&mut conn);
+                return lingering_close(&mut conn);
             }
         }
     }
--- a/src/link/idle.rs
+++ b/src/link/idle.rs
@@ -43,13 +43,13 @@
 const FIRST: u64 = 2;
 
 /// A connection that waits for its next request.
-pub struct Idle {
+pub struct IdleConn {
     /// The connection; nothing read from it is left over.
     pub conn: Conn,
     /// Since when it has been idle.
     pub since: Instant,
     /// Returns until when a connection may wait that has been idle since then; asked again when that has passed.
-    pub until: Arc<dyn Fn(Instant) -> Instant + Send + Sync>,
+    pub deadline: Arc<dyn Fn(Instant) -> Instant + Send + Sync>,
     /// Whether it ends when callers' idle connections are to close.
     pub is_callers: bool,
     /// Takes the connection when something has come on it.
@@ -58,7 +58,7 @@
 
 /// The watch over idle connections.
 #[derive(Clone)]
-pub struct IdleConns {
+pub struct IdleMonitor {
     watch: Arc<Watch>,
 }
 
@@ -71,7 +71,7 @@
 
 #[derive(Default)]
 struct Waiting {
-    conns: HashMap<u64, (Idle, Instant)>,
+    conns: HashMap<u64, (IdleConn, Instant)>,
     /// When each may wait no longer, first ones first.
     ends: BTreeSet<(Instant, u64)>,
     next: u64,
@@ -79,13 +79,13 @@
     closing: bool,
 }
 
-impl IdleConns {
+impl IdleMonitor {
     /// Starts the watch; callers' idle connections end when `closing` becomes readable.
     ///
     /// # Errors
     ///
     /// A pipe, the watch or its thread cannot be made.
-    pub fn spawn(clock: Clock, closing: PipeReader) -> io::Result<IdleConns> {
+    pub fn spawn(clock: Clock, closing: PipeReader) -> io::Result<IdleMonitor> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let (woken, wake) = io::pipe()?;
         rustix::io::ioctl_fionbio(&woken, true)?;
@@ -100,18 +100,18 @@
         thread::Builder::new()
             .name("idle".to_owned())
             .spawn(move || watched.run(&woken, &closing))?;
-        Ok(IdleConns { watch })
+        Ok(IdleMonitor { watch })
     }
 
     /// Watches a connection until something comes on it, it is closed, or its time is over.
-    pub fn wait(&self, idle: Idle) {
-        self.watch.wait(idle);
+    pub fn watch(&self, idle: IdleConn) {
+        self.watch.watch(idle);
     }
 }
 
 impl Watch {
-    fn wait(&self, idle: Idle) {
-        let end = (idle.until)(idle.since);
+    fn watch(&self, idle: IdleConn) {
+        let end = (idle.deadline)(idle.since);
         let mut waiting = lock(&self.waiting);
         if idle.is_callers && waiting.closing {
             return;
@@ -170,7 +170,7 @@
         lock(&self.waiting).ends.first().map(|(end, _)| *end)
     }
 
-    fn take(&self, number: u64) -> Option<Idle> {
+    fn take(&self, number: u64) -> Option<IdleConn> {
         let mut waiting = lock(&self.waiting);
         let (idle, end) = waiting.conns.remove(&number)?;
         waiting.ends.remove(&(end, number));
@@ -187,7 +187,7 @@
             ConnState::Readable => (idle.resume)(idle.conn),
             ConnState::HalfClosed | ConnState::Broken => {}
             // Woken for nothing.
-            ConnState::Open => self.wait(idle),
+            ConnState::Open => self.watch(idle),
         }
     }
 
@@ -212,8 +212,8 @@
             };
             let Some(idle) = self.take(number) else { return };
             // The limit may have grown meanwhile.
-            if (idle.until)(idle.since) > now {
-                self.wait(idle);
+            if (idle.deadline)(idle.since) > now {
+                self.watch(idle);
             }
         }
     }
--- a/src/link/caller.rs
+++ b/src/link/listener.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     link::{
         http1::Conn,
-        idle::{Idle, IdleConns},
+        idle::{IdleConn, IdleMonitor},
     },
 };
 
@@ -34,20 +34,20 @@
 const DISCARD_TIME: Duration = Duration::from_secs(2);
 
 /// What has become of a connection.
-pub enum Served {
+pub enum ConnOutcome {
     /// It has ended.
-    Ended,
+    Closed,
     /// It waits for its next request.
-    Waits(Conn),
+    Idle(Conn),
 }
 
 /// How a listener's idle connections wait.
 #[derive(Clone)]
-pub struct IdleRules {
+pub struct IdlePolicy {
     /// The watch over them.
-    pub watch: IdleConns,
+    pub monitor: IdleMonitor,
     /// Returns until when one may wait that has been idle since then.
-    pub until: Arc<dyn Fn(Instant) -> Instant + Send + Sync>,
+    pub deadline: Arc<dyn Fn(Instant) -> Instant + Send + Sync>,
     /// Whether they end when callers' idle connections are to close.
     pub is_callers: bool,
 }
@@ -56,7 +56,7 @@
 pub struct Listener {
     address: SocketAddr,
     stopped: Arc<AtomicBool>,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -72,17 +72,17 @@
 /// What serves a listener's connections.
 struct Service<S> {
     serve: S,
-    idle: Option<IdleRules>,
+    idle: Option<IdlePolicy>,
     clock: Clock,
 }
 
-impl<S: Fn(Conn) -> Served + Send + Sync + 'static> Service<S> {
+impl<S: Fn(Conn) -> ConnOutcome + Send + Sync + 'static> Service<S> {
     /// Serves a connection in a thread of its own.
     fn spawn(self: &Arc<Self>, conn: Conn, guard: OpenGuard) {
         let service = Arc::clone(self);
         let thread = thread::Builder::new().name("conn".to_owned()).stack_size(STACK);
         let spawned = thread.spawn(move || {
-            if let Served::Waits(conn) = (service.serve)(conn) {
+            if let ConnOutcome::Idle(conn) = (service.serve)(conn) {
                 service.wait(conn, guard);
             }
         });
@@ -95,10 +95,10 @@
     fn wait(self: &Arc<Self>, conn: Conn, guard: OpenGuard) {
         let Some(rules) = &self.idle else { return };
         let service = Arc::clone(self);
-        rules.watch.wait(Idle {
+        rules.monitor.watch(IdleConn {
             conn,
             since: self.clock.now(),
-            until: Arc::clone(&rules.until),
+            deadline: Arc::clone(&rules.deadline),
             is_callers: rules.is_callers,
             resume: Box::new(move |conn| service.spawn(conn, guard)),
         });
@@ -123,7 +123,7 @@
     ) -> io::Result<Listener> {
         let until_ended = move |conn| {
             serve(conn);
-            Served::Ended
+            ConnOutcome::Closed
         };
         Listener::bind_with(address, clock, most, None, until_ended, refuse)
     }
@@ -136,12 +136,12 @@
     /// # Errors
     ///
     /// The address cannot be listened on.
-    pub fn bind_idling(
+    pub fn bind_with_idle(
         address: SocketAddr,
         clock: Clock,
         most: usize,
-        idle: IdleRules,
-        serve: impl Fn(Conn) -> Served + Send + Sync + 'static,
+        idle: IdlePolicy,
+        serve: impl Fn(Conn) -> ConnOutcome + Send + Sync + 'static,
     ) -> io::Result<Listener> {
         Listener::bind_with(address, clock, most, Some(idle), serve, drop)
     }
@@ -150,15 +150,15 @@
         address: SocketAddr,
         clock: Clock,
         most: usize,
-        idle: Option<IdleRules>,
-        serve: impl Fn(Conn) -> Served + Send + Sync + 'static,
+        idle: Option<IdlePolicy>,
+        serve: impl Fn(Conn) -> ConnOutcome + Send + Sync + 'static,
         refuse: impl Fn(Conn) + Send + Sync + 'static,
     ) -> io::Result<Listener> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let stopped = Arc::new(AtomicBool::new(false));
-        let open = Arc::new(AtomicUsize::new(0));
-        let (stop, count) = (Arc::clone(&stopped), Arc::clone(&open));
+        let open_connections = Arc::new(AtomicUsize::new(0));
+        let (stop, count) = (Arc::clone(&stopped), Arc::clone(&open_connections));
         let service = Arc::new(Service { serve, idle, clock: clock.clone() });
         let thread = thread::Builder::new().name("accept".to_owned()).spawn(move || {
             while !stop.load(Ordering::SeqCst) {
@@ -178,7 +178,7 @@
                 service.spawn(conn, OpenGuard(Arc::clone(&count)));
             }
         })?;
-        Ok(Listener { address, stopped, open, thread: Some(thread) })
+        Ok(Listener { address, stopped, open_connections, thread: Some(thread) })
     }
 
     /// Returns the bound address.
@@ -187,8 +187,8 @@
     }
 
     /// Returns the number of open connections.
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.load(Ordering::SeqCst)
     }
 
     /// Stops taking connections; those that are open go on.
@@ -213,11 +213,11 @@
 /// Ends a connection after a refusal whose request may still be coming in: closes the own direction, then
 /// reads and drops the rest until the caller closes too, for a moment. Closing both directions with bytes
 /// unread, or still to come, would reset the connection and destroy the answer on its way.
-pub fn linger(conn: &mut Conn) {
+pub fn lingering_close(conn: &mut Conn) {
     conn.shutdown_write();
-    let until = conn.clock().now() + DISCARD_TIME;
+    let deadline = conn.clock().now() + DISCARD_TIME;
     let mut dropped = 0;
-    while dropped < DISCARD_MAX && conn.fill_until(until, None).is_ok() {
+    while dropped < DISCARD_MAX && conn.fill_until(deadline, None).is_ok() {
         dropped += conn.buffered().len();
         conn.consume(conn.buffered().len());
     }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -3,10 +3,10 @@
 pub mod answer;
 pub mod backend;
 pub mod call;
-pub mod caller;
 pub mod http1;
 pub mod idle;
 pub mod kept;
+pub mod listener;
 pub mod peer;
 pub mod small;
 pub mod traffic;
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -20,9 +20,9 @@
     configs::fleet::chunks::{decode, encode},
     link::{
         call::{CallTime, WHOLE_MESSAGE},
-        caller::Served,
         http1::{BodyFraming, BodyReader, ChunkWriter, Conn, HeadError, RequestHead, ResponseHead},
         kept::{Call, KeptConns, KeptFault},
+        listener::ConnOutcome,
         traffic::{Purpose, Traffic},
     },
     utils::{
@@ -274,7 +274,11 @@
 
 /// Serves a connection of a peer until nothing has come on it for `idle`; for services without credentials, as
 /// these are shown once a connection.
-pub fn serve_while_busy<A, S>(conn: Conn, service: &PeerService<'_, A, S>, idle: Duration) -> Served
+pub fn serve_while_busy<A, S>(
+    conn: Conn,
+    service: &PeerService<'_, A, S>,
+    idle: Duration,
+) -> ConnOutcome
 where
     A: Fn(&str, &[u8]) -> Result<Vec<u8>, u16>,
     S: Fn(StreamSender, StreamReceiver),
@@ -282,7 +286,7 @@
     serve_for(conn, service, idle)
 }
 
-fn serve_for<A, S>(mut conn: Conn, service: &PeerService<'_, A, S>, idle: Duration) -> Served
+fn serve_for<A, S>(mut conn: Conn, service: &PeerService<'_, A, S>, idle: Duration) -> ConnOutcome
 where
     A: Fn(&str, &[u8]) -> Result<Vec<u8>, u16>,
     S: Fn(StreamSender, StreamReceiver),
@@ -291,23 +295,25 @@
     loop {
         match conn.wait_for_data(conn.clock().now() + idle) {
             Ok(true) => {}
-            Ok(false) => return Served::Waits(conn),
-            Err(_) => return Served::Ended,
+            Ok(false) => return ConnOutcome::Idle(conn),
+            Err(_) => return ConnOutcome::Closed,
         }
         let until = conn.clock().now() + IDLE_TIME;
-        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else { return Served::Ended };
+        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else {
+            return ConnOutcome::Closed;
+        };
         shown = shown || shows_credential(&head, service.accepted.unwrap_or_default());
         if !shown {
             // The other side learns why; that it may not get the message is no loss.
             let _ = conn.send(&reply_bytes(401, &[]), service.timeout);
-            return Served::Ended;
+            return ConnOutcome::Closed;
         }
         if head.target == STREAM_PATH {
             serve_stream(conn, service);
-            return Served::Ended;
+            return ConnOutcome::Closed;
         }
         let Ok(body) = read_message(&mut conn, &head, service.timeout) else {
-            return Served::Ended;
+            return ConnOutcome::Closed;
         };
         let purpose = (service.purpose)(&head.target);
         service.traffic.received(purpose, request_bytes(&head.target, &body, None).len());
@@ -317,7 +323,7 @@
         };
         service.traffic.sent(purpose, reply.len());
         if conn.send(&reply, service.timeout).is_err() {
-            return Served::Ended;
+            return ConnOutcome::Closed;
         }
         conn.release_buffer();
     }
--- a/src/link/small.rs
+++ b/src/link/small.rs
@@ -7,8 +7,8 @@
 use http::StatusCode;
 
 use super::{
-    caller::Served,
     http1::{Conn, RequestHead},
+    listener::ConnOutcome,
 };
 
 /// Largest head of a question.
@@ -31,19 +31,21 @@
 }
 
 /// Answers the questions on a connection, whatever they ask, as long as they follow each other closely.
-pub fn serve(mut conn: Conn, answer: impl Fn() -> SmallAnswer) -> Served {
+pub fn serve(mut conn: Conn, answer: impl Fn() -> SmallAnswer) -> ConnOutcome {
     loop {
         match conn.wait_for_data(conn.clock().now() + BUSY) {
             Ok(true) => {}
-            Ok(false) => return Served::Waits(conn),
-            Err(_) => return Served::Ended,
+            Ok(false) => return ConnOutcome::Idle(conn),
+            Err(_) => return ConnOutcome::Closed,
         }
         let until = conn.clock().now() + TIME;
-        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else { return Served::Ended };
+        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else {
+            return ConnOutcome::Closed;
+        };
         let keep = head.keep_alive() && !has_body(&head);
         let reply = encode(&answer(), keep, head.method == http::Method::HEAD);
         if conn.send(reply.as_bytes(), TIME).is_err() || !keep {
-            return Served::Ended;
+            return ConnOutcome::Closed;
         }
         conn.release_buffer();
     }
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 
-use cartvane::{contract::orders::EngineOrder, link::caller::Listener, utils::sync::lock};
+use cartvane::{contract::orders::EngineOrder, link::listener::Listener, utils::sync::lock};
 use serde::{Deserialize, Serialize};
 
 pub use self::board::{Arrival, Board};
--- a/standins/src/listed.rs
+++ b/standins/src/listed.rs
@@ -14,7 +14,7 @@
 };
 
 use cartvane::{
-    link::{caller::Listener, http1::Conn},
+    link::{http1::Conn, listener::Listener},
     utils::sync::lock,
 };
 use serde_json::{Value, json};
--- a/standins/src/measure/latency.rs
+++ b/standins/src/measure/latency.rs
@@ -10,7 +10,7 @@
 
 use cartvane::{
     clock::Clock,
-    link::{caller::Listener, http1::Conn},
+    link::{http1::Conn, listener::Listener},
 };
 
 use super::{Figure, figure, resident_mib, spread};
--- a/standins/src/plain.rs
+++ b/standins/src/plain.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, sync::Arc};
 
-use cartvane::link::caller::Listener;
+use cartvane::link::listener::Listener;
 
 use crate::{
     fault::Faults,
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -14,7 +14,7 @@
 
 use cartvane::{
     contract::token_bucket::TokenBucket,
-    link::caller::Listener,
+    link::listener::Listener,
     platform::{Member, MembersPage, Transaction, embedded::Embedded},
     units::Rate,
     utils::sync::lock,
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -12,8 +12,8 @@
 use cartvane::{
     clock::Clock,
     link::{
-        caller::Listener,
         http1::{BodyReader, ChunkWriter, Conn, RequestHead, body::LAST_CHUNK},
+        listener::Listener,
     },
     utils::sync::lock,
 };
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -11,7 +11,7 @@
 
 use base64::{Engine as _, prelude::BASE64_STANDARD};
 use cartvane::{
-    link::{caller::Listener, http1::Conn},
+    link::{http1::Conn, listener::Listener},
     utils::sync::lock,
 };
 use serde_json::{Value, json};
--- a/tests/suite/callers.rs
+++ b/tests/suite/callers.rs
@@ -245,7 +245,7 @@
 #[test]
 fn a_panic_in_one_connection_takes_no_other_down() {
     let panicked = std::sync::atomic::AtomicBool::new(false);
-    let listener = cartvane::link::caller::Listener::bind(
+    let listener = cartvane::link::listener::Listener::bind(
         ([127, 0, 0, 1], 0).into(),
         Clock::system(),
         10,
@@ -266,5 +266,5 @@
         seen
     };
     assert_eq!((read().as_str(), read().as_str()), ("", "alive"));
-    eventually("no connection is counted any more", || listener.open() == 0);
+    eventually("no connection is counted any more", || listener.open_connections() == 0);
 }
