--- a/src/link/call.rs
+++ b/src/link/call.rs
@@ -11,18 +11,18 @@
 
 /// Longest time for a whole message: 5.3 MB over the slowest link planned for (1.25 MB a second) take 4.2 s, and
 /// twice as long beside other traffic. What makes progress is not to be cut by it.
-pub const WHOLE_MESSAGE: Duration = Duration::from_secs(10);
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long the parts of a call may take. A body has no time of its own: how long it takes depends on its
 /// length and the link, so a limit on the whole would cut every body beyond some length, each time anew.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallTime {
+pub struct CallTimeouts {
     /// From the call's end to the reply's head.
     pub head: Duration,
     /// Longest pause, of the reply's body or in the other side's taking of the call.
     pub stall: Duration,
     /// For all together: what only trickles in is given up then.
-    pub whole: Duration,
+    pub total: Duration,
 }
 
 /// A whole reply.
@@ -40,16 +40,16 @@
 
 /// Why a call brought no reply.
 #[derive(Debug, thiserror::Error)]
-pub enum CallFault {
+pub enum CallError {
     /// The connection ended before anything of a reply came, as a kept one does that the other side closed.
     #[error("{0}, before anything of a reply came")]
-    Ended(String),
+    Closed(String),
     /// The other side said nothing in time.
     #[error("nothing came for {0:?}")]
-    Silent(Duration),
+    Timeout(Duration),
     /// The reply broke off.
     #[error("{reason}, with {read} bytes of the body read")]
-    Cut {
+    Truncated {
         /// What went wrong.
         reason: String,
         /// Bytes of the body that had come.
@@ -58,44 +58,49 @@
 }
 
 /// Sends `message`, a whole request of the method `method`, and returns the reply with a body of at most
-/// `most` bytes.
+/// `reply_max` bytes.
 ///
 /// # Errors
 ///
-/// See [`CallFault`]; the connection is of no more use then.
+/// See [`CallError`]; the connection is of no more use then.
 pub fn call(
     conn: &mut Conn,
     method: &Method,
     message: &[u8],
-    time: &CallTime,
-    most: usize,
-) -> Result<CallReply, CallFault> {
-    let end = conn.clock().now() + time.whole;
-    conn.send(message, time.stall).map_err(|(_, e)| CallFault::Ended(e.to_string()))?;
-    let head = read_head(conn, time, end)?;
-    let cut = |reason: &dyn ToString, read| CallFault::Cut { reason: reason.to_string(), read };
+    timeouts: &CallTimeouts,
+    reply_max: usize,
+) -> Result<CallReply, CallError> {
+    let end = conn.clock().now() + timeouts.total;
+    conn.send(message, timeouts.stall).map_err(|(_, e)| CallError::Closed(e.to_string()))?;
+    let head = read_head(conn, timeouts, end)?;
+    let cut =
+        |reason: &dyn ToString, read| CallError::Truncated { reason: reason.to_string(), read };
     let framing = head.framing(method).map_err(|e| cut(&e, 0))?;
     let mut reader = BodyReader::new(framing);
-    let body = reader.read_all_with_stall_limit(conn, most, time.stall, end);
+    let body = reader.read_all_with_stall_limit(conn, reply_max, timeouts.stall, end);
     let body = body.map_err(|(read, e)| cut(&e, read))?;
     let keep_alive = head.keep_alive() && conn.buffered().is_empty();
     Ok(CallReply { status: head.status, headers: head.headers, body, keep_alive })
 }
 
-fn read_head(conn: &mut Conn, time: &CallTime, end: Instant) -> Result<ResponseHead, CallFault> {
-    let until = (conn.clock().now() + time.head).min(end);
+fn read_head(
+    conn: &mut Conn,
+    timeouts: &CallTimeouts,
+    end: Instant,
+) -> Result<ResponseHead, CallError> {
+    let until = (conn.clock().now() + timeouts.head).min(end);
     loop {
         match ResponseHead::take_buffered(conn, HEAD_MAX) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
-            Err(e) => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
+            Err(e) => return Err(CallError::Truncated { reason: e.to_string(), read: 0 }),
         }
         let began = !conn.buffered().is_empty();
         match conn.fill_until(until, None) {
             Ok(()) => {}
-            Err(ReadError::Timeout) => return Err(CallFault::Silent(time.head)),
-            Err(e) if began => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
-            Err(e) => return Err(CallFault::Ended(e.to_string())),
+            Err(ReadError::Timeout) => return Err(CallError::Timeout(timeouts.head)),
+            Err(e) if began => return Err(CallError::Truncated { reason: e.to_string(), read: 0 }),
+            Err(e) => return Err(CallError::Closed(e.to_string())),
         }
     }
 }
--- a/src/link/kept.rs
+++ b/src/link/conn_pool.rs
@@ -5,7 +5,7 @@
 use http::Method;
 
 use super::{
-    call::{CallFault, CallReply, CallTime, call},
+    call::{CallError, CallReply, CallTimeouts, call},
     http1::{Conn, conn::ConnState},
 };
 use crate::{clock::Clock, utils::sync::lock};
@@ -20,46 +20,46 @@
     /// Returns the whole request, given whether it is the first on its connection.
     pub message: &'c dyn Fn(bool) -> Vec<u8>,
     /// How long it may take.
-    pub time: CallTime,
+    pub timeouts: CallTimeouts,
     /// Largest body of a reply, in bytes.
-    pub most: usize,
+    pub reply_max: usize,
     /// Says whether a call that failed so on a kept connection is made once more, on a new one.
-    pub again: fn(&CallFault) -> bool,
+    pub may_retry: fn(&CallError) -> bool,
 }
 
 /// Why a call was not made or brought nothing.
 #[derive(Debug, thiserror::Error)]
-pub enum KeptFault {
+pub enum PoolError {
     /// There is no connection; nothing was sent.
     #[error("no connection: {0}")]
-    Unconnected(#[from] io::Error),
+    Connect(#[from] io::Error),
     /// The call was sent, or a part of it.
     #[error(transparent)]
-    Call(#[from] CallFault),
+    Call(#[from] CallError),
 }
 
 /// Idle connections by address.
-pub struct KeptConns {
+pub struct ConnPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
     clock: Clock,
     connect_time: Duration,
 }
 
-impl KeptConns {
+impl ConnPool {
     /// Returns an empty pool whose new connections are made within `connect_time`.
-    pub fn new(clock: Clock, connect_time: Duration) -> KeptConns {
-        KeptConns { idle: Mutex::default(), clock, connect_time }
+    pub fn new(clock: Clock, connect_time: Duration) -> ConnPool {
+        ConnPool { idle: Mutex::default(), clock, connect_time }
     }
 
     /// Makes a call on a kept connection that the other side has not closed, or on a new one.
     ///
     /// # Errors
     ///
-    /// See [`KeptFault`].
-    pub fn call(&self, to: SocketAddr, asked: &Call<'_>) -> Result<CallReply, KeptFault> {
+    /// See [`PoolError`].
+    pub fn call(&self, to: SocketAddr, asked: &Call<'_>) -> Result<CallReply, PoolError> {
         if let Some(conn) = self.take(to) {
             match self.call_on(conn, to, asked, false) {
-                Err(fault) if (asked.again)(&fault) => {}
+                Err(fault) if (asked.may_retry)(&fault) => {}
                 result => return Ok(result?),
             }
         }
@@ -82,9 +82,9 @@
         to: SocketAddr,
         asked: &Call<'_>,
         first: bool,
-    ) -> Result<CallReply, CallFault> {
+    ) -> Result<CallReply, CallError> {
         let message = (asked.message)(first);
-        let result = call(&mut conn, &asked.method, &message, &asked.time, asked.most);
+        let result = call(&mut conn, &asked.method, &message, &asked.timeouts, asked.reply_max);
         match &result {
             Ok(reply) if reply.keep_alive => self.put(to, conn),
             Ok(_) => {}
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -3,9 +3,9 @@
 pub mod answer;
 pub mod backend;
 pub mod call;
+pub mod conn_pool;
 pub mod http1;
 pub mod idle;
-pub mod kept;
 pub mod listener;
 pub mod peer;
 pub mod small;
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -19,9 +19,9 @@
     clock::Clock,
     configs::fleet::chunks::{decode, encode},
     link::{
-        call::{CallTime, WHOLE_MESSAGE},
+        call::{CallTimeouts, MESSAGE_TIMEOUT},
+        conn_pool::{Call, ConnPool, PoolError},
         http1::{BodyFraming, BodyReader, ChunkWriter, Conn, HeadError, RequestHead, ResponseHead},
-        kept::{Call, KeptConns, KeptFault},
         listener::ConnOutcome,
         traffic::{Purpose, Traffic},
     },
@@ -69,9 +69,9 @@
 
 /// Connections to other instances.
 pub struct PeerLinks {
-    conns: KeptConns,
+    conns: ConnPool,
     credential: Option<Secret>,
-    time: CallTime,
+    timeouts: CallTimeouts,
     traffic: Traffic,
 }
 
@@ -84,9 +84,9 @@
         timeout: Duration,
         traffic: Traffic,
     ) -> PeerLinks {
-        let conns = KeptConns::new(clock, timeout);
-        let time = CallTime { head: timeout, stall: timeout, whole: WHOLE_MESSAGE };
-        PeerLinks { conns, credential, time, traffic }
+        let conns = ConnPool::new(clock, timeout);
+        let timeouts = CallTimeouts { head: timeout, stall: timeout, total: MESSAGE_TIMEOUT };
+        PeerLinks { conns, credential, timeouts, traffic }
     }
 
     /// Sends `message` and returns the peer's answer.
@@ -114,13 +114,13 @@
         let asked = Call {
             method: Method::POST,
             message: &message,
-            time: self.time,
-            most: MESSAGE_MAX,
-            again: |_| true,
+            timeouts: self.timeouts,
+            reply_max: MESSAGE_MAX,
+            may_retry: |_| true,
         };
         let reply = self.conns.call(to, &asked).map_err(|fault| match fault {
-            KeptFault::Unconnected(e) => PeerFault::Unreachable(to, e.to_string()),
-            KeptFault::Call(e) => PeerFault::Broken(to, e.to_string()),
+            PoolError::Connect(e) => PeerFault::Unreachable(to, e.to_string()),
+            PoolError::Call(e) => PeerFault::Broken(to, e.to_string()),
         })?;
         self.traffic.received(purpose, reply_bytes(200, &reply.body).len());
         if reply.status != StatusCode::OK {
@@ -146,7 +146,7 @@
             self.credential.as_ref().map_or_else(String::new, credential_line)
         );
         let broken = |e: std::io::Error| PeerFault::Broken(to, e.to_string());
-        conn.send(head.as_bytes(), self.time.stall).map_err(|(_, e)| broken(e))?;
+        conn.send(head.as_bytes(), self.timeouts.stall).map_err(|(_, e)| broken(e))?;
         self.traffic.sent(purpose, head.len());
         let sender = StreamSender::new(&conn, purpose, &self.traffic).map_err(broken)?;
         let receiver =
@@ -354,7 +354,7 @@
     head: &RequestHead,
     timeout: Duration,
 ) -> Result<Vec<u8>, HeadError> {
-    let end = conn.clock().now() + WHOLE_MESSAGE;
+    let end = conn.clock().now() + MESSAGE_TIMEOUT;
     let mut reader = BodyReader::new(head.framing()?);
     let body = reader.read_all_with_stall_limit(conn, MESSAGE_MAX, timeout, end);
     Ok(body.map_err(|(_, fault)| fault)?)
