--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -66,7 +66,7 @@
 /// Serves other instances.
 pub(super) fn serve_peers(gateway: &Arc<Gateway>, idle: &IdleMonitor) -> anyhow::Result<Listener> {
     let listen = gateway.settings.addresses.peers;
-    let rules = idle_rules(idle, |since| since + peer::IDLE_TIME, false);
+    let rules = idle_rules(idle, |since| since + peer::IDLE_TIMEOUT, false);
     let serving = Arc::clone(gateway);
     let serve = move |conn: Conn| peer_server::serve(&serving, conn);
     let most = gateway.settings.peer_connections;
--- a/src/gateway/peer_server.rs
+++ b/src/gateway/peer_server.rs
@@ -192,10 +192,10 @@
 /// Serves a connection of another instance, as long as messages follow each other closely.
 pub fn serve(gateway: &Arc<Gateway>, conn: Conn) -> ConnOutcome {
     let service = PeerService {
-        accepted: None,
+        credentials: None,
         timeout: EXCHANGE_TIMEOUT,
         traffic: &gateway.peers.traffic,
-        answer: |path: &str, body: &[u8]| {
+        handle_call: |path: &str, body: &[u8]| {
             if gateway.drain.is_draining() {
                 // The others switch to the next aggregator before this instance stops.
                 return Err(503);
@@ -223,12 +223,12 @@
                 _ => Err(404),
             }
         },
-        stream: |_, _| {},
+        handle_stream: |_, _| {},
         purpose: |path| match path {
             OFFER_PATH | ROLLOUT_PATH => Purpose::Config,
             PERMIT_PATH => Purpose::Permits,
             _ => Purpose::Loads,
         },
     };
-    peer::serve_while_busy(conn, &service, NEXT_MESSAGE_TIMEOUT)
+    peer::serve_until_idle(conn, &service, NEXT_MESSAGE_TIMEOUT)
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -28,7 +28,7 @@
 use crate::{
     clock::Clock,
     link::{
-        peer::PeerLinks,
+        peer::PeerClient,
         traffic::{Purpose, Traffic},
     },
     routing::{
@@ -73,9 +73,9 @@
 /// Connections to the other instances, and what they have reported.
 pub struct Peers {
     pub(super) traffic: Traffic,
-    links: PeerLinks,
+    links: PeerClient,
     /// Separate connections, so that permits do not wait for exchanges.
-    permit_links: PeerLinks,
+    permit_links: PeerClient,
     /// Known instances, in the order in which they become the aggregator.
     pub(super) candidates: Mutex<Candidates>,
     /// Requests in flight, as the instances reported them to this one.
@@ -109,8 +109,8 @@
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
-            permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIME, traffic.clone()),
-            links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
+            permit_links: PeerClient::new(clock.clone(), None, PERMIT_TIME, traffic.clone()),
+            links: PeerClient::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -24,7 +24,7 @@
     },
     link::{
         backend::BackendLinks,
-        peer::PeerLinks,
+        peer::PeerClient,
         traffic::{Purpose, Traffic},
     },
     metrics::Metrics,
@@ -65,7 +65,7 @@
     let incarnation = u32::try_from(clock.wall_millis() / 1000).unwrap_or(u32::MAX);
     let credential = settings.credentials.peers[0].clone();
     let peers =
-        PeerLinks::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
+        PeerClient::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
     let own = Candidate { id: settings.id.clone(), tag, zone: settings.zone.clone() };
     let waker = Arc::clone(waker);
     // The desk and the homes speak to each other through the instance, which holds both.
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -172,11 +172,11 @@
     let serve = move |conn| {
         let shared = &serving;
         let service = PeerService {
-            accepted: Some(&shared.settings.credentials.peers),
+            credentials: Some(&shared.settings.credentials.peers),
             timeout: shared.settings.timeouts.peer.0,
             traffic: &shared.traffic,
-            answer: |path: &str, body: &[u8]| peers::answer(shared, path, body),
-            stream: |sender, receiver| streams::serve(shared, sender, receiver),
+            handle_call: |path: &str, body: &[u8]| peers::answer(shared, path, body),
+            handle_stream: |sender, receiver| streams::serve(shared, sender, receiver),
             purpose: peers::purpose,
         };
         peer::serve(conn, &service);
--- a/src/instance/operators/explain.rs
+++ b/src/instance/operators/explain.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     instance::shared::Shared,
-    link::{peer::PeerFault, traffic::Purpose, wire::EXPLAIN},
+    link::{peer::PeerError, traffic::Purpose, wire::EXPLAIN},
     names::Tag,
     utils::sync::lock,
     zone::rendezvous::{ChatKey, ranked},
@@ -60,7 +60,7 @@
     NoService(String),
     /// The home did not answer.
     #[error(transparent)]
-    Home(#[from] PeerFault),
+    Home(#[from] PeerError),
 }
 
 impl ExplainFault {
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -21,7 +21,7 @@
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
         requests::{claims::Claims, desk::Desk},
     },
-    link::{backend::BackendLinks, peer::PeerLinks, traffic::Traffic, wire::Hello},
+    link::{backend::BackendLinks, peer::PeerClient, traffic::Traffic, wire::Hello},
     metrics::Metrics,
     names::{ServiceId, Tag},
     platform::Platform,
@@ -51,7 +51,7 @@
     /// The platform.
     pub platform: Platform,
     /// Links to other instances.
-    pub peers: PeerLinks,
+    pub peers: PeerClient,
     /// Links to backend servers.
     pub backends: BackendLinks,
     /// The file in force, ready for requests.
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -44,14 +44,14 @@
 const MESSAGE_MAX: usize = 16 << 20;
 
 /// Idle time after which a peer's connection is closed by its server.
-pub const IDLE_TIME: Duration = Duration::from_secs(300);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Longest wait for a peer to take a message of a stream; one that takes longer is cut.
 const STREAM_SEND_TIME: Duration = Duration::from_millis(250);
 
 /// Why an exchange with a peer failed.
 #[derive(Debug, thiserror::Error)]
-pub enum PeerFault {
+pub enum PeerError {
     /// The peer was not reached.
     #[error("instance at {0} is not reached ({1}); it is passed over for a while")]
     Unreachable(SocketAddr, String),
@@ -59,23 +59,23 @@
     #[error(
         "exchange with the instance at {0} broke off ({1}); it is repeated where that does no harm"
     )]
-    Broken(SocketAddr, String),
+    Interrupted(SocketAddr, String),
     /// The peer refused.
     #[error(
         "the instance at {0} refused with status {1}; check that both have the same peers' credential and version"
     )]
-    Refused(SocketAddr, u16),
+    Rejected(SocketAddr, u16),
 }
 
 /// Connections to other instances.
-pub struct PeerLinks {
+pub struct PeerClient {
     conns: ConnPool,
     credential: Option<Secret>,
     timeouts: CallTimeouts,
     traffic: Traffic,
 }
 
-impl PeerLinks {
+impl PeerClient {
     /// Returns links that show `credential`, if instances have one; no pause in a call may take longer than
     /// `timeout`.
     pub fn new(
@@ -83,10 +83,10 @@
         credential: Option<Secret>,
         timeout: Duration,
         traffic: Traffic,
-    ) -> PeerLinks {
+    ) -> PeerClient {
         let conns = ConnPool::new(clock, timeout);
         let timeouts = CallTimeouts { head: timeout, stall: timeout, total: MESSAGE_TIMEOUT };
-        PeerLinks { conns, credential, timeouts, traffic }
+        PeerClient { conns, credential, timeouts, traffic }
     }
 
     /// Sends `message` and returns the peer's answer.
@@ -96,14 +96,14 @@
     ///
     /// # Errors
     ///
-    /// See [`PeerFault`].
+    /// See [`PeerError`].
     pub fn call<T: DeserializeOwned>(
         &self,
         purpose: Purpose,
         to: SocketAddr,
         path: &str,
         message: &impl Serialize,
-    ) -> Result<T, PeerFault> {
+    ) -> Result<T, PeerError> {
         let body = encode(message);
         let message = |first: bool| {
             let credential = if first { self.credential.as_ref() } else { None };
@@ -119,14 +119,14 @@
             may_retry: |_| true,
         };
         let reply = self.conns.call(to, &asked).map_err(|fault| match fault {
-            PoolError::Connect(e) => PeerFault::Unreachable(to, e.to_string()),
-            PoolError::Call(e) => PeerFault::Broken(to, e.to_string()),
+            PoolError::Connect(e) => PeerError::Unreachable(to, e.to_string()),
+            PoolError::Call(e) => PeerError::Interrupted(to, e.to_string()),
         })?;
         self.traffic.received(purpose, reply_bytes(200, &reply.body).len());
         if reply.status != StatusCode::OK {
-            return Err(PeerFault::Refused(to, reply.status.as_u16()));
+            return Err(PeerError::Rejected(to, reply.status.as_u16()));
         }
-        decode(&reply.body).map_err(|e| PeerFault::Broken(to, e.to_string()))
+        decode(&reply.body).map_err(|e| PeerError::Interrupted(to, e.to_string()))
     }
 
     /// Opens a stream to a peer.
@@ -138,14 +138,14 @@
         &self,
         purpose: Purpose,
         to: SocketAddr,
-    ) -> Result<(StreamSender, StreamReceiver), PeerFault> {
+    ) -> Result<(StreamSender, StreamReceiver), PeerError> {
         let conn = self.conns.connect(to);
-        let mut conn = conn.map_err(|e| PeerFault::Unreachable(to, e.to_string()))?;
+        let mut conn = conn.map_err(|e| PeerError::Unreachable(to, e.to_string()))?;
         let head = format!(
             "POST {STREAM_PATH} HTTP/1.1\r\nhost:\r\n{}transfer-encoding:chunked\r\n\r\n",
             self.credential.as_ref().map_or_else(String::new, credential_line)
         );
-        let broken = |e: std::io::Error| PeerFault::Broken(to, e.to_string());
+        let broken = |e: std::io::Error| PeerError::Interrupted(to, e.to_string());
         conn.send(head.as_bytes(), self.timeouts.stall).map_err(|(_, e)| broken(e))?;
         self.traffic.sent(purpose, head.len());
         let sender = StreamSender::new(&conn, purpose, &self.traffic).map_err(broken)?;
@@ -230,7 +230,7 @@
     ///
     /// `go_on` is asked every 50 ms.
     pub fn next<T: DeserializeOwned>(&mut self, go_on: &mut dyn FnMut() -> bool) -> Option<T> {
-        let until = self.conn.clock().now() + IDLE_TIME;
+        let until = self.conn.clock().now() + IDLE_TIMEOUT;
         if self.reader.is_none() {
             let head = ResponseHead::read(&mut self.conn, HEAD_MAX, until, go_on).ok()?;
             if head.status != http::StatusCode::OK {
@@ -249,15 +249,15 @@
 /// What a peer's connection is given to.
 pub struct PeerService<'s, A, S> {
     /// Credentials accepted; `None` where instances have none and their network is closed.
-    pub accepted: Option<&'s [Secret]>,
+    pub credentials: Option<&'s [Secret]>,
     /// Longest wait for a message or for the peer to take an answer.
     pub timeout: Duration,
     /// Is told the bytes.
     pub traffic: &'s Traffic,
     /// Answers a call: path and message to the encoded answer, or a status.
-    pub answer: A,
+    pub handle_call: A,
     /// Serves a stream until it ends.
-    pub stream: S,
+    pub handle_stream: S,
     /// Names the purpose of a call by its path.
     pub purpose: fn(&str) -> Purpose,
 }
@@ -269,12 +269,12 @@
     S: Fn(StreamSender, StreamReceiver),
 {
     // One on which nothing comes for as long as it may be idle is closed.
-    drop(serve_for(conn, service, IDLE_TIME));
+    drop(serve_for(conn, service, IDLE_TIMEOUT));
 }
 
 /// Serves a connection of a peer until nothing has come on it for `idle`; for services without credentials, as
 /// these are shown once a connection.
-pub fn serve_while_busy<A, S>(
+pub fn serve_until_idle<A, S>(
     conn: Conn,
     service: &PeerService<'_, A, S>,
     idle: Duration,
@@ -291,18 +291,18 @@
     A: Fn(&str, &[u8]) -> Result<Vec<u8>, u16>,
     S: Fn(StreamSender, StreamReceiver),
 {
-    let mut shown = service.accepted.is_none();
+    let mut shown = service.credentials.is_none();
     loop {
         match conn.wait_for_data(conn.clock().now() + idle) {
             Ok(true) => {}
             Ok(false) => return ConnOutcome::Idle(conn),
             Err(_) => return ConnOutcome::Closed,
         }
-        let until = conn.clock().now() + IDLE_TIME;
+        let until = conn.clock().now() + IDLE_TIMEOUT;
         let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else {
             return ConnOutcome::Closed;
         };
-        shown = shown || shows_credential(&head, service.accepted.unwrap_or_default());
+        shown = shown || shows_credential(&head, service.credentials.unwrap_or_default());
         if !shown {
             // The other side learns why; that it may not get the message is no loss.
             let _ = conn.send(&reply_bytes(401, &[]), service.timeout);
@@ -317,7 +317,7 @@
         };
         let purpose = (service.purpose)(&head.target);
         service.traffic.received(purpose, request_bytes(&head.target, &body, None).len());
-        let reply = match (service.answer)(&head.target, &body) {
+        let reply = match (service.handle_call)(&head.target, &body) {
             Ok(reply) => reply_bytes(200, &reply),
             Err(status) => reply_bytes(status, &[]),
         };
@@ -341,7 +341,7 @@
     let Ok(sender) = StreamSender::new(&conn, purpose, service.traffic) else { return };
     let reader = Some(BodyReader::new(BodyFraming::Chunked));
     let receiver = StreamReceiver { conn, reader, purpose, traffic: service.traffic.clone() };
-    (service.stream)(sender, receiver);
+    (service.handle_stream)(sender, receiver);
 }
 
 fn shows_credential(head: &RequestHead, accepted: &[Secret]) -> bool {
