--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -15,7 +15,7 @@
     idle::IdleMonitor,
     listener::{ConnOutcome, IdlePolicy, Listener},
     peer,
-    small::{self, SmallAnswer},
+    text_server::{self, TextResponse},
 };
 
 /// Maximum number of concurrent connections for readiness checks, and for metrics: those of the platform and of an
@@ -35,7 +35,7 @@
     serve_status(gateway, idle, address, "readiness", move || {
         let ready = serving.is_ready();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        SmallAnswer { status, text: String::new() }
+        TextResponse { status, text: String::new() }
     })
 }
 
@@ -45,7 +45,7 @@
     let address = gateway.settings.addresses.metrics;
     let served = serve_status(gateway, idle, address, "metrics", move || {
         serving.update_gauges();
-        SmallAnswer { status: StatusCode::OK, text: serving.metrics.text() }
+        TextResponse { status: StatusCode::OK, text: serving.metrics.text() }
     });
     served.inspect_err(|fault| log::error!("event=no_metrics reason=\"{fault:#}\"")).ok()
 }
@@ -55,10 +55,10 @@
     idle: &IdleMonitor,
     address: SocketAddr,
     what: &str,
-    answer: impl Fn() -> SmallAnswer + Send + Sync + 'static,
+    answer: impl Fn() -> TextResponse + Send + Sync + 'static,
 ) -> anyhow::Result<Listener> {
     let rules = idle_rules(idle, |since| since + STATUS_IDLE_TIMEOUT, false);
-    let serve = move |conn: Conn| small::serve(conn, &answer);
+    let serve = move |conn: Conn| text_server::serve(conn, &answer);
     Listener::bind_with_idle(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
         .with_context(|| format!("cannot listen for {what} on {address}"))
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -29,7 +29,7 @@
     clock::Clock,
     link::{
         peer::PeerClient,
-        traffic::{Purpose, Traffic},
+        traffic::{Purpose, TrafficCounter},
     },
     routing::{
         Aggregate, Candidates, Confirmation, Crowded, FallbackReader, FleetBudget, FleetPosition,
@@ -72,7 +72,7 @@
 
 /// Connections to the other instances, and what they have reported.
 pub struct Peers {
-    pub(super) traffic: Traffic,
+    pub(super) traffic: TrafficCounter,
     links: PeerClient,
     /// Separate connections, so that permits do not wait for exchanges.
     permit_links: PeerClient,
@@ -96,7 +96,7 @@
 
 impl Peers {
     /// Creates the state of an instance that knows no other one yet.
-    pub fn new(settings: &GatewaySettings, clock: &Clock, traffic: &Traffic) -> Peers {
+    pub fn new(settings: &GatewaySettings, clock: &Clock, traffic: &TrafficCounter) -> Peers {
         let own = InstanceInfo {
             node: settings.node.clone(),
             address: settings.addresses.peers,
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -25,7 +25,7 @@
     link::{
         backend::BackendLinks,
         peer::PeerClient,
-        traffic::{Purpose, Traffic},
+        traffic::{Purpose, TrafficCounter},
     },
     metrics::Metrics,
     platform::{Platform, embedded::Embedded, http::HttpPlatform},
@@ -34,7 +34,7 @@
 };
 
 /// Opens the platform that the settings name; `traffic` is told the bytes of every exchange.
-pub(super) fn open_platform(settings: &Settings, traffic: &Traffic) -> Platform {
+pub(super) fn open_platform(settings: &Settings, traffic: &TrafficCounter) -> Platform {
     match settings.platform {
         PlatformSettings::Embedded => Embedded::new().platform(),
         PlatformSettings::Http { table, objects, members } => {
@@ -43,8 +43,8 @@
             let traffic = traffic.clone();
             HttpPlatform { table, objects, members, timeout, credential }.connect(
                 move |sent, received| {
-                    traffic.sent(Purpose::Platform, sent);
-                    traffic.received(Purpose::Platform, received);
+                    traffic.count_sent(Purpose::Platform, sent);
+                    traffic.count_received(Purpose::Platform, received);
                 },
             )
         }
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -129,7 +129,7 @@
     let fresh = *method != Method::GET;
     let attempt =
         Attempt { address, method, target, headers: &headers, body, id: "control", fresh, until };
-    shared.traffic.sent(Purpose::Probe, attempt.bytes().len());
+    shared.traffic.count_sent(Purpose::Probe, attempt.bytes().len());
     let mut answer = shared.backends.send(&attempt, &mut || true)?;
     let mut bytes = Vec::new();
     while let Some(piece) = answer.next(until, &mut || true)? {
@@ -139,7 +139,7 @@
         }
     }
     let head: usize = answer.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-    shared.traffic.received(Purpose::Probe, ANSWER_LINES + head + bytes.len());
+    shared.traffic.count_received(Purpose::Probe, ANSWER_LINES + head + bytes.len());
     let status = answer.head.status;
     shared.backends.finish(answer);
     Ok((status, bytes))
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -21,7 +21,7 @@
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
         requests::{claims::Claims, desk::Desk},
     },
-    link::{backend::BackendLinks, peer::PeerClient, traffic::Traffic, wire::Hello},
+    link::{backend::BackendLinks, peer::PeerClient, traffic::TrafficCounter, wire::Hello},
     metrics::Metrics,
     names::{ServiceId, Tag},
     platform::Platform,
@@ -47,7 +47,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Counts control bytes into the metrics.
-    pub traffic: Traffic,
+    pub traffic: TrafficCounter,
     /// The platform.
     pub platform: Platform,
     /// Links to other instances.
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -8,6 +8,6 @@
 pub mod idle;
 pub mod listener;
 pub mod peer;
-pub mod small;
+pub mod text_server;
 pub mod traffic;
 pub mod wire;
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -23,7 +23,7 @@
         conn_pool::{Call, ConnPool, PoolError},
         http1::{BodyFraming, BodyReader, ChunkWriter, Conn, HeadError, RequestHead, ResponseHead},
         listener::ConnOutcome,
-        traffic::{Purpose, Traffic},
+        traffic::{Purpose, TrafficCounter},
     },
     utils::{
         secret::{Secret, any_matches},
@@ -72,7 +72,7 @@
     conns: ConnPool,
     credential: Option<Secret>,
     timeouts: CallTimeouts,
-    traffic: Traffic,
+    traffic: TrafficCounter,
 }
 
 impl PeerClient {
@@ -82,7 +82,7 @@
         clock: Clock,
         credential: Option<Secret>,
         timeout: Duration,
-        traffic: Traffic,
+        traffic: TrafficCounter,
     ) -> PeerClient {
         let conns = ConnPool::new(clock, timeout);
         let timeouts = CallTimeouts { head: timeout, stall: timeout, total: MESSAGE_TIMEOUT };
@@ -108,7 +108,7 @@
         let message = |first: bool| {
             let credential = if first { self.credential.as_ref() } else { None };
             let message = request_bytes(path, &body, credential);
-            self.traffic.sent(purpose, message.len());
+            self.traffic.count_sent(purpose, message.len());
             message
         };
         let asked = Call {
@@ -122,7 +122,7 @@
             PoolError::Connect(e) => PeerError::Unreachable(to, e.to_string()),
             PoolError::Call(e) => PeerError::Interrupted(to, e.to_string()),
         })?;
-        self.traffic.received(purpose, reply_bytes(200, &reply.body).len());
+        self.traffic.count_received(purpose, reply_bytes(200, &reply.body).len());
         if reply.status != StatusCode::OK {
             return Err(PeerError::Rejected(to, reply.status.as_u16()));
         }
@@ -147,7 +147,7 @@
         );
         let broken = |e: std::io::Error| PeerError::Interrupted(to, e.to_string());
         conn.send(head.as_bytes(), self.timeouts.stall).map_err(|(_, e)| broken(e))?;
-        self.traffic.sent(purpose, head.len());
+        self.traffic.count_sent(purpose, head.len());
         let sender = StreamSender::new(&conn, purpose, &self.traffic).map_err(broken)?;
         let receiver =
             StreamReceiver { conn, reader: None, purpose, traffic: self.traffic.clone() };
@@ -180,11 +180,15 @@
 pub struct StreamSender {
     stream: Mutex<TcpStream>,
     purpose: Purpose,
-    traffic: Traffic,
+    traffic: TrafficCounter,
 }
 
 impl StreamSender {
-    fn new(conn: &Conn, purpose: Purpose, traffic: &Traffic) -> std::io::Result<StreamSender> {
+    fn new(
+        conn: &Conn,
+        purpose: Purpose,
+        traffic: &TrafficCounter,
+    ) -> std::io::Result<StreamSender> {
         let stream = conn.try_clone_stream()?;
         stream.set_write_timeout(Some(STREAM_SEND_TIME))?;
         Ok(StreamSender { stream: Mutex::new(stream), purpose, traffic: traffic.clone() })
@@ -199,7 +203,7 @@
         let mut stream = lock(&self.stream);
         let sent = stream.write_all(&bytes).is_ok();
         if sent {
-            self.traffic.sent(self.purpose, bytes.len());
+            self.traffic.count_sent(self.purpose, bytes.len());
         } else {
             shutdown(&stream);
         }
@@ -222,7 +226,7 @@
     conn: Conn,
     reader: Option<BodyReader>,
     purpose: Purpose,
-    traffic: Traffic,
+    traffic: TrafficCounter,
 }
 
 impl StreamReceiver {
@@ -236,12 +240,12 @@
             if head.status != http::StatusCode::OK {
                 return None;
             }
-            self.traffic.received(self.purpose, STREAM_ANSWER.len());
+            self.traffic.count_received(self.purpose, STREAM_ANSWER.len());
             self.reader = Some(BodyReader::new(head.framing(&http::Method::POST).ok()?));
         }
         let chunk =
             self.reader.as_mut()?.next_chunk(&mut self.conn, MESSAGE_MAX, until, go_on).ok()??;
-        self.traffic.received(self.purpose, ChunkWriter::default().frame(&chunk).len());
+        self.traffic.count_received(self.purpose, ChunkWriter::default().frame(&chunk).len());
         decode(&chunk).ok()
     }
 }
@@ -253,7 +257,7 @@
     /// Longest wait for a message or for the peer to take an answer.
     pub timeout: Duration,
     /// Is told the bytes.
-    pub traffic: &'s Traffic,
+    pub traffic: &'s TrafficCounter,
     /// Answers a call: path and message to the encoded answer, or a status.
     pub handle_call: A,
     /// Serves a stream until it ends.
@@ -316,12 +320,12 @@
             return ConnOutcome::Closed;
         };
         let purpose = (service.purpose)(&head.target);
-        service.traffic.received(purpose, request_bytes(&head.target, &body, None).len());
+        service.traffic.count_received(purpose, request_bytes(&head.target, &body, None).len());
         let reply = match (service.handle_call)(&head.target, &body) {
             Ok(reply) => reply_bytes(200, &reply),
             Err(status) => reply_bytes(status, &[]),
         };
-        service.traffic.sent(purpose, reply.len());
+        service.traffic.count_sent(purpose, reply.len());
         if conn.send(&reply, service.timeout).is_err() {
             return ConnOutcome::Closed;
         }
@@ -337,7 +341,7 @@
     if conn.send(STREAM_ANSWER, service.timeout).is_err() {
         return;
     }
-    service.traffic.sent(purpose, STREAM_ANSWER.len());
+    service.traffic.count_sent(purpose, STREAM_ANSWER.len());
     let Ok(sender) = StreamSender::new(&conn, purpose, service.traffic) else { return };
     let reader = Some(BodyReader::new(BodyFraming::Chunked));
     let receiver = StreamReceiver { conn, reader, purpose, traffic: service.traffic.clone() };
--- a/src/link/small.rs
+++ b/src/link/text_server.rs
@@ -23,7 +23,7 @@
 
 /// An answer in plain text.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SmallAnswer {
+pub struct TextResponse {
     /// Status.
     pub status: StatusCode,
     /// Text.
@@ -31,7 +31,7 @@
 }
 
 /// Answers the questions on a connection, whatever they ask, as long as they follow each other closely.
-pub fn serve(mut conn: Conn, answer: impl Fn() -> SmallAnswer) -> ConnOutcome {
+pub fn serve(mut conn: Conn, answer: impl Fn() -> TextResponse) -> ConnOutcome {
     loop {
         match conn.wait_for_data(conn.clock().now() + BUSY) {
             Ok(true) => {}
@@ -57,8 +57,8 @@
         || head.header("transfer-encoding").is_some()
 }
 
-fn encode(answer: &SmallAnswer, keep: bool, head_only: bool) -> String {
-    let SmallAnswer { status, text } = answer;
+fn encode(answer: &TextResponse, keep: bool, head_only: bool) -> String {
+    let TextResponse { status, text } = answer;
     let (code, length) = (status.as_u16(), text.len());
     let connection = if keep { "keep-alive" } else { "close" };
     let reason = status.canonical_reason().unwrap_or_default();
--- a/src/link/traffic.rs
+++ b/src/link/traffic.rs
@@ -74,21 +74,23 @@
 
 /// Is told the bytes of every message on a link, heads included; clones tell the same listener.
 #[derive(Clone)]
-pub struct Traffic(Arc<Count>);
+pub struct TrafficCounter(Arc<Count>);
 
-impl Traffic {
+impl TrafficCounter {
     /// Returns a counter that hands everything to `count`.
-    pub fn new(count: impl Fn(Purpose, Direction, usize) + Send + Sync + 'static) -> Traffic {
-        Traffic(Arc::new(count))
+    pub fn new(
+        count: impl Fn(Purpose, Direction, usize) + Send + Sync + 'static,
+    ) -> TrafficCounter {
+        TrafficCounter(Arc::new(count))
     }
 
     /// Notes the bytes of one message sent.
-    pub fn sent(&self, purpose: Purpose, bytes: usize) {
+    pub fn count_sent(&self, purpose: Purpose, bytes: usize) {
         (self.0)(purpose, Direction::Sent, bytes);
     }
 
     /// Notes the bytes of one message received.
-    pub fn received(&self, purpose: Purpose, bytes: usize) {
+    pub fn count_received(&self, purpose: Purpose, bytes: usize) {
         (self.0)(purpose, Direction::Received, bytes);
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     contract::outcome::{AttemptFault, Outcome},
-    link::traffic::{Direction, Traffic},
+    link::traffic::{Direction, TrafficCounter},
     names::{BackendId, ServiceId, ServiceName},
 };
 
@@ -259,9 +259,9 @@
     }
 
     /// Returns what counts control bytes into these metrics.
-    pub fn traffic(&self) -> Traffic {
+    pub fn traffic(&self) -> TrafficCounter {
         let counted = Arc::clone(&self.i);
-        Traffic::new(move |purpose, direction, bytes| {
+        TrafficCounter::new(move |purpose, direction, bytes| {
             let labels = [kv("purpose", purpose.name()), kv("direction", direction.name())];
             counted.control_bytes.add(bytes as u64, &labels);
             if direction == Direction::Sent {
--- a/tests/suite/silent_links.rs
+++ b/tests/suite/silent_links.rs
@@ -7,7 +7,7 @@
     gateway::GatewayHandle,
     link::{
         peer::PeerClient,
-        traffic::{Purpose, Traffic},
+        traffic::{Purpose, TrafficCounter},
     },
 };
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
     let instance = GatewayHandle::spawn(settings, &Clock::system()).expect("an instance");
     let link = MutableLink::spawn(instance.peers()).expect("a link");
     let time = Duration::from_millis(300);
-    let links = PeerClient::new(Clock::system(), None, time, Traffic::new(|_, _, _| {}));
+    let links = PeerClient::new(Clock::system(), None, time, TrafficCounter::new(|_, _, _| {}));
     // Whatever the other one says to a path that it does not know, it has been reached.
     let reached = || {
         let reply = links.call::<Nothing>(Purpose::Loads, link.address(), "/unknown", &Nothing {});
