--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -18,8 +18,8 @@
     adapter,
     contract::outcome::{AttemptFault, Outcome},
     link::{
-        answer::{AnswerNote, send_whole},
         http1::Conn,
+        response::{ResponseOptions, send_response},
     },
     routing::{Incarnation, PickRequest, Picked, ResponseObservation, ResponseTimes, RouteKind},
     utils::sync::lock,
@@ -416,7 +416,7 @@
         self.note_good(&picked, times.0, times.1);
         let took = times.1.saturating_duration_since(times.0);
         self.note_version(&picked, ResponseObservation::Took(took));
-        Some(self.send_whole(conn, &whole, "answered"))
+        Some(self.send_response(conn, &whole, "answered"))
     }
 
     /// Notes a good answer to a request sent at `sent`, whose head came at `head` and whose end now.
@@ -455,13 +455,18 @@
         }
     }
 
-    fn send_whole(&mut self, conn: &mut Conn, whole: &WholeAnswer, reason: &'static str) -> Done {
+    fn send_response(
+        &mut self,
+        conn: &mut Conn,
+        whole: &WholeAnswer,
+        reason: &'static str,
+    ) -> Done {
         self.note_first_byte();
         let keep = self.keep_alive();
-        let note = AnswerNote::plain(keep);
+        let note = ResponseOptions::plain(keep);
         let head_only = self.request.method == Method::HEAD;
         let (headers, body) = (&whole.headers, &whole.body);
-        let sent = send_whole(conn, CALLER_STALL, whole.status, headers, &note, body, head_only);
+        let sent = send_response(conn, CALLER_STALL, whole.status, headers, &note, body, head_only);
         Done {
             status: whole.status.as_u16(),
             outcome: Outcome::Run,
@@ -481,7 +486,7 @@
             };
         }
         if let Some(whole) = self.last_failure.take() {
-            return self.send_whole(conn, &whole, "server error");
+            return self.send_response(conn, &whole, "server error");
         }
         let left = self.request.until.saturating_duration_since(self.gateway.clock.now());
         let own = self.tries.own_answer(self.refused, left);
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -7,8 +7,8 @@
 use crate::{
     adapter,
     link::{
-        answer::{AnswerNote, send_whole},
         http1::Conn,
+        response::{ResponseOptions, send_response},
     },
     routing::LoadReport,
 };
@@ -67,9 +67,9 @@
         if let Some(after) = self.retry_after {
             headers.insert("retry-after", adapter::answers::retry_after(after));
         }
-        let note = AnswerNote::plain(keep_alive);
+        let note = ResponseOptions::plain(keep_alive);
         let body = self.reason.as_bytes();
-        let sent = send_whole(conn, CALLER_STALL, self.status, &headers, &note, body, head_only);
+        let sent = send_response(conn, CALLER_STALL, self.status, &headers, &note, body, head_only);
         sent.is_ok() && keep_alive
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -15,8 +15,8 @@
     adapter,
     contract::outcome::{AttemptFault, Outcome},
     link::{
-        answer::{AnswerBody, AnswerNote, AnswerWriter},
         http1::Conn,
+        response::{ResponseFraming, ResponseOptions, ResponseWriter},
     },
     routing::{EventSplitter, ResponseObservation, RouteKind},
 };
@@ -72,11 +72,13 @@
     forwarding.note_running();
     forwarding.note_first_byte();
     let keep = forwarding.keep_alive() && !request.http10;
-    let note = AnswerNote::plain(keep);
-    let framing = if request.http10 { AnswerBody::UntilClose } else { AnswerBody::Chunked };
+    let note = ResponseOptions::plain(keep);
+    let framing =
+        if request.http10 { ResponseFraming::UntilClose } else { ResponseFraming::Chunked };
     let code = status.as_u16();
     let ended = |keep, reason| Some(Done { status: code, outcome: Outcome::Run, keep, reason });
-    let started = AnswerWriter::start(conn, CALLER_STALL, status, &headers, &note, framing, &first);
+    let started =
+        ResponseWriter::start(conn, CALLER_STALL, status, &headers, &note, framing, &first);
     let Ok(mut writer) = started else { return ended(false, "caller left") };
     let mut pace = Pace::new(forwarding.gateway.clock.now());
     loop {
@@ -84,7 +86,7 @@
             Brought::Events(events) => {
                 forwarding.note_running();
                 pace.piece();
-                if writer.piece(&events).is_err() {
+                if writer.write(&events).is_err() {
                     return ended(false, "caller left");
                 }
             }
@@ -94,7 +96,7 @@
                 forwarding.note_version(picked, pace.seen(forwarding.gateway.clock.now()));
                 let Opened { answer, picked, .. } = source.opened;
                 forwarding.keep_connection(&picked.server.id, answer);
-                let sent = writer.end().is_ok();
+                let sent = writer.finish().is_ok();
                 return ended(sent && keep, "answered");
             }
             Brought::Fault(AttemptFault::CallerGone) => return ended(false, "caller left"),
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -18,9 +18,9 @@
         shared::Shared,
     },
     link::{
-        answer::{AnswerNote, OwnHeaders, send_refusal},
         http1::{BodyFraming, BodyReader, Conn, HeadError, ReadError, RequestHead},
         listener::lingering_close,
+        response::{ResponseOptions, RouterHeaders, send_refusal},
     },
     utils::usage::UsageGuard,
 };
@@ -61,9 +61,9 @@
     let _ = send_refusal(&mut conn, REFUSAL_TIME, &refusal, &note, false);
 }
 
-fn note(request_id: String, keep_alive: bool) -> AnswerNote {
-    let own = OwnHeaders { request_id, outcome: Outcome::NotRun, placement: None };
-    AnswerNote { own: Some(own), keep_alive }
+fn note(request_id: String, keep_alive: bool) -> ResponseOptions {
+    let own = RouterHeaders { request_id, outcome: Outcome::NotRun, placement: None };
+    ResponseOptions { router_headers: Some(own), keep_alive }
 }
 
 /// Waits for the first byte of a request; false when the connection is to end.
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -33,9 +33,9 @@
         shared::Shared,
     },
     link::{
-        answer::{AnswerBody, AnswerNote, AnswerWriter, send_whole},
         backend::{Answer, Attempt},
         http1::{Conn, conn::ConnState},
+        response::{ResponseFraming, ResponseOptions, ResponseWriter, send_response},
     },
     names::{BackendId, Tag},
     utils::sync::lock,
@@ -99,7 +99,7 @@
     view: &'j ServiceView,
     team: Tag,
     request: &'j Request,
-    note: AnswerNote,
+    note: ResponseOptions,
     claim: Option<HeldClaim>,
 }
 
@@ -111,7 +111,7 @@
     view: &ServiceView,
     team: &Tag,
     request: &Request,
-    note: AnswerNote,
+    note: ResponseOptions,
 ) -> Ended {
     let mut job = Job { shared, snapshot, view, team: *team, request, note, claim: None };
     if let Some(key) = &request.key {
@@ -308,7 +308,7 @@
             Err(fault) => return Tried::Fault(fault),
         };
         report.read(&answer);
-        if let Some(own) = &mut self.note.own {
+        if let Some(own) = &mut self.note.router_headers {
             own.placement = chat.map(|chat| {
                 tokens::hint(&self.shared.settings.credentials.placement, chat, place.engine())
             });
@@ -346,7 +346,7 @@
         self.shared.backends.finish(answer);
         let stall = self.shared.settings.timeouts.slow_reader.0;
         let head_only = self.request.method == Method::HEAD;
-        let sent = send_whole(conn, stall, status, &headers, &self.note, &body, head_only);
+        let sent = send_response(conn, stall, status, &headers, &self.note, &body, head_only);
         self.note_first_byte();
         let reusable = sent.is_ok();
         Tried::Answered(Answered { status: status.as_u16(), outcome: Outcome::Run, reusable })
@@ -365,10 +365,11 @@
         let events = is_event_stream(&headers);
         let resumable = answer.head.header(RESUMABLE_HEADER).is_some();
         let stall = self.shared.settings.timeouts.slow_reader.0;
-        let framing = AnswerBody::Chunked;
+        let framing = ResponseFraming::Chunked;
         let mut kept = self.claim.as_ref().map(|_| Vec::new());
         let mut caller_here = true;
-        let started = AnswerWriter::start(conn, stall, status, &headers, &self.note, framing, &[]);
+        let started =
+            ResponseWriter::start(conn, stall, status, &headers, &self.note, framing, &[]);
         let mut writer = match started {
             Ok(writer) => writer,
             Err(_) => return Tried::Cut(AttemptFault::CallerGone, status.as_u16()),
@@ -386,7 +387,7 @@
                     }
                     received += piece.len() as u64;
                     self.keep_piece(&mut kept, &piece);
-                    caller_here = caller_here && writer.piece(&piece).is_ok();
+                    caller_here = caller_here && writer.write(&piece).is_ok();
                     if !caller_here && self.claim.is_none() {
                         return Tried::Cut(AttemptFault::CallerGone, status.as_u16());
                     }
@@ -410,7 +411,7 @@
             }
         }
         self.keep_answer(status, &headers, kept.as_deref());
-        let sent = if caller_here { writer.end().is_ok() } else { false };
+        let sent = if caller_here { writer.finish().is_ok() } else { false };
         self.shared.backends.finish(answer);
         Tried::Answered(Answered { status: status.as_u16(), outcome: Outcome::Run, reusable: sent })
     }
--- a/src/instance/requests/replay.rs
+++ b/src/instance/requests/replay.rs
@@ -9,8 +9,8 @@
         shared::Shared,
     },
     link::{
-        answer::{AnswerNote, send_whole},
         http1::Conn,
+        response::{ResponseOptions, send_response},
     },
 };
 
@@ -19,7 +19,7 @@
     shared: &Shared,
     conn: &mut Conn,
     request: &Request,
-    note: &AnswerNote,
+    note: &ResponseOptions,
     answer: &StoredAnswer,
 ) -> Ended {
     let mut headers = HeaderMap::new();
@@ -36,7 +36,7 @@
     let note = note.with_outcome(Outcome::Run);
     let head_only = request.method == http::Method::HEAD;
     let stall = shared.settings.timeouts.slow_reader.0;
-    let sent = send_whole(conn, stall, status, &headers, &note, &answer.body, head_only);
+    let sent = send_response(conn, stall, status, &headers, &note, &answer.body, head_only);
     Ended::Answered {
         status: answer.status,
         outcome: Outcome::Run,
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,6 +1,5 @@
 //! Links to callers, backend servers and other instances: transports and codecs.
 
-pub mod answer;
 pub mod backend;
 pub mod call;
 pub mod conn_pool;
@@ -8,6 +7,7 @@
 pub mod idle;
 pub mod listener;
 pub mod peer;
+pub mod response;
 pub mod text_server;
 pub mod traffic;
 pub mod wire;
--- a/src/link/answer.rs
+++ b/src/link/response.rs
@@ -15,16 +15,16 @@
 
 /// What every answer carries.
 #[derive(Debug, Clone)]
-pub struct AnswerNote {
+pub struct ResponseOptions {
     /// What the router adds of its own; nothing where callers speak another interface.
-    pub own: Option<OwnHeaders>,
+    pub router_headers: Option<RouterHeaders>,
     /// Whether the connection stays open afterwards.
     pub keep_alive: bool,
 }
 
 /// Headers that the router adds to an answer.
 #[derive(Debug, Clone)]
-pub struct OwnHeaders {
+pub struct RouterHeaders {
     /// Id of the request.
     pub request_id: String,
     /// Whether the request ran.
@@ -33,22 +33,25 @@
     pub placement: Option<String>,
 }
 
-impl AnswerNote {
+impl ResponseOptions {
     /// Returns a note that adds no headers of the router's own.
-    pub fn plain(keep_alive: bool) -> AnswerNote {
-        AnswerNote { own: None, keep_alive }
+    pub fn plain(keep_alive: bool) -> ResponseOptions {
+        ResponseOptions { router_headers: None, keep_alive }
     }
 
     /// Returns the same note with another outcome.
-    pub fn with_outcome(&self, outcome: Outcome) -> AnswerNote {
-        let own = self.own.clone().map(|own| OwnHeaders { outcome, ..own });
-        AnswerNote { own, keep_alive: self.keep_alive }
+    pub fn with_outcome(&self, outcome: Outcome) -> ResponseOptions {
+        let router_headers = self
+            .router_headers
+            .clone()
+            .map(|router_headers| RouterHeaders { outcome, ..router_headers });
+        ResponseOptions { router_headers, keep_alive: self.keep_alive }
     }
 }
 
 /// How the body is framed towards the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerBody {
+pub enum ResponseFraming {
     /// By length.
     Length(u64),
     /// In chunks.
@@ -60,16 +63,16 @@
 }
 
 /// An answer being written.
-pub struct AnswerWriter<'c> {
+pub struct ResponseWriter<'c> {
     conn: &'c mut Conn,
     stall: Duration,
-    body: AnswerBody,
+    body: ResponseFraming,
     chunks: ChunkWriter,
     /// Bytes of the body handed over so far.
     pub written: u64,
 }
 
-impl<'c> AnswerWriter<'c> {
+impl<'c> ResponseWriter<'c> {
     /// Writes the head and, in the same packet, the first bytes of the body.
     ///
     /// # Errors
@@ -80,11 +83,11 @@
         stall: Duration,
         status: StatusCode,
         headers: &HeaderMap,
-        note: &AnswerNote,
-        body: AnswerBody,
+        note: &ResponseOptions,
+        body: ResponseFraming,
         first: &[u8],
-    ) -> io::Result<AnswerWriter<'c>> {
-        let mut writer = AnswerWriter {
+    ) -> io::Result<ResponseWriter<'c>> {
+        let mut writer = ResponseWriter {
             conn,
             stall,
             body,
@@ -104,9 +107,9 @@
     /// # Errors
     ///
     /// The caller is gone or takes nothing for the stall time.
-    pub fn piece(&mut self, piece: &[u8]) -> io::Result<()> {
+    pub fn write(&mut self, piece: &[u8]) -> io::Result<()> {
         self.written += piece.len() as u64;
-        if self.body == AnswerBody::Chunked {
+        if self.body == ResponseFraming::Chunked {
             let framed = self.chunks.frame(piece);
             return self.conn.send(framed, self.stall).map_err(|(_, e)| e);
         }
@@ -118,15 +121,15 @@
     /// # Errors
     ///
     /// The caller is gone or takes nothing for the stall time.
-    pub fn end(mut self) -> io::Result<()> {
-        if self.body == AnswerBody::Chunked { self.send(LAST_CHUNK) } else { Ok(()) }
+    pub fn finish(mut self) -> io::Result<()> {
+        if self.body == ResponseFraming::Chunked { self.send(LAST_CHUNK) } else { Ok(()) }
     }
 
     /// Ends a body that cannot be completed: `last_words` go out and the connection is cut.
     pub fn abort(mut self, last_words: &[u8]) {
         if !last_words.is_empty() {
             // A caller that is gone needs no last words.
-            let _ = self.piece(last_words);
+            let _ = self.write(last_words);
         }
         self.conn.shutdown();
     }
@@ -137,7 +140,7 @@
     }
 
     fn framed(&mut self, piece: &[u8]) -> Vec<u8> {
-        if self.body == AnswerBody::Chunked {
+        if self.body == ResponseFraming::Chunked {
             self.chunks.frame(piece).to_vec()
         } else {
             piece.to_vec()
@@ -154,18 +157,18 @@
 /// # Errors
 ///
 /// The caller is gone or takes nothing for `stall`.
-pub fn send_whole(
+pub fn send_response(
     conn: &mut Conn,
     stall: Duration,
     status: StatusCode,
     headers: &HeaderMap,
-    note: &AnswerNote,
+    note: &ResponseOptions,
     body: &[u8],
     head_only: bool,
 ) -> io::Result<()> {
-    let framing = AnswerBody::Length(body.len() as u64);
+    let framing = ResponseFraming::Length(body.len() as u64);
     let first = if head_only { &[] } else { body };
-    AnswerWriter::start(conn, stall, status, headers, note, framing, first)?.end()
+    ResponseWriter::start(conn, stall, status, headers, note, framing, first)?.finish()
 }
 
 /// Writes the router's own refusal as `problem+json`.
@@ -177,7 +180,7 @@
     conn: &mut Conn,
     stall: Duration,
     refusal: &Refusal,
-    note: &AnswerNote,
+    note: &ResponseOptions,
     head_only: bool,
 ) -> io::Result<()> {
     let mut headers = HeaderMap::new();
@@ -190,34 +193,34 @@
     }
     let note = note.with_outcome(refusal.outcome);
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    send_whole(conn, stall, status, &headers, &note, &refusal.body(), head_only)
+    send_response(conn, stall, status, &headers, &note, &refusal.body(), head_only)
 }
 
 fn head_bytes(
     status: StatusCode,
     headers: &HeaderMap,
-    note: &AnswerNote,
-    body: AnswerBody,
+    note: &ResponseOptions,
+    body: ResponseFraming,
 ) -> Vec<u8> {
     let mut buf = Vec::with_capacity(512);
     let reason = status.canonical_reason().unwrap_or_default();
     buf.extend_from_slice(format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).as_bytes());
     write_headers(&mut buf, headers);
-    if let Some(own) = &note.own {
-        write_header(&mut buf, "cartvane-request-id", own.request_id.as_bytes());
-        write_header(&mut buf, "cartvane-outcome", own.outcome.to_string().as_bytes());
-        if let Some(placement) = &own.placement {
+    if let Some(router_headers) = &note.router_headers {
+        write_header(&mut buf, "cartvane-request-id", router_headers.request_id.as_bytes());
+        write_header(&mut buf, "cartvane-outcome", router_headers.outcome.to_string().as_bytes());
+        if let Some(placement) = &router_headers.placement {
             write_header(&mut buf, "cartvane-placement", placement.as_bytes());
         }
     }
     match body {
-        AnswerBody::Length(length) => {
+        ResponseFraming::Length(length) => {
             write_header(&mut buf, "content-length", length.to_string().as_bytes())
         }
-        AnswerBody::Chunked => write_header(&mut buf, "transfer-encoding", b"chunked"),
-        AnswerBody::UntilClose | AnswerBody::None => {}
+        ResponseFraming::Chunked => write_header(&mut buf, "transfer-encoding", b"chunked"),
+        ResponseFraming::UntilClose | ResponseFraming::None => {}
     }
-    if !note.keep_alive || body == AnswerBody::UntilClose {
+    if !note.keep_alive || body == ResponseFraming::UntilClose {
         write_header(&mut buf, "connection", b"close");
     }
     buf.extend_from_slice(b"\r\n");
