--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -23,7 +23,7 @@
         shared::{DrainState, Shared},
     },
     link::{
-        backend::BackendLinks,
+        backend::BackendPool,
         peer::PeerClient,
         traffic::{Purpose, TrafficCounter},
     },
@@ -85,7 +85,7 @@
     let shared = Arc::new(Shared {
         tag,
         incarnation,
-        backends: BackendLinks::new(clock.clone(), settings.timeouts.connect.0),
+        backends: BackendPool::new(clock.clone(), settings.timeouts.connect.0),
         claims: Claims::new(platform.table.clone(), clock.clone()),
         settings,
         clock,
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -127,8 +127,16 @@
     let headers = HeaderMap::new();
     let until = shared.clock.now() + time;
     let fresh = *method != Method::GET;
-    let attempt =
-        Attempt { address, method, target, headers: &headers, body, id: "control", fresh, until };
+    let attempt = Attempt {
+        address,
+        method,
+        target,
+        headers: &headers,
+        body,
+        id: "control",
+        new_connection: fresh,
+        head_deadline: until,
+    };
     shared.traffic.count_sent(Purpose::Probe, attempt.bytes().len());
     let mut answer = shared.backends.send(&attempt, &mut || true)?;
     let mut bytes = Vec::new();
--- a/src/instance/requests/engine_report.rs
+++ b/src/instance/requests/engine_report.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     instance::requests::answer_parts::{LOAD_HEADER, RESUMABLE_HEADER, STATE_HEADER},
-    link::backend::Answer,
+    link::backend::BackendResponse,
 };
 
 /// What an engine tells of itself with an answer.
@@ -18,7 +18,7 @@
 
 impl EngineReport {
     /// Reads what an answer tells.
-    pub(super) fn read(&mut self, answer: &Answer) {
+    pub(super) fn read(&mut self, answer: &BackendResponse) {
         self.load = answer.head.header(LOAD_HEADER).and_then(|load| load.parse().ok());
         self.leaving = answer.head.header(STATE_HEADER) == Some("leaving");
         self.resumable = answer.head.header(RESUMABLE_HEADER).is_some();
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -7,7 +7,7 @@
 use crate::{
     configs::fleet::BackendServer,
     instance::{requests::answer_parts::OFFSET_HEADER, shared::Shared},
-    link::backend::{Answer, Attempt},
+    link::backend::{Attempt, BackendResponse},
 };
 
 /// Most time for an engine to answer a resume or a cancel.
@@ -19,7 +19,7 @@
     server: &BackendServer,
     id: &str,
     offset: u64,
-) -> Option<Answer> {
+) -> Option<BackendResponse> {
     let target = format!("/engine/streams/{id}?from={offset}");
     let answer = call(shared, server, &Method::GET, &target, id)?;
     let goes_on_at: Option<u64> = answer.head.header(OFFSET_HEADER)?.parse().ok();
@@ -45,7 +45,7 @@
     method: &Method,
     target: &str,
     id: &str,
-) -> Option<Answer> {
+) -> Option<BackendResponse> {
     let until = shared.clock.now() + RESUME_TIME;
     let headers = HeaderMap::new();
     let attempt = Attempt {
@@ -55,8 +55,8 @@
         headers: &headers,
         body: &[],
         id,
-        fresh: true,
-        until,
+        new_connection: true,
+        head_deadline: until,
     };
     let sent = shared.backends.send(&attempt, &mut || true);
     sent.inspect_err(|fault| log::info!("engine call id={id} target={target} fault={fault:?}")).ok()
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -33,7 +33,7 @@
         shared::Shared,
     },
     link::{
-        backend::{Answer, Attempt},
+        backend::{Attempt, BackendResponse},
         http1::{Conn, conn::ConnState},
         response::{ResponseFraming, ResponseOptions, ResponseWriter, send_response},
     },
@@ -298,8 +298,8 @@
             headers: &headers,
             body: &request.body,
             id,
-            fresh: request.repeat == Repeat::AtMostOnce,
-            until: request.deadline,
+            new_connection: request.repeat == Repeat::AtMostOnce,
+            head_deadline: request.deadline,
         };
         let mut watch = CallerWatch::new(self.shared, request, self.claim.is_some());
         let sent = self.shared.backends.send(&attempt, &mut || watch.waits(conn));
@@ -326,7 +326,7 @@
     fn pass_whole(
         &mut self,
         conn: &mut Conn,
-        mut answer: Answer,
+        mut answer: BackendResponse,
         watch: &mut CallerWatch<'_>,
     ) -> Tried {
         let mut body = Vec::new();
@@ -356,7 +356,7 @@
     fn pass_stream(
         &mut self,
         conn: &mut Conn,
-        mut answer: Answer,
+        mut answer: BackendResponse,
         server: &BackendServer,
         id: &str,
     ) -> Tried {
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -21,7 +21,7 @@
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
         requests::{claims::Claims, desk::Desk},
     },
-    link::{backend::BackendLinks, peer::PeerClient, traffic::TrafficCounter, wire::Hello},
+    link::{backend::BackendPool, peer::PeerClient, traffic::TrafficCounter, wire::Hello},
     metrics::Metrics,
     names::{ServiceId, Tag},
     platform::Platform,
@@ -53,7 +53,7 @@
     /// Links to other instances.
     pub peers: PeerClient,
     /// Links to backend servers.
-    pub backends: BackendLinks,
+    pub backends: BackendPool,
     /// The file in force, ready for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
     /// Which file is in force.
--- a/src/link/backend.rs
+++ b/src/link/backend.rs
@@ -44,7 +44,7 @@
 }
 
 /// Kept connections to backend servers.
-pub struct BackendLinks {
+pub struct BackendPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
     clock: Clock,
     connect: Duration,
@@ -65,13 +65,13 @@
     /// Identity of this attempt.
     pub id: &'a str,
     /// Whether only a new connection will do, so that no failure of a kept one is in doubt.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// When the answer's head must have come.
-    pub until: Instant,
+    pub head_deadline: Instant,
 }
 
 /// An answer whose body is still to be read.
-pub struct Answer {
+pub struct BackendResponse {
     /// Head.
     pub head: ResponseHead,
     conn: Conn,
@@ -79,10 +79,10 @@
     address: SocketAddr,
 }
 
-impl BackendLinks {
+impl BackendPool {
     /// Returns links that connect within `connect`.
-    pub fn new(clock: Clock, connect: Duration) -> BackendLinks {
-        BackendLinks { idle: Mutex::default(), clock, connect }
+    pub fn new(clock: Clock, connect: Duration) -> BackendPool {
+        BackendPool { idle: Mutex::default(), clock, connect }
     }
 
     /// Sends the request once and reads the answer's head.
@@ -96,27 +96,31 @@
         &self,
         attempt: &Attempt<'_>,
         go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<Answer, AttemptFault> {
-        let kept = if attempt.fresh { None } else { self.take_idle(attempt.address) };
+    ) -> Result<BackendResponse, AttemptFault> {
+        let kept = if attempt.new_connection { None } else { self.take_idle(attempt.address) };
         let mut conn = match kept {
             Some(conn) => conn,
             None => self.connect(attempt)?,
         };
         let message = attempt.bytes();
-        let stall = attempt.until.saturating_duration_since(self.clock.now());
+        let stall = attempt.head_deadline.saturating_duration_since(self.clock.now());
         if let Err((sent, _)) = conn.send(&message, stall) {
             return Err(if sent == 0 { AttemptFault::BeforeSend } else { AttemptFault::AfterSend });
         }
-        let head =
-            ResponseHead::read(&mut conn, HEAD_MAX, attempt.until, go_on).map_err(head_fault)?;
+        let head = ResponseHead::read(&mut conn, HEAD_MAX, attempt.head_deadline, go_on)
+            .map_err(head_fault)?;
         let framing = head.framing(attempt.method).map_err(|_| AttemptFault::Garbage)?;
         let echoed = head.header(ATTEMPT_HEADER);
         if echoed.is_some_and(|id| id != attempt.id) {
             return Err(AttemptFault::Foreign);
         }
-        let answer =
-            Answer { head, conn, body: BodyReader::new(framing), address: attempt.address };
-        if answer.says_not_run() {
+        let answer = BackendResponse {
+            head,
+            conn,
+            body: BodyReader::new(framing),
+            address: attempt.address,
+        };
+        if answer.is_not_run() {
             self.finish(answer);
             return Err(AttemptFault::Refused);
         }
@@ -124,7 +128,7 @@
     }
 
     /// Takes an answer back; its connection is kept if the answer was read to its end.
-    pub fn finish(&self, mut answer: Answer) {
+    pub fn finish(&self, mut answer: BackendResponse) {
         if !answer.body.is_done() {
             // A short rest that is already here ends the answer; anything else ends the connection.
             let until = self.clock.now() + Duration::from_millis(1);
@@ -145,7 +149,7 @@
     }
 
     fn connect(&self, attempt: &Attempt<'_>) -> Result<Conn, AttemptFault> {
-        let left = attempt.until.saturating_duration_since(self.clock.now());
+        let left = attempt.head_deadline.saturating_duration_since(self.clock.now());
         let timeout = left.min(self.connect);
         Conn::connect(attempt.address, timeout, &self.clock).map_err(|_| AttemptFault::Connect)
     }
@@ -165,7 +169,7 @@
     }
 }
 
-impl Answer {
+impl BackendResponse {
     /// Returns the next piece of the body as soon as it is there; `None` at its true end.
     ///
     /// # Errors
@@ -189,7 +193,7 @@
         self.head.header("content-length")?.parse().ok()
     }
 
-    fn says_not_run(&self) -> bool {
+    fn is_not_run(&self) -> bool {
         let refusal = matches!(
             self.head.status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
