--- a/src/instance/homes/links.rs
+++ b/src/instance/homes/links.rs
@@ -9,7 +9,7 @@
     contract::permit::{PermitId, Reply},
     link::{
         peer::StreamSender,
-        wire::{Hello, HomeMessage, NumberedReply, ReplyWire, short},
+        wire::{Hello, HomeMessage, NumberedReply, ReplyWire, wire_number},
     },
     names::Tag,
     utils::sync::lock,
@@ -76,12 +76,12 @@
         let end = lock(&self.entries).get(&id.entry).cloned();
         // An entry whose stream has ended asks again, with the same number.
         let Some(end) = end else { return };
-        let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
+        let reply = NumberedReply { number: wire_number(id.number), reply: ReplyWire::new(reply) };
         let hello = end.news(hello);
         end.sender.send(&HomeMessage {
             hello,
             replies: vec![reply],
-            want_announcement: Vec::new(),
+            request_announcement: Vec::new(),
         });
     }
 }
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -10,7 +10,9 @@
     clock::Clock,
     contract::permit::{Held, PermitId, Reply},
     instance::knowledge::snapshot::Snapshot,
-    link::wire::{Announcement, Hello, Memory, NumberedReply, ReplyWire, ShardBatch, short},
+    link::wire::{
+        Announcement, Hello, NumberedReply, ReplyWire, ShardBatch, ShardChatLocations, wire_number,
+    },
     names::Tag,
     utils::sync::lock,
     zone::{
@@ -37,7 +39,7 @@
     /// Replies to the asks, and to earlier ones of the same entry.
     pub replies: Vec<NumberedReply>,
     /// Whether the entry is to announce all it holds.
-    pub want_announcement: bool,
+    pub request_announcement: bool,
 }
 
 type Deliver = dyn Fn(PermitId, Reply) + Send + Sync;
@@ -113,17 +115,19 @@
             }
             if let Some(Announcement { held, pending }) = batch.announce {
                 let full = |number: u32| hello.permit(number).number;
-                let held =
-                    held.into_iter().map(|h| Held { number: full(short(h.number)), ..h }).collect();
+                let held = held
+                    .into_iter()
+                    .map(|h| Held { number: full(wire_number(h.number)), ..h })
+                    .collect();
                 let pending = pending.into_iter().map(full).collect();
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
             }
             if let Some(held) = batch.held {
                 actions.extend(home.handle(now, Event::Count(hello.from, held as usize)));
             }
-            for ask in batch.asks {
+            for ask in batch.requests {
                 let terms = snapshot.team_terms(ask.team);
-                actions.extend(home.handle(now, Event::Ask(ask.into_ask(hello), terms)));
+                actions.extend(home.handle(now, Event::Ask(ask.into_request(hello), terms)));
             }
         }
         Some(self.carry_out(actions, Some(hello.from)))
@@ -226,7 +230,7 @@
         snapshot: &Snapshot,
         most: usize,
         replica_of: impl Fn(&Shard) -> Option<Tag>,
-    ) -> Vec<(Tag, Memory)> {
+    ) -> Vec<(Tag, ShardChatLocations)> {
         let mut told = Vec::new();
         for (id, slot) in self.all_slots() {
             let Some(to) = snapshot.shard(id).and_then(&replica_of) else { continue };
@@ -234,20 +238,20 @@
             if lock(&slot.replica).replace(to) != Some(to) {
                 home.memory_mut().tell_all();
             }
-            let places = home.memory_mut().take_untold(most);
-            if !places.is_empty() {
-                told.push((to, Memory { shard: id, places }));
+            let locations = home.memory_mut().take_untold(most);
+            if !locations.is_empty() {
+                told.push((to, ShardChatLocations { shard: id, locations }));
             }
         }
         told
     }
 
     /// Takes over where chats of a shard were last.
-    pub fn remember(&self, memory: Memory, snapshot: &Snapshot) {
+    pub fn remember(&self, memory: ShardChatLocations, snapshot: &Snapshot) {
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
-        lock(&slot.home).handle(now, Event::Remember(memory.places));
+        lock(&slot.home).handle(now, Event::Remember(memory.locations));
     }
 
     fn all_slots(&self) -> Vec<(ShardId, Arc<Slot>)> {
@@ -324,10 +328,10 @@
         let mut answer = BatchAnswer::default();
         for action in actions {
             match action {
-                Action::WantAnnouncement(_) => answer.want_announcement = true,
+                Action::WantAnnouncement(_) => answer.request_announcement = true,
                 Action::Reply(id, reply) if Some(id.entry) == at_hand => {
-                    let reply = ReplyWire::of(reply);
-                    answer.replies.push(NumberedReply { number: short(id.number), reply });
+                    let reply = ReplyWire::new(reply);
+                    answer.replies.push(NumberedReply { number: wire_number(id.number), reply });
                 }
                 Action::Reply(id, reply) => (self.deliver)(id, reply),
             }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -75,7 +75,7 @@
         answer.hello = end.news(shared.hello());
         let says = answer.hello.is_some()
             || !answer.replies.is_empty()
-            || !answer.want_announcement.is_empty();
+            || !answer.request_announcement.is_empty();
         if says && !end.sender.send(&answer) {
             break;
         }
@@ -93,12 +93,12 @@
     let snapshot = shared.snapshot.load_full();
     for batch in batches {
         let shard = batch.shard;
-        let numbers: Vec<u32> = batch.asks.iter().map(|ask| ask.number).collect();
+        let numbers: Vec<u32> = batch.requests.iter().map(|ask| ask.number).collect();
         match snapshot.as_ref().and_then(|s| shared.homes.batch(hello, batch, s)) {
             Some(answer) => {
                 message.replies.extend(answer.replies);
-                if answer.want_announcement {
-                    message.want_announcement.push(shard);
+                if answer.request_announcement {
+                    message.request_announcement.push(shard);
                 }
             }
             // The sender's file is newer and is being fetched.
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/knowledge/config.rs
@@ -14,7 +14,7 @@
     },
     link::{
         traffic::Purpose,
-        wire::{FETCH, FetchReply, FetchRequest},
+        wire::{FETCH_PATH, FetchReply, FetchRequest},
     },
     platform::PlatformFault,
     utils::sync::lock,
@@ -114,8 +114,12 @@
 
 fn heads_of_peers(shared: &Shared) -> Vec<Head> {
     let ask = |address| {
-        let reply =
-            shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &FetchRequest::Head);
+        let reply = shared.peers.call::<FetchReply>(
+            Purpose::Config,
+            address,
+            FETCH_PATH,
+            &FetchRequest::Head,
+        );
         match reply {
             Ok(FetchReply::Head(head)) => head,
             _ => None,
@@ -171,7 +175,7 @@
     }
     for address in peer_addresses(shared, PEERS_ASKED) {
         let request = FetchRequest::Object(*name);
-        let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &request);
+        let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH_PATH, &request);
         if let Ok(FetchReply::Object(Some(bytes))) = reply
             && shared.objects.put(*name, bytes.to_vec())
         {
--- a/src/instance/knowledge/gossip.rs
+++ b/src/instance/knowledge/gossip.rs
@@ -7,8 +7,8 @@
     link::{
         traffic::Purpose,
         wire::{
-            FETCH, FetchReply, FetchRequest, HEARTBEAT, Heartbeat, LOADS, LoadsMessage, MEMORY,
-            Memory, MemoryMessage,
+            CHAT_LOCATIONS_PATH, ChatLocationsMessage, FETCH_PATH, FetchReply, FetchRequest,
+            HEARTBEAT_PATH, Heartbeat, LOADS_PATH, LoadsMessage, ShardChatLocations,
         },
     },
     names::Tag,
@@ -59,7 +59,8 @@
     let (settings, address) = (&shared.settings, own.address);
     for seed in settings.listen.seeds.iter().filter(|seed| **seed != address) {
         let request = FetchRequest::Members(own.clone());
-        let reply = shared.peers.call::<FetchReply>(Purpose::Heartbeat, *seed, FETCH, &request);
+        let reply =
+            shared.peers.call::<FetchReply>(Purpose::Heartbeat, *seed, FETCH_PATH, &request);
         if let Ok(FetchReply::Members(members)) = reply {
             let now = shared.clock.now();
             let mut membership = lock(&shared.membership);
@@ -132,7 +133,7 @@
         return;
     };
     let heartbeat = own_heartbeat(shared, now);
-    match shared.peers.call::<Heartbeat>(Purpose::Heartbeat, address, HEARTBEAT, &heartbeat) {
+    match shared.peers.call::<Heartbeat>(Purpose::Heartbeat, address, HEARTBEAT_PATH, &heartbeat) {
         Ok(reply) => {
             take_heartbeat(shared, &reply);
         }
@@ -186,7 +187,7 @@
         };
         let message = LoadsMessage { hello: shared.hello(), loads };
         // A lost message is made good by the next.
-        let _ = shared.peers.call::<()>(Purpose::Loads, address, LOADS, &message);
+        let _ = shared.peers.call::<()>(Purpose::Loads, address, LOADS_PATH, &message);
     }
 }
 
@@ -204,14 +205,15 @@
     let untold = shared.homes.untold(&snapshot, PLACES_MAX, |shard| shared.replica_of(shard));
     for (to, memory) in untold {
         let Some(address) = lock(&shared.membership).peer(to).map(|p| p.address) else { continue };
-        let message = MemoryMessage { hello: shared.hello(), memories: vec![memory] };
+        let message = ChatLocationsMessage { hello: shared.hello(), shards: vec![memory] };
         // What is lost with a message is learned again when its chats return.
-        let _ = shared.peers.call::<()>(Purpose::Memory, address, MEMORY, &message);
+        let _ =
+            shared.peers.call::<()>(Purpose::ChatLocations, address, CHAT_LOCATIONS_PATH, &message);
     }
 }
 
 /// Takes over where chats were last.
-pub fn take_memories(shared: &Shared, memories: Vec<Memory>) {
+pub fn take_memories(shared: &Shared, memories: Vec<ShardChatLocations>) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     for memory in memories {
         shared.homes.remember(memory, &snapshot);
--- a/src/instance/knowledge/peers.rs
+++ b/src/instance/knowledge/peers.rs
@@ -10,8 +10,9 @@
     link::{
         traffic::Purpose,
         wire::{
-            DRAIN, EXPLAIN, FETCH, FetchReply, FetchRequest, HEARTBEAT, Heartbeat, LOADS,
-            LoadsMessage, MEMORY, MemoryMessage, STATUS,
+            CHAT_LOCATIONS_PATH, ChatLocationsMessage, DRAIN_PATH, EXPLAIN_PATH, FETCH_PATH,
+            FetchReply, FetchRequest, HEARTBEAT_PATH, Heartbeat, LOADS_PATH, LoadsMessage,
+            STATUS_PATH,
         },
     },
     utils::sync::lock,
@@ -31,29 +32,29 @@
 pub fn answer(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
     let bad = |_| BAD_MESSAGE;
     match path {
-        HEARTBEAT => {
+        HEARTBEAT_PATH => {
             let heartbeat: Heartbeat = decode(body).map_err(bad)?;
             Ok(encode(&gossip::take_heartbeat(shared, &heartbeat)))
         }
-        LOADS => {
+        LOADS_PATH => {
             let message: LoadsMessage = decode(body).map_err(bad)?;
             shared.greeted(&message.hello);
             gossip::take_loads(shared, &message.loads);
             Ok(encode(&()))
         }
-        MEMORY => {
-            let message: MemoryMessage = decode(body).map_err(bad)?;
+        CHAT_LOCATIONS_PATH => {
+            let message: ChatLocationsMessage = decode(body).map_err(bad)?;
             shared.greeted(&message.hello);
-            gossip::take_memories(shared, message.memories);
+            gossip::take_memories(shared, message.shards);
             Ok(encode(&()))
         }
-        FETCH => Ok(encode(&fetch(shared, &decode(body).map_err(bad)?))),
-        STATUS => Ok(encode(&status::own(shared))),
-        EXPLAIN => {
+        FETCH_PATH => Ok(encode(&fetch(shared, &decode(body).map_err(bad)?))),
+        STATUS_PATH => Ok(encode(&status::own(shared))),
+        EXPLAIN_PATH => {
             let name = decode(body).map_err(bad)?;
             explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|fault| fault.status())
         }
-        DRAIN => {
+        DRAIN_PATH => {
             shared.drain.start(shared.clock.now());
             Ok(encode(&()))
         }
@@ -64,11 +65,11 @@
 /// Returns what a message on `path` is for.
 pub fn purpose(path: &str) -> Purpose {
     match path {
-        HEARTBEAT => Purpose::Heartbeat,
-        LOADS => Purpose::Loads,
-        MEMORY => Purpose::Memory,
-        FETCH => Purpose::Config,
-        STATUS | DRAIN | EXPLAIN => Purpose::Operators,
+        HEARTBEAT_PATH => Purpose::Heartbeat,
+        LOADS_PATH => Purpose::Loads,
+        CHAT_LOCATIONS_PATH => Purpose::ChatLocations,
+        FETCH_PATH => Purpose::Config,
+        STATUS_PATH | DRAIN_PATH | EXPLAIN_PATH => Purpose::Operators,
         _ => Purpose::Permits,
     }
 }
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -21,7 +21,7 @@
         },
         shared::Shared,
     },
-    link::{traffic::Purpose, wire::DRAIN},
+    link::{traffic::Purpose, wire::DRAIN_PATH},
     names::InstanceId,
     platform::PlatformFault,
     units::Revision,
@@ -282,7 +282,7 @@
         let Some(address) = lock(&shared.membership).peer(id.tag()).map(|p| p.address) else {
             return problem(404, unknown_target(&target));
         };
-        if let Err(fault) = shared.peers.call::<()>(Purpose::Operators, address, DRAIN, &()) {
+        if let Err(fault) = shared.peers.call::<()>(Purpose::Operators, address, DRAIN_PATH, &()) {
             return problem(503, fault.to_string());
         }
     }
--- a/src/instance/operators/explain.rs
+++ b/src/instance/operators/explain.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     instance::shared::Shared,
-    link::{peer::PeerError, traffic::Purpose, wire::EXPLAIN},
+    link::{peer::PeerError, traffic::Purpose, wire::EXPLAIN_PATH},
     names::Tag,
     utils::sync::lock,
     zone::rendezvous::{ChatKey, ranked},
@@ -83,7 +83,7 @@
     let home = shared.home_of(view.ranked_shards(key)[0]);
     let address = lock(&shared.membership).peer(home).map(|p| p.address);
     match address {
-        Some(address) => Ok(shared.peers.call(Purpose::Operators, address, EXPLAIN, name)?),
+        Some(address) => Ok(shared.peers.call(Purpose::Operators, address, EXPLAIN_PATH, name)?),
         None => explain_here(shared, name),
     }
 }
--- a/src/instance/operators/status.rs
+++ b/src/instance/operators/status.rs
@@ -7,7 +7,7 @@
         homes::{order_state::OrdersStatus, shards::ShardStatus},
         shared::Shared,
     },
-    link::{traffic::Purpose, wire::STATUS},
+    link::{traffic::Purpose, wire::STATUS_PATH},
     names::{InstanceId, ZoneId},
     units::Revision,
     utils::sync::lock,
@@ -130,7 +130,7 @@
         lock(&shared.membership).peers().map(|p| (p.candidate.id.clone(), p.address)).collect();
     let mut status = FleetStatus { instances: vec![own(shared)], silent: Vec::new() };
     for (id, address) in peers {
-        match shared.peers.call::<InstanceStatus>(Purpose::Operators, address, STATUS, &()) {
+        match shared.peers.call::<InstanceStatus>(Purpose::Operators, address, STATUS_PATH, &()) {
             Ok(answer) => status.instances.push(answer),
             Err(fault) => {
                 log::debug!("status: {fault}");
--- a/src/instance/requests/desk.rs
+++ b/src/instance/requests/desk.rs
@@ -13,8 +13,8 @@
     clock::Clock,
     contract::permit::{Ask, Held, PermitId, Release, ReleaseKind, Reply},
     link::wire::{
-        Announcement, AskWire, HomeMessage, NumberedReply, ReleaseWire, ReplyWire, ShardBatch,
-        millis, short,
+        Announcement, HomeMessage, NumberedReply, PermitRequestWire, ReleaseWire, ReplyWire,
+        ShardBatch, millis, wire_number,
     },
     names::Tag,
     utils::sync::lock,
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 struct PendingAsk {
     shard: ShardId,
-    ask: AskWire,
+    ask: PermitRequestWire,
     slot: Arc<Slot>,
 }
 
@@ -167,12 +167,12 @@
     ) -> Result<Permit, AskEnd> {
         let began = self.clock.now();
         let slot = Arc::new(Slot { state: Mutex::new(SlotState::Asked), changed: Condvar::new() });
-        let number = short(ask.id.number);
-        let wire = AskWire::of(ask);
+        let number = wire_number(ask.id.number);
+        let wire = PermitRequestWire::new(ask);
         let sent = self.tell(home, |_, link| {
             let pending = PendingAsk { shard, ask: wire.clone(), slot: Arc::clone(&slot) };
             link.pending.insert(number, pending);
-            vec![ShardBatch { asks: vec![wire], ..ShardBatch::new(shard) }]
+            vec![ShardBatch { requests: vec![wire], ..ShardBatch::new(shard) }]
         });
         if !sent {
             self.home_lost(home);
@@ -232,13 +232,16 @@
         self.tell(home, |held, link| {
             link.pending.remove(&number);
             held.remove(&number);
-            vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
+            vec![ShardBatch {
+                releases: vec![ReleaseWire::new(&release)],
+                ..ShardBatch::new(shard)
+            }]
         });
     }
 
     /// Gives a permit back.
     pub fn release(&self, permit: Permit, kind: ReleaseKind, load: Option<u32>) {
-        let number = short(permit.number);
+        let number = wire_number(permit.number);
         let Some((home, shard)) = lock(&self.state).held.get(&number).map(|h| (h.home, h.shard))
         else {
             return;
@@ -247,7 +250,10 @@
         // A home that is not reached learns by the count, or drops what it hears no more of.
         self.tell(home, |held, _| {
             held.remove(&number);
-            vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
+            vec![ShardBatch {
+                releases: vec![ReleaseWire::new(&release)],
+                ..ShardBatch::new(shard)
+            }]
         });
     }
 
@@ -274,7 +280,7 @@
         let mut state = lock(&self.state);
         let State { held, links, .. } = &mut *state;
         let link = links.entry(home).or_default();
-        link.announce.extend(message.want_announcement);
+        link.announce.extend(message.request_announcement);
         for NumberedReply { number, reply } in message.replies {
             // Whoever has given up has its release on the way already.
             let Some(pending) = link.pending.get(&number) else { continue };
@@ -298,7 +304,7 @@
 
     /// Takes in a late reply of this instance's own home.
     pub fn take_own(&self, id: PermitId, reply: Reply) {
-        let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
+        let reply = NumberedReply { number: wire_number(id.number), reply: ReplyWire::new(reply) };
         self.take(self.own, HomeMessage { replies: vec![reply], ..HomeMessage::default() });
     }
 
--- a/src/link/traffic.rs
+++ b/src/link/traffic.rs
@@ -12,7 +12,7 @@
     /// Loads among homes.
     Loads,
     /// Where chats went, told to replicas of homes' memory.
-    Memory,
+    ChatLocations,
     /// Files in force, among instances.
     Config,
     /// Exchanges with the platform.
@@ -29,7 +29,7 @@
         Purpose::Permits,
         Purpose::Heartbeat,
         Purpose::Loads,
-        Purpose::Memory,
+        Purpose::ChatLocations,
         Purpose::Config,
         Purpose::Platform,
         Purpose::Probe,
@@ -42,7 +42,7 @@
             Purpose::Permits => "permits",
             Purpose::Heartbeat => "heartbeat",
             Purpose::Loads => "loads",
-            Purpose::Memory => "memory",
+            Purpose::ChatLocations => "memory",
             Purpose::Config => "config",
             Purpose::Platform => "platform",
             Purpose::Probe => "probe",
--- a/src/link/wire.rs
+++ b/src/link/wire.rs
@@ -19,19 +19,19 @@
 };
 
 /// Path of [`Heartbeat`].
-pub const HEARTBEAT: &str = "/h";
+pub const HEARTBEAT_PATH: &str = "/h";
 /// Path of [`FetchRequest`].
-pub const FETCH: &str = "/f";
+pub const FETCH_PATH: &str = "/f";
 /// Path of the request for an instance's status.
-pub const STATUS: &str = "/s";
+pub const STATUS_PATH: &str = "/s";
 /// Path of the question where a chat would go.
-pub const EXPLAIN: &str = "/e";
+pub const EXPLAIN_PATH: &str = "/e";
 /// Path of the order to drain.
-pub const DRAIN: &str = "/d";
-/// Path of [`MemoryMessage`].
-pub const MEMORY: &str = "/m";
+pub const DRAIN_PATH: &str = "/d";
+/// Path of [`ChatLocationsMessage`].
+pub const CHAT_LOCATIONS_PATH: &str = "/m";
 /// Path of [`LoadsMessage`].
-pub const LOADS: &str = "/l";
+pub const LOADS_PATH: &str = "/l";
 
 /// Who speaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,13 +54,13 @@
 }
 
 /// Returns the number that stands for a permit in its own entry's messages.
-pub fn short(number: u64) -> u32 {
+pub fn wire_number(number: u64) -> u32 {
     number as u32
 }
 
 /// An ask on its way.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskWire {
+pub struct PermitRequestWire {
     /// Number of the permit.
     pub number: u32,
     /// Chat.
@@ -77,11 +77,11 @@
     pub may_spill: bool,
 }
 
-impl AskWire {
+impl PermitRequestWire {
     /// Returns the message form of an ask.
-    pub fn of(ask: &Ask) -> AskWire {
-        AskWire {
-            number: short(ask.id.number),
+    pub fn new(ask: &Ask) -> PermitRequestWire {
+        PermitRequestWire {
+            number: wire_number(ask.id.number),
             chat: ask.chat,
             team: ask.team,
             left_ms: millis(ask.left),
@@ -92,7 +92,7 @@
     }
 
     /// Returns the ask that `hello`'s instance sent.
-    pub fn into_ask(self, hello: &Hello) -> Ask {
+    pub fn into_request(self, hello: &Hello) -> Ask {
         Ask {
             id: hello.permit(self.number),
             chat: self.chat,
@@ -129,10 +129,10 @@
     };
 
     /// Returns the message form of a release.
-    pub fn of(release: &Release) -> ReleaseWire {
+    pub fn new(release: &Release) -> ReleaseWire {
         let code = Self::KINDS.iter().position(|kind| *kind == release.kind).unwrap_or(0);
         ReleaseWire {
-            number: short(release.number),
+            number: wire_number(release.number),
             kind: code as u8,
             load: release.load.map_or(0, |load| load.saturating_add(1)),
         }
@@ -169,13 +169,13 @@
     /// Number of permits held after the releases, when it is known for sure.
     pub held: Option<u32>,
     /// New asks.
-    pub asks: Vec<AskWire>,
+    pub requests: Vec<PermitRequestWire>,
 }
 
 impl ShardBatch {
     /// Returns a batch that says nothing yet.
     pub fn new(shard: ShardId) -> ShardBatch {
-        ShardBatch { shard, releases: Vec::new(), announce: None, held: None, asks: Vec::new() }
+        ShardBatch { shard, releases: Vec::new(), announce: None, held: None, requests: Vec::new() }
     }
 }
 
@@ -205,7 +205,7 @@
 
 impl ReplyWire {
     /// Returns the message form of a reply.
-    pub fn of(reply: Reply) -> ReplyWire {
+    pub fn new(reply: Reply) -> ReplyWire {
         match reply {
             Reply::Granted(tag) => ReplyWire(0, tag.0),
             Reply::Queued => ReplyWire(1, 0),
@@ -244,7 +244,7 @@
     /// Returns the reply of a home that knows no engine for an ask.
     pub fn no_engine(number: u32) -> NumberedReply {
         let reply = Reply::Refused { reason: RefuseReason::NoEngine, retry_after_ms: 1000 };
-        NumberedReply { number, reply: ReplyWire::of(reply) }
+        NumberedReply { number, reply: ReplyWire::new(reply) }
     }
 }
 
@@ -256,7 +256,7 @@
     /// Replies, to asks just made or made earlier and queued.
     pub replies: Vec<NumberedReply>,
     /// Shards for which the entry is to announce what it holds.
-    pub want_announcement: Vec<ShardId>,
+    pub request_announcement: Vec<ShardId>,
 }
 
 /// A sign of life, with news.
@@ -281,20 +281,20 @@
 
 /// Where chats of a shard went.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct ShardChatLocations {
     /// The shard.
     pub shard: ShardId,
     /// Chats with their engines.
-    pub places: Vec<(ChatKey, Tag)>,
+    pub locations: Vec<(ChatKey, Tag)>,
 }
 
 /// Where chats went, told to the replica of a home's memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemoryMessage {
+pub struct ChatLocationsMessage {
     /// Sender.
     pub hello: Hello,
     /// By shard.
-    pub memories: Vec<Memory>,
+    pub shards: Vec<ShardChatLocations>,
 }
 
 /// Asks for parts of the file in force.
