--- a/src/link/backend.rs
+++ b/src/link/backend.rs
@@ -87,7 +87,7 @@
 
     /// Sends the request once and reads the answer's head.
     ///
-    /// `go_on` is asked while waiting; when it says no, the connection is cut.
+    /// `keep_waiting` is asked while waiting; when it says no, the connection is cut.
     ///
     /// # Errors
     ///
@@ -95,7 +95,7 @@
     pub fn send(
         &self,
         attempt: &Attempt<'_>,
-        go_on: &mut dyn FnMut() -> bool,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<BackendResponse, AttemptFault> {
         let kept = if attempt.new_connection { None } else { self.take_idle(attempt.address) };
         let mut conn = match kept {
@@ -107,7 +107,7 @@
         if let Err((sent, _)) = conn.send(&message, stall) {
             return Err(if sent == 0 { AttemptFault::BeforeSend } else { AttemptFault::AfterSend });
         }
-        let head = ResponseHead::read(&mut conn, HEAD_MAX, attempt.head_deadline, go_on)
+        let head = ResponseHead::read(&mut conn, HEAD_MAX, attempt.head_deadline, keep_waiting)
             .map_err(head_fault)?;
         let framing = head.framing(attempt.method).map_err(|_| AttemptFault::Garbage)?;
         let echoed = head.header(ATTEMPT_HEADER);
@@ -174,13 +174,13 @@
     ///
     /// # Errors
     ///
-    /// The body was cut, stalled or is not framed as announced; or `go_on` said no.
+    /// The body was cut, stalled or is not framed as announced; or `keep_waiting` said no.
     pub fn next(
         &mut self,
         until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<Option<Vec<u8>>, AttemptFault> {
-        self.body.next(&mut self.conn, until, go_on).map_err(|e| match e {
+        self.body.next(&mut self.conn, until, keep_waiting).map_err(|e| match e {
             ReadError::Timeout => AttemptFault::StalledBody,
             ReadError::Cancelled => AttemptFault::CallerGone,
             ReadError::Closed | ReadError::Io(_) => AttemptFault::CutBody,
--- a/src/link/http1/body.rs
+++ b/src/link/http1/body.rs
@@ -1,26 +1,26 @@
-//! Framing of bodies: by length, in chunks, or up to the end of the connection.
+//! Framing of message bodies: by length, in chunks, or by the end of the connection.
 
 use std::time::{Duration, Instant};
 
 use super::conn::{Conn, ReadError};
 
-/// Longest line that announces a chunk, extensions included.
+/// Maximum length of the line with a chunk's size, in bytes, including chunk extensions.
 const CHUNK_LINE_MAX: usize = 256;
 
-/// Most bytes of trailers.
+/// Maximum size of all trailers in bytes.
 const TRAILERS_MAX: usize = 8 << 10;
 
-/// Most bytes handed out at once.
+/// Maximum number of bytes returned at once.
 const PIECE_MAX: usize = 64 << 10;
 
-/// How a body's end is found.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
     /// After this many bytes.
     Length(u64),
-    /// At the last chunk.
+    /// By the last chunk, of size zero.
     Chunked,
-    /// At the end of the connection.
+    /// By the end of the connection.
     UntilClose,
 }
 
@@ -35,14 +35,14 @@
     Done,
 }
 
-/// Reads one body piece by piece.
+/// Incremental reader of one body.
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
 }
 
 impl BodyReader {
-    /// Returns a reader of a body framed as `framing`.
+    /// Returns a reader of a body with the given framing.
     pub fn new(framing: BodyFraming) -> BodyReader {
         let state = match framing {
             BodyFraming::Length(0) => State::Done,
@@ -58,25 +58,25 @@
         self.state == State::Done
     }
 
-    /// Returns the next piece as soon as any of it is there; `None` at the body's true end.
+    /// Returns the next bytes as soon as there are any; `None` at the end of the complete body.
     ///
     /// # Errors
     ///
-    /// [`ReadFault::Closed`] means that the body was cut short.
+    /// [`ReadError::Closed`] means that the body is truncated.
     pub fn next(
         &mut self,
         conn: &mut Conn,
-        until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
+        deadline: Instant,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<Option<Vec<u8>>, ReadError> {
-        self.next_with(conn, |conn| conn.fill(until, go_on))
+        self.next_with(conn, |conn| conn.fill(deadline, keep_waiting))
     }
 
-    /// Returns the next piece as [`BodyReader::next`] does; `fill` waits for more bytes.
+    /// Returns the next bytes as [`BodyReader::next`] does; `fill` reads more bytes into the buffer.
     ///
     /// # Errors
     ///
-    /// Those of `fill`, and [`ReadFault::Closed`] for a body that was cut short.
+    /// Those of `fill`, and [`ReadError::Closed`] for a truncated body.
     pub fn next_with(
         &mut self,
         conn: &mut Conn,
@@ -101,21 +101,21 @@
         }
     }
 
-    /// Returns the next chunk whole; `None` at the body's true end.
+    /// Returns the next complete chunk; `None` at the end of the complete body.
     ///
     /// # Errors
     ///
-    /// As [`BodyReader::next`]; [`ReadFault::TooLarge`] for a chunk of more than `max` bytes.
+    /// As [`BodyReader::next`]; [`ReadError::TooLarge`] for a chunk of more than `max` bytes.
     pub fn next_chunk(
         &mut self,
         conn: &mut Conn,
         max: usize,
-        until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
+        deadline: Instant,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<Option<Vec<u8>>, ReadError> {
         let mut chunk = Vec::new();
         loop {
-            let Some(piece) = self.next(conn, until, go_on)? else { return Ok(None) };
+            let Some(piece) = self.next(conn, deadline, keep_waiting)? else { return Ok(None) };
             if chunk.is_empty() {
                 chunk = piece
             } else {
@@ -130,16 +130,16 @@
         }
     }
 
-    /// Reads the whole body of at most `max` bytes.
+    /// Reads the complete body of at most `max` bytes.
     ///
     /// # Errors
     ///
-    /// [`ReadFault::TooLarge`] as soon as the body is known to be larger.
+    /// [`ReadError::TooLarge`] as soon as the announced length or the bytes read exceed `max`.
     pub fn read_all(
         &mut self,
         conn: &mut Conn,
         max: usize,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Vec<u8>, ReadError> {
         if let State::Data(length) = self.state
             && length > max as u64
@@ -147,7 +147,7 @@
             return Err(ReadError::TooLarge);
         }
         let mut body = Vec::new();
-        while let Some(piece) = self.next_with(conn, |conn| conn.fill_until(until, None))? {
+        while let Some(piece) = self.next_with(conn, |conn| conn.fill_until(deadline, None))? {
             body.extend_from_slice(&piece);
             if body.len() > max {
                 return Err(ReadError::TooLarge);
@@ -156,26 +156,26 @@
         Ok(body)
     }
 
-    /// Reads the whole body of at most `max` bytes for as long as it makes progress: no pause is longer than
-    /// `stall`, and it is whole before `end`.
+    /// Reads the complete body of at most `max` bytes before `deadline`, with no pause between its bytes longer than
+    /// `stall`.
     ///
     /// # Errors
     ///
-    /// The bytes that had come, and why there are no more.
+    /// The number of bytes received before the error, and the error.
     pub fn read_all_with_stall_limit(
         &mut self,
         conn: &mut Conn,
         max: usize,
         stall: Duration,
-        end: Instant,
+        deadline: Instant,
     ) -> Result<Vec<u8>, (usize, ReadError)> {
         let mut body = Vec::new();
         loop {
             let fill = |conn: &mut Conn| {
-                let until = conn.clock().now() + stall;
-                conn.fill_until(until.min(end), None)
+                let stall_deadline = conn.clock().now() + stall;
+                conn.fill_until(stall_deadline.min(deadline), None)
             };
-            let piece = self.next_with(conn, fill).map_err(|fault| (body.len(), fault))?;
+            let piece = self.next_with(conn, fill).map_err(|error| (body.len(), error))?;
             let Some(piece) = piece else { return Ok(body) };
             body.extend_from_slice(&piece);
             if body.len() > max {
@@ -184,22 +184,23 @@
         }
     }
 
-    /// Takes what the buffer holds; `None` when more bytes are needed or the body is done.
+    /// Consumes the buffered bytes; `None` when more bytes are needed or the body is complete.
     fn advance(&mut self, conn: &mut Conn) -> Result<Option<Vec<u8>>, ReadError> {
         loop {
             match self.state {
                 State::Done => return Ok(None),
                 State::UntilClose => return Ok(take_piece(conn, u64::MAX)),
-                State::Data(left) => {
-                    let Some(piece) = take_piece(conn, left) else { return Ok(None) };
-                    let left = left - piece.len() as u64;
-                    self.state = if left == 0 { State::Done } else { State::Data(left) };
+                State::Data(remaining) => {
+                    let Some(piece) = take_piece(conn, remaining) else { return Ok(None) };
+                    let remaining = remaining - piece.len() as u64;
+                    self.state = if remaining == 0 { State::Done } else { State::Data(remaining) };
                     return Ok(Some(piece));
                 }
-                State::ChunkData(left) => {
-                    let Some(piece) = take_piece(conn, left) else { return Ok(None) };
-                    let left = left - piece.len() as u64;
-                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                State::ChunkData(remaining) => {
+                    let Some(piece) = take_piece(conn, remaining) else { return Ok(None) };
+                    let remaining = remaining - piece.len() as u64;
+                    self.state =
+                        if remaining == 0 { State::ChunkEnd } else { State::ChunkData(remaining) };
                     return Ok(Some(piece));
                 }
                 State::ChunkEnd => {
@@ -218,26 +219,26 @@
                     self.state =
                         if size == 0 { State::Trailers(0) } else { State::ChunkData(size) };
                 }
-                State::Trailers(seen) => {
+                State::Trailers(read) => {
                     let Some(line) = take_line(conn, TRAILERS_MAX)? else { return Ok(None) };
-                    let seen = seen + line.len();
-                    if seen > TRAILERS_MAX {
+                    let read = read + line.len();
+                    if read > TRAILERS_MAX {
                         return Err(ReadError::TooLarge);
                     }
-                    self.state = if line.is_empty() { State::Done } else { State::Trailers(seen) };
+                    self.state = if line.is_empty() { State::Done } else { State::Trailers(read) };
                 }
             }
         }
     }
 }
 
-fn take_piece(conn: &mut Conn, left: u64) -> Option<Vec<u8>> {
-    let most = usize::try_from(left).unwrap_or(usize::MAX).min(PIECE_MAX);
-    let piece = conn.take(most);
+fn take_piece(conn: &mut Conn, remaining: u64) -> Option<Vec<u8>> {
+    let max = usize::try_from(remaining).unwrap_or(usize::MAX).min(PIECE_MAX);
+    let piece = conn.take(max);
     if piece.is_empty() { None } else { Some(piece) }
 }
 
-/// Takes a line without its end; `None` when it is not whole yet.
+/// Removes a line from the buffer and returns it without its line end; `None` when the line is incomplete.
 fn take_line(conn: &mut Conn, max: usize) -> Result<Option<Vec<u8>>, ReadError> {
     let Some(end) = conn.buffered().windows(2).position(|w| w == b"\r\n") else {
         return if conn.buffered().len() > max { Err(ReadError::TooLarge) } else { Ok(None) };
@@ -260,17 +261,18 @@
     u64::from_str_radix(digits, 16).map_err(|_| FAULT)
 }
 
-/// Writes a body in chunks. Nothing is written on drop: an unfinished body stays visibly cut.
+/// Encoder of the chunked transfer coding. Dropping it writes nothing, so that an unfinished body is recognized as
+/// truncated.
 #[derive(Debug, Default)]
 pub struct ChunkWriter {
     buf: Vec<u8>,
 }
 
-/// The last chunk.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 impl ChunkWriter {
-    /// Returns `piece` framed as one chunk; an empty piece gives no bytes.
+    /// Returns `piece` as one chunk; an empty piece yields no bytes, since a chunk of size zero would end the body.
     pub fn frame(&mut self, piece: &[u8]) -> &[u8] {
         self.buf.clear();
         if !piece.is_empty() {
--- a/src/link/http1/conn.rs
+++ b/src/link/http1/conn.rs
@@ -1,4 +1,4 @@
-//! A connection with a read buffer and reads that end at an exact time.
+//! A TCP connection with a read buffer and reads with an exact deadline.
 
 use std::{
     io::{self, Read, Write},
@@ -13,47 +13,47 @@
 
 use crate::clock::Clock;
 
-/// Room for the first read of a connection: most heads and events fit.
-const ROOM_FIRST: usize = 4 << 10;
+/// Initial size of the read buffer in bytes: most heads and events fit.
+const BUFFER_INITIAL: usize = 4 << 10;
 
-/// Least room for a read; the buffer is doubled when there is less.
-const ROOM_MIN: usize = 1 << 10;
+/// Minimum free space for a read in bytes. The buffer is doubled when it has less.
+const READ_SPACE_MIN: usize = 1 << 10;
 
-/// Most bytes read from the socket at once.
-const ROOM_MAX: usize = 64 << 10;
+/// Maximum number of bytes by which the buffer grows at once, which also bounds the size of a single read.
+const READ_SPACE_MAX: usize = 64 << 10;
 
-/// Size of an empty buffer above which it is given back, since idle connections are many.
-const KEPT_MAX: usize = 16 << 10;
+/// Size in bytes above which an empty buffer is freed. Idle connections are many, and each would keep its buffer.
+const IDLE_BUFFER_MAX: usize = 16 << 10;
 
-/// Longest single wait for a read before the caller's condition is looked at again.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+/// Interval at which a waiting read checks its condition `keep_waiting`.
+const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest single wait of a thread that watches several connections: the kernel's timers stand still while the machine
-/// is suspended, so a request is held this long after its time at most. Each wait costs two system calls.
-const WAIT_MAX: Duration = Duration::from_secs(1);
+/// Maximum duration of a single `poll`. The kernel's timers stop while the machine is suspended, so after a suspension a
+/// wait exceeds its deadline by at most this duration. Each wait costs two system calls.
+const POLL_WAIT_MAX: Duration = Duration::from_secs(1);
 
-/// Least time a socket time-out is set to.
-const TIMEOUT_MIN: Duration = Duration::from_millis(1);
+/// Minimum timeout set on a socket, which rejects a timeout of zero.
+const SOCKET_TIMEOUT_MIN: Duration = Duration::from_millis(1);
 
-/// Why bytes could not be read.
+/// Error of a read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The other side closed its sending direction.
+    /// The peer closed its sending direction.
     #[error("the connection was closed")]
     Closed,
-    /// The time ran out.
+    /// The deadline passed.
     #[error("the time ran out")]
     Timeout,
-    /// The reader's condition to go on no longer holds.
+    /// The reader's condition to continue no longer holds, or the caller has disconnected.
     #[error("the reading was given up")]
     Cancelled,
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(io::Error),
-    /// What came does not follow the protocol.
+    /// The received bytes violate the protocol.
     #[error("what came is not HTTP: {0}")]
     Protocol(&'static str),
-    /// What came is larger than allowed.
+    /// The received message exceeds the size limit.
     #[error("what came is too large")]
     TooLarge,
 }
@@ -63,16 +63,16 @@
 pub struct Conn {
     stream: TcpStream,
     clock: Clock,
-    /// Initialised throughout; what has been read and not taken lies from `start` to `end`.
+    /// Fully initialized; the bytes read and not yet consumed are at `start..end`.
     buf: Vec<u8>,
     start: usize,
     end: usize,
-    /// Write timeout that the socket has, so that it is set only when it changes.
+    /// Current write timeout of the socket, so that it is set only when it changes.
     write_timeout: Option<Duration>,
 }
 
 impl Conn {
-    /// Takes over an accepted or connected stream.
+    /// Wraps an accepted or connected stream.
     ///
     /// # Errors
     ///
@@ -86,38 +86,38 @@
     ///
     /// # Errors
     ///
-    /// The connection is refused or not made in time; no byte has been sent then.
+    /// The connection is refused or not established in time. No byte has been sent then.
     pub fn connect(address: SocketAddr, timeout: Duration, clock: &Clock) -> io::Result<Conn> {
-        let stream = TcpStream::connect_timeout(&address, timeout.max(TIMEOUT_MIN))?;
+        let stream = TcpStream::connect_timeout(&address, timeout.max(SOCKET_TIMEOUT_MIN))?;
         Conn::new(stream, clock.clone())
     }
 
-    /// Returns the bytes read and not yet taken.
+    /// Returns the bytes read and not yet consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buf[self.start..self.end]
     }
 
-    /// Takes `count` buffered bytes away.
+    /// Removes `count` bytes from the front of the buffer.
     pub fn consume(&mut self, count: usize) {
         self.start += count;
         if self.start >= self.end {
             (self.start, self.end) = (0, 0);
-            if self.buf.len() > KEPT_MAX {
+            if self.buf.len() > IDLE_BUFFER_MAX {
                 self.buf = Vec::new();
             }
         }
     }
 
-    /// Gives an empty buffer's memory back, before a connection is left idle: most connections are.
+    /// Frees the memory of an empty buffer, before the connection becomes idle: most connections are idle.
     pub fn release_buffer(&mut self) {
         if self.buffered().is_empty() {
             self.buf = Vec::new();
         }
     }
 
-    /// Takes up to `most` buffered bytes.
-    pub fn take(&mut self, most: usize) -> Vec<u8> {
-        let count = most.min(self.buffered().len());
+    /// Removes up to `max` bytes from the front of the buffer and returns them.
+    pub fn take(&mut self, max: usize) -> Vec<u8> {
+        let count = max.min(self.buffered().len());
         let bytes = self.buffered()[..count].to_vec();
         self.consume(count);
         bytes
@@ -125,29 +125,28 @@
 
     /// Reads more bytes into the buffer.
     ///
-    /// Waits until `until` and gives up earlier when `go_on` says so; `go_on` is asked every
-    /// 50 ms of waiting.
+    /// Waits until `deadline`, or until `keep_waiting`, which is called every 50 ms of waiting, returns false.
     ///
     /// # Errors
     ///
-    /// See [`ReadError`]; the buffer keeps what was read before.
+    /// See [`ReadError`]. The buffer keeps the bytes read before.
     pub fn fill(
         &mut self,
-        until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
+        deadline: Instant,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<(), ReadError> {
         loop {
-            let left = until.saturating_duration_since(self.clock.now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(self.clock.now());
+            if remaining.is_zero() {
                 return Err(ReadError::Timeout);
             }
-            let wait = left.min(LOOK_PERIOD).max(TIMEOUT_MIN);
+            let wait = remaining.min(CONDITION_POLL_INTERVAL).max(SOCKET_TIMEOUT_MIN);
             self.stream.set_read_timeout(Some(wait)).map_err(ReadError::Io)?;
             match self.read_once() {
                 Ok(0) => return Err(ReadError::Closed),
                 Ok(_) => return Ok(()),
-                Err(e) if is_wait(&e) => {
-                    if !go_on() {
+                Err(e) if is_timeout(&e) => {
+                    if !keep_waiting() {
                         return Err(ReadError::Cancelled);
                     }
                 }
@@ -162,37 +161,41 @@
             self.end -= self.start;
             self.start = 0;
         }
-        if self.buf.len() - self.end < ROOM_MIN {
-            let room = self.buf.len().clamp(ROOM_FIRST, ROOM_MAX);
-            self.buf.resize(self.end + room, 0);
+        if self.buf.len() - self.end < READ_SPACE_MIN {
+            let space = self.buf.len().clamp(BUFFER_INITIAL, READ_SPACE_MAX);
+            self.buf.resize(self.end + space, 0);
         }
         let read = self.stream.read(&mut self.buf[self.end..])?;
         self.end += read;
         Ok(read)
     }
 
-    /// Reads more bytes into the buffer, waiting until `until` without looking up in between.
+    /// Reads more bytes into the buffer, waiting until `deadline`.
     ///
-    /// With a `caller`, the wait ends as soon as that connection is closed by its other side.
+    /// With a `caller`, the wait ends as soon as the peer of that connection closes it.
     ///
     /// # Errors
     ///
-    /// See [`ReadError`]; a caller that left is `Cancelled`.
-    pub fn fill_until(&mut self, until: Instant, caller: Option<&Conn>) -> Result<(), ReadError> {
+    /// See [`ReadError`]. If the caller disconnects, the error is `Cancelled`.
+    pub fn fill_until(
+        &mut self,
+        deadline: Instant,
+        caller: Option<&Conn>,
+    ) -> Result<(), ReadError> {
         let caller = caller.map(|caller| PollFd::new(&caller.stream, PollFlags::RDHUP));
-        self.fill_watching(until, caller)
+        self.fill_watching(deadline, caller)
     }
 
-    /// Waits until `until` for the first byte of what comes next; returns whether it has come.
+    /// Waits until `deadline` for data; returns whether the buffer has any.
     ///
     /// # Errors
     ///
-    /// The connection is closed or has failed.
-    pub fn wait_for_data(&mut self, until: Instant) -> Result<bool, ReadError> {
+    /// The connection was closed or has failed.
+    pub fn wait_for_data(&mut self, deadline: Instant) -> Result<bool, ReadError> {
         if !self.buffered().is_empty() {
             return Ok(true);
         }
-        match self.fill_watching(until, None) {
+        match self.fill_watching(deadline, None) {
             Ok(()) => Ok(true),
             Err(ReadError::Timeout) => Ok(false),
             Err(fault) => Err(fault),
@@ -201,10 +204,10 @@
 
     fn fill_watching(
         &mut self,
-        until: Instant,
+        deadline: Instant,
         watched: Option<PollFd<'_>>,
     ) -> Result<(), ReadError> {
-        match self.wait(until, watched, PollFlags::IN)? {
+        match self.wait(deadline, watched, PollFlags::IN)? {
             Wake::Timeout => Err(ReadError::Timeout),
             Wake::Watched => Err(ReadError::Cancelled),
             Wake::Ready(_) => match self.read_once() {
@@ -215,17 +218,17 @@
         }
     }
 
-    /// Writes `bytes` until all are handed over, or until the other side answers before that.
+    /// Writes `bytes` until all are sent, or until the peer sends a response before that.
     ///
-    /// Returns the count handed over; fewer than all means that an early answer waits.
+    /// Returns the number of bytes sent; fewer than all means that an early response can be read.
     ///
     /// # Errors
     ///
-    /// The count of bytes handed over before the failure, and the failure.
+    /// The number of bytes sent before the error, and the error.
     pub fn send_until_response(
         &mut self,
         bytes: &[u8],
-        until: Instant,
+        deadline: Instant,
         caller: Option<&Conn>,
     ) -> Result<usize, (usize, ReadError)> {
         let flags = SendFlags::DONTWAIT | SendFlags::NOSIGNAL;
@@ -241,7 +244,7 @@
                 Err(e) => return Err((sent, ReadError::Io(e.into()))),
             }
             let caller = caller.map(|caller| PollFd::new(&caller.stream, PollFlags::RDHUP));
-            match self.wait(until, caller, PollFlags::IN | PollFlags::OUT) {
+            match self.wait(deadline, caller, PollFlags::IN | PollFlags::OUT) {
                 Ok(Wake::Ready(events)) if events.contains(PollFlags::IN) => return Ok(sent),
                 Ok(Wake::Ready(_)) => {}
                 Ok(Wake::Timeout) => return Err((sent, ReadError::Timeout)),
@@ -252,7 +255,7 @@
         Ok(sent)
     }
 
-    /// Sets how long bytes may stay unacknowledged before the connection counts as broken.
+    /// Sets how long sent bytes may remain unacknowledged before the connection fails (`TCP_USER_TIMEOUT`).
     ///
     /// # Errors
     ///
@@ -264,18 +267,18 @@
 
     fn wait(
         &self,
-        until: Instant,
+        deadline: Instant,
         watched: Option<PollFd<'_>>,
         events: PollFlags,
     ) -> Result<Wake, ReadError> {
         let mut fds = vec![PollFd::new(&self.stream, events)];
         fds.extend(watched);
         loop {
-            let left = until.saturating_duration_since(self.clock.now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(self.clock.now());
+            if remaining.is_zero() {
                 return Ok(Wake::Timeout);
             }
-            let timeout = Timespec::try_from(left.min(WAIT_MAX)).ok();
+            let timeout = Timespec::try_from(remaining.min(POLL_WAIT_MAX)).ok();
             match poll(&mut fds, timeout.as_ref()) {
                 Ok(_) | Err(rustix::io::Errno::INTR) => {}
                 Err(e) => return Err(ReadError::Io(e.into())),
@@ -289,13 +292,13 @@
         }
     }
 
-    /// Writes all of `bytes`; no single wait for the other side takes longer than `stall`.
+    /// Writes all of `bytes`; no single wait for the peer takes longer than `stall`.
     ///
     /// # Errors
     ///
-    /// The count of bytes handed over before the failure, and the failure.
+    /// The number of bytes sent before the error, and the error.
     pub fn send(&mut self, bytes: &[u8], stall: Duration) -> Result<(), (usize, io::Error)> {
-        let stall = stall.max(TIMEOUT_MIN);
+        let stall = stall.max(SOCKET_TIMEOUT_MIN);
         if self.write_timeout != Some(stall) {
             self.stream.set_write_timeout(Some(stall)).map_err(|e| (0, e))?;
             self.write_timeout = Some(stall);
@@ -312,7 +315,7 @@
         Ok(())
     }
 
-    /// Looks, without waiting, whether the other side has closed or broken the connection.
+    /// Checks, without waiting, whether the peer has sent data or closed the connection, or the connection has failed.
     pub fn state(&self) -> ConnState {
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         match rustix::net::recv(&self.stream, &mut [0; 1], flags) {
@@ -323,19 +326,19 @@
         }
     }
 
-    /// Closes the own direction, so that the other side sees the end of what was sent and may send on.
+    /// Closes the sending direction, so that the peer sees the end of the data and can still send.
     pub fn shutdown_write(&self) {
-        // A connection that is already gone needs no closing.
+        // It fails only if the connection is closed already.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Closes both directions at once, so that the other side sees a cut.
+    /// Closes both directions at once, so that the peer sees an unfinished message as truncated.
     pub fn shutdown(&self) {
-        // A connection that is already gone needs no cutting.
+        // It fails only if the connection is closed already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Returns a second handle of the stream, with which another thread may cut it.
+    /// Returns a second handle of the stream, for a thread that writes to it or shuts it down.
     ///
     /// # Errors
     ///
@@ -344,18 +347,18 @@
         self.stream.try_clone()
     }
 
-    /// Returns the stream, to be watched.
+    /// Returns the stream, to register it for events.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Returns the clock of the connection.
+    /// Returns the clock by which the connection measures its deadlines.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 }
 
-/// What ended a wait.
+/// Event that ended a wait.
 enum Wake {
     Ready(PollFlags),
     Watched,
@@ -367,15 +370,15 @@
 pub enum ConnState {
     /// Open, nothing to read.
     Open,
-    /// Bytes wait to be read.
+    /// Data can be read.
     Readable,
-    /// The other side sends no more; it may still read.
+    /// The peer has closed its sending direction; it may still read.
     HalfClosed,
-    /// Failed.
+    /// The connection has failed.
     Broken,
 }
 
-fn is_wait(e: &io::Error) -> bool {
+fn is_timeout(e: &io::Error) -> bool {
     matches!(
         e.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted
--- a/src/link/http1/head.rs
+++ b/src/link/http1/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Heads of HTTP/1.1 requests and responses.
 
 use std::time::Instant;
 
@@ -9,10 +9,10 @@
     conn::{Conn, ReadError},
 };
 
-/// Most header lines of a head.
-const HEADERS_MAX: usize = 100;
+/// Maximum number of header lines in a head.
+const HEADER_LINES_MAX: usize = 100;
 
-/// Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1).
+/// Headers of a single connection, which are never forwarded (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -25,68 +25,68 @@
     "upgrade",
 ];
 
-/// Why a head cannot be taken.
+/// Error of reading or parsing a head.
 #[derive(Debug, thiserror::Error)]
 pub enum HeadError {
     /// Reading failed.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// The head does not follow the protocol.
+    /// The head violates the protocol.
     #[error("bad request: {0}")]
     Invalid(&'static str),
-    /// The head is larger than allowed.
+    /// The head exceeds the size limit.
     #[error("the head is larger than allowed; send fewer or shorter headers")]
     TooLarge,
-    /// A transfer coding other than chunked.
+    /// The transfer coding is not chunked.
     #[error("only the transfer coding chunked is understood")]
     UnsupportedCoding,
 }
 
-/// A request's head.
+/// Head of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
     /// Method.
     pub method: Method,
-    /// Path and query as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Whether the sender speaks HTTP/1.0.
+    /// Whether the sender uses HTTP/1.0.
     pub http10: bool,
     /// Headers.
     pub headers: HeaderMap,
 }
 
-/// An answer's head.
+/// Head of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// Status.
     pub status: StatusCode,
-    /// Whether the sender speaks HTTP/1.0.
+    /// Whether the sender uses HTTP/1.0.
     pub http10: bool,
     /// Headers.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// Reads a request's head of at most `max` bytes before `until`.
+    /// Reads the head of a request, of at most `max` bytes, before `deadline`.
     ///
     /// # Errors
     ///
-    /// See [`HeadError`]; a connection closed before its first byte is `Read(Closed)`.
-    pub fn read(conn: &mut Conn, max: usize, until: Instant) -> Result<RequestHead, HeadError> {
+    /// See [`HeadError`]. If the connection is closed before the head is complete, the error is `Read(Closed)`.
+    pub fn read(conn: &mut Conn, max: usize, deadline: Instant) -> Result<RequestHead, HeadError> {
         skip_blank_lines(conn);
-        let length = wait_for_head(conn, max, |conn| conn.fill_until(until, None))?;
+        let length = wait_for_head(conn, max, |conn| conn.fill_until(deadline, None))?;
         let head = RequestHead::parse(&conn.buffered()[..length])?;
         conn.consume(length);
         Ok(head)
     }
 
-    /// Parses the bytes of a whole head.
+    /// Parses a complete head.
     ///
     /// # Errors
     ///
-    /// The bytes are no head, or one that different readers could take differently.
+    /// The bytes are not a valid head, or other HTTP implementations could interpret them differently.
     pub fn parse(bytes: &[u8]) -> Result<RequestHead, HeadError> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+        let mut headers = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
@@ -111,11 +111,11 @@
         Ok(RequestHead { method, target, http10, headers })
     }
 
-    /// Decides how the request's body is framed.
+    /// Returns how the request's body is framed.
     ///
     /// # Errors
     ///
-    /// Framing that different readers could take differently (RFC 9112, 6.3) is refused.
+    /// The framing is ambiguous: other HTTP implementations could interpret it differently (RFC 9112, 6.3).
     pub fn framing(&self) -> Result<BodyFraming, HeadError> {
         let length = content_length(&self.headers)?;
         match (is_chunked(&self.headers)?, length) {
@@ -134,12 +134,12 @@
         keep_alive(self.http10, &self.headers)
     }
 
-    /// Returns the value of a header as text, if it is there and readable.
+    /// Returns the value of a header, if it is present and consists of visible ASCII characters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the key that a caller shows as a bearer token (RFC 6750).
+    /// Returns the request's bearer token (RFC 6750).
     pub fn bearer_token(&self) -> Option<&str> {
         let (scheme, key) = self.header("authorization")?.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
@@ -147,7 +147,7 @@
 }
 
 impl ResponseHead {
-    /// Reads an answer's head, passing over interim answers (1xx).
+    /// Reads the head of a response, skipping interim responses (1xx).
     ///
     /// # Errors
     ///
@@ -155,11 +155,11 @@
     pub fn read(
         conn: &mut Conn,
         max: usize,
-        until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
+        deadline: Instant,
+        keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<ResponseHead, HeadError> {
         loop {
-            let length = wait_for_head(conn, max, |conn| conn.fill(until, go_on))?;
+            let length = wait_for_head(conn, max, |conn| conn.fill(deadline, keep_waiting))?;
             let head = ResponseHead::parse(&conn.buffered()[..length])?;
             conn.consume(length);
             if !head.status.is_informational() {
@@ -168,9 +168,9 @@
         }
     }
 
-    /// Takes an answer's head from what `conn` has buffered, passing over interim answers (1xx).
+    /// Consumes the head of a response from the buffer of `conn`, skipping interim responses (1xx).
     ///
-    /// `None` means that more bytes are needed.
+    /// Returns `None` when more bytes are needed.
     ///
     /// # Errors
     ///
@@ -193,7 +193,7 @@
     }
 
     fn parse(bytes: &[u8]) -> Result<ResponseHead, HeadError> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+        let mut headers = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut response = httparse::Response::new(&mut headers);
         match response.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
@@ -206,11 +206,11 @@
         Ok(ResponseHead { status, http10, headers: header_map(response.headers)? })
     }
 
-    /// Decides how the answer's body is framed, given the request's method.
+    /// Returns how the response's body is framed, given the request's method.
     ///
     /// # Errors
     ///
-    /// Contradicting framing.
+    /// The headers contradict each other, or the transfer coding is not chunked.
     pub fn framing(&self, method: &Method) -> Result<BodyFraming, HeadError> {
         let bodiless = matches!(self.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if bodiless || *method == Method::HEAD {
@@ -230,34 +230,34 @@
         keep_alive(self.http10, &self.headers)
     }
 
-    /// Returns the value of a header as text, if it is there and readable.
+    /// Returns the value of a header, if it is present and consists of visible ASCII characters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Removes the headers that belong to one connection, those that `Connection` names included.
+/// Removes the headers of a single connection, including those that `Connection` lists.
 pub fn drop_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all("connection")
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP) {
+    for name in listed.iter().map(String::as_str).chain(HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// Appends header lines to a head being written.
+/// Appends header lines to a head.
 pub fn write_headers(buf: &mut Vec<u8>, headers: &HeaderMap) {
     for (name, value) in headers {
         write_header(buf, name.as_str(), value.as_bytes());
     }
 }
 
-/// Appends one header line to a head being written.
+/// Appends one header line to a head.
 pub fn write_header(buf: &mut Vec<u8>, name: &str, value: &[u8]) {
     buf.extend_from_slice(name.as_bytes());
     buf.extend_from_slice(b": ");
@@ -271,7 +271,7 @@
     }
 }
 
-/// Reads until the buffer holds a whole head and returns its length.
+/// Reads until the buffer holds a complete head and returns its length.
 fn wait_for_head(
     conn: &mut Conn,
     max: usize,
@@ -292,8 +292,8 @@
 }
 
 fn find_end(bytes: &[u8], from: usize) -> Option<usize> {
-    let at = bytes[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
-    Some(from + at + 4)
+    let position = bytes[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
+    Some(from + position + 4)
 }
 
 fn header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadError> {
@@ -316,7 +316,7 @@
             return Err(HeadError::Invalid("Content-Length is not a number"));
         }
         let parsed = text.parse().map_err(|_| HeadError::Invalid("Content-Length is too large"))?;
-        if length.is_some_and(|known| known != parsed) {
+        if length.is_some_and(|previous| previous != parsed) {
             return Err(HeadError::Invalid("two different Content-Length headers"));
         }
         length = Some(parsed);
@@ -334,9 +334,9 @@
 }
 
 fn keep_alive(http10: bool, headers: &HeaderMap) -> bool {
-    let says = |word: &str| {
+    let has_option = |option: &str| {
         let values = headers.get_all("connection").iter().filter_map(|v| v.to_str().ok());
-        values.flat_map(|v| v.split(',')).any(|part| part.trim().eq_ignore_ascii_case(word))
+        values.flat_map(|v| v.split(',')).any(|item| item.trim().eq_ignore_ascii_case(option))
     };
-    if http10 { says("keep-alive") } else { !says("close") }
+    if http10 { has_option("keep-alive") } else { !has_option("close") }
 }
--- a/src/link/http1/mod.rs
+++ b/src/link/http1/mod.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 on std sockets: heads by `httparse`, framing of bodies, exact time-outs.
+//! HTTP/1.1 on sockets of the standard library: heads parsed by `httparse`, framing of bodies, exact timeouts.
 //!
-//! Why the library servers do not serve callers is measured in docs/DESIGN.md, "Callers' side".
+//! For the measurements that speak against HTTP server libraries, see docs/DESIGN.md, "Callers' side".
 
 pub mod body;
 pub mod conn;
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -232,19 +232,25 @@
 impl StreamReceiver {
     /// Waits for the next message; `None` when the stream has ended.
     ///
-    /// `go_on` is asked every 50 ms.
-    pub fn next<T: DeserializeOwned>(&mut self, go_on: &mut dyn FnMut() -> bool) -> Option<T> {
+    /// `keep_waiting` is asked every 50 ms.
+    pub fn next<T: DeserializeOwned>(
+        &mut self,
+        keep_waiting: &mut dyn FnMut() -> bool,
+    ) -> Option<T> {
         let until = self.conn.clock().now() + IDLE_TIMEOUT;
         if self.reader.is_none() {
-            let head = ResponseHead::read(&mut self.conn, HEAD_MAX, until, go_on).ok()?;
+            let head = ResponseHead::read(&mut self.conn, HEAD_MAX, until, keep_waiting).ok()?;
             if head.status != http::StatusCode::OK {
                 return None;
             }
             self.traffic.count_received(self.purpose, STREAM_ANSWER.len());
             self.reader = Some(BodyReader::new(head.framing(&http::Method::POST).ok()?));
         }
-        let chunk =
-            self.reader.as_mut()?.next_chunk(&mut self.conn, MESSAGE_MAX, until, go_on).ok()??;
+        let chunk = self
+            .reader
+            .as_mut()?
+            .next_chunk(&mut self.conn, MESSAGE_MAX, until, keep_waiting)
+            .ok()??;
         self.traffic.count_received(self.purpose, ChunkWriter::default().frame(&chunk).len());
         decode(&chunk).ok()
     }
