--- a/src/link/conn_pool.rs
+++ b/src/link/conn_pool.rs
@@ -1,4 +1,4 @@
-//! Calls on kept connections, one at a time on each.
+//! Calls on pooled connections, one at a time on each.
 
 use std::{collections::HashMap, io, net::SocketAddr, sync::Mutex, time::Duration};
 
@@ -10,85 +10,86 @@
 };
 use crate::{clock::Clock, utils::sync::lock};
 
-/// Idle connections kept for each address.
-const IDLE_MAX: usize = 4;
+/// Maximum number of idle connections for each address.
+const IDLE_MAX_PER_ADDRESS: usize = 4;
 
-/// What is sent, and how.
+/// Parameters of a call.
 pub struct Call<'c> {
     /// Method.
     pub method: Method,
-    /// Returns the whole request, given whether it is the first on its connection.
+    /// Returns the complete request, given whether it is the first one on its connection.
     pub message: &'c dyn Fn(bool) -> Vec<u8>,
-    /// How long it may take.
+    /// Timeouts.
     pub timeouts: CallTimeouts,
-    /// Largest body of a reply, in bytes.
+    /// Maximum size of a reply's body in bytes.
     pub reply_max: usize,
-    /// Says whether a call that failed so on a kept connection is made once more, on a new one.
+    /// Returns whether a call that failed with this error on a pooled connection is retried once, on a new one.
     pub may_retry: fn(&CallError) -> bool,
 }
 
-/// Why a call was not made or brought nothing.
+/// Error of a call, or of the connection for it.
 #[derive(Debug, thiserror::Error)]
 pub enum PoolError {
-    /// There is no connection; nothing was sent.
+    /// No connection could be established; nothing was sent.
     #[error("no connection: {0}")]
     Connect(#[from] io::Error),
-    /// The call was sent, or a part of it.
+    /// The call failed after it was sent, completely or partly.
     #[error(transparent)]
     Call(#[from] CallError),
 }
 
-/// Idle connections by address.
+/// Pool of idle connections by address.
 pub struct ConnPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
     clock: Clock,
-    connect_time: Duration,
+    connect_timeout: Duration,
 }
 
 impl ConnPool {
-    /// Returns an empty pool whose new connections are made within `connect_time`.
-    pub fn new(clock: Clock, connect_time: Duration) -> ConnPool {
-        ConnPool { idle: Mutex::default(), clock, connect_time }
+    /// Returns an empty pool with a timeout for new connections.
+    pub fn new(clock: Clock, connect_timeout: Duration) -> ConnPool {
+        ConnPool { idle: Mutex::default(), clock, connect_timeout }
     }
 
-    /// Makes a call on a kept connection that the other side has not closed, or on a new one.
+    /// Makes a call on a pooled connection that the peer has not closed, or on a new one.
     ///
     /// # Errors
     ///
     /// See [`PoolError`].
-    pub fn call(&self, to: SocketAddr, asked: &Call<'_>) -> Result<CallReply, PoolError> {
+    pub fn call(&self, to: SocketAddr, request: &Call<'_>) -> Result<CallReply, PoolError> {
         if let Some(conn) = self.take(to) {
-            match self.call_on(conn, to, asked, false) {
-                Err(fault) if (asked.may_retry)(&fault) => {}
+            match self.call_on(conn, to, request, false) {
+                Err(error) if (request.may_retry)(&error) => {}
                 result => return Ok(result?),
             }
         }
         let conn = self.connect(to)?;
-        Ok(self.call_on(conn, to, asked, true)?)
+        Ok(self.call_on(conn, to, request, true)?)
     }
 
-    /// Makes a new connection.
+    /// Establishes a new connection.
     ///
     /// # Errors
     ///
-    /// It is refused or not made in time; nothing has been sent.
+    /// The connection is refused or not established in time. Nothing has been sent then.
     pub fn connect(&self, to: SocketAddr) -> io::Result<Conn> {
-        Conn::connect(to, self.connect_time, &self.clock)
+        Conn::connect(to, self.connect_timeout, &self.clock)
     }
 
     fn call_on(
         &self,
         mut conn: Conn,
         to: SocketAddr,
-        asked: &Call<'_>,
-        first: bool,
+        request: &Call<'_>,
+        is_first: bool,
     ) -> Result<CallReply, CallError> {
-        let message = (asked.message)(first);
-        let result = call(&mut conn, &asked.method, &message, &asked.timeouts, asked.reply_max);
+        let message = (request.message)(is_first);
+        let result =
+            call(&mut conn, &request.method, &message, &request.timeouts, request.reply_max);
         match &result {
             Ok(reply) if reply.keep_alive => self.put(to, conn),
             Ok(_) => {}
-            // Where one connection went silent, the others may have too.
+            // When one connection to an address has failed, the others may have failed too.
             Err(_) => drop(lock(&self.idle).remove(&to)),
         }
         result
@@ -107,7 +108,7 @@
         conn.release_buffer();
         let mut idle = lock(&self.idle);
         let conns = idle.entry(to).or_default();
-        if conns.len() < IDLE_MAX {
+        if conns.len() < IDLE_MAX_PER_ADDRESS {
             conns.push(conn);
         }
     }
--- a/src/link/http1/mod.rs
+++ b/src/link/http1/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 on sockets of the standard library: heads parsed by `httparse`, framing of bodies, exact timeouts.
 //!
-//! For the measurements that speak against HTTP server libraries, see docs/DESIGN.md, "Callers' side".
+//! For the measurements behind this choice over HTTP server libraries, see docs/DESIGN.md, "Callers' side".
 
 pub mod body;
 pub mod conn;
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Links to callers, backend servers and other instances: transports and codecs.
+//! Connections to callers, backend servers and other instances: listeners, clients, HTTP/1.1 and message formats.
 
 pub mod backend;
 pub mod call;
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -1,9 +1,9 @@
-//! Exchanges between instances: HTTP/1.1 with `rmp-serde` bodies on kept connections.
+//! Communication between instances: HTTP/1.1 with `rmp-serde` bodies on pooled connections.
 //!
-//! Two kinds: short calls, a request and its answer; and streams, one request whose body and
-//! answer both go on in chunks, each chunk a message. Heads are the shortest that HTTP allows and
-//! the credential is shown once a connection, since every byte counts against the control budget;
-//! see docs/DESIGN.md, "Between instances", for the figures.
+//! There are calls, with one request and one reply, and streams, whose request and response bodies are open-ended
+//! sequences of chunks, each chunk a message. Heads are the shortest that HTTP allows and the credential is sent once per
+//! connection, since every byte counts against the budget of control traffic; see docs/DESIGN.md, "Between instances",
+//! for the figures.
 
 use std::{
     io::Write as _,
@@ -31,43 +31,43 @@
     },
 };
 
-/// Path of streams.
+/// Path of a stream's request.
 const STREAM_PATH: &str = "/p";
 
-/// Head with which a stream is answered.
-const STREAM_ANSWER: &[u8] = b"HTTP/1.1 200 \r\ntransfer-encoding:chunked\r\n\r\n";
+/// Head of the response to a stream's request.
+const STREAM_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 \r\ntransfer-encoding:chunked\r\n\r\n";
 
-/// Largest head between instances.
+/// Maximum size of a head between instances in bytes.
 const HEAD_MAX: usize = 2 << 10;
 
-/// Largest message between instances.
+/// Maximum size of a message between instances in bytes.
 const MESSAGE_MAX: usize = 16 << 20;
 
-/// Idle time after which a peer's connection is closed by its server.
+/// Time after which the server closes a peer's idle connection.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Longest wait for a peer to take a message of a stream; one that takes longer is cut.
-const STREAM_SEND_TIME: Duration = Duration::from_millis(250);
+/// Maximum time for a peer to accept a message of a stream. A stream whose peer takes longer is closed.
+const STREAM_SEND_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why an exchange with a peer failed.
+/// Error of a call to a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// The peer was not reached.
+    /// No connection to the peer could be established.
     #[error("instance at {0} is not reached ({1}); it is passed over for a while")]
     Unreachable(SocketAddr, String),
-    /// The exchange broke off; the peer may have acted on it.
+    /// The call failed after the connection was established. The peer may have processed it.
     #[error(
         "exchange with the instance at {0} broke off ({1}); it is repeated where that does no harm"
     )]
     Interrupted(SocketAddr, String),
-    /// The peer refused.
+    /// The peer replied with an error status.
     #[error(
         "the instance at {0} refused with status {1}; check that both have the same peers' credential and version"
     )]
     Rejected(SocketAddr, u16),
 }
 
-/// Connections to other instances.
+/// Client for calls and streams to other instances.
 pub struct PeerClient {
     conns: ConnPool,
     credential: Option<Secret>,
@@ -76,8 +76,8 @@
 }
 
 impl PeerClient {
-    /// Returns links that show `credential`, if instances have one; no pause in a call may take longer than
-    /// `timeout`.
+    /// Returns a client that sends `credential`, if there is one; `timeout` is for connecting and for each pause in a
+    /// call.
     pub fn new(
         clock: Clock,
         credential: Option<Secret>,
@@ -89,10 +89,10 @@
         PeerClient { conns, credential, timeouts, traffic }
     }
 
-    /// Sends `message` and returns the peer's answer.
+    /// Sends `message` and returns the peer's reply.
     ///
-    /// Every message between instances may be repeated, so one that fails on a kept connection
-    /// is sent once more on a new one.
+    /// Every message between instances is idempotent, so a call that fails on a pooled connection is retried once on a
+    /// new one.
     ///
     /// # Errors
     ///
@@ -105,20 +105,20 @@
         message: &impl Serialize,
     ) -> Result<T, PeerError> {
         let body = encode(message);
-        let message = |first: bool| {
-            let credential = if first { self.credential.as_ref() } else { None };
+        let message = |is_first: bool| {
+            let credential = if is_first { self.credential.as_ref() } else { None };
             let message = request_bytes(path, &body, credential);
             self.traffic.count_sent(purpose, message.len());
             message
         };
-        let asked = Call {
+        let call = Call {
             method: Method::POST,
             message: &message,
             timeouts: self.timeouts,
             reply_max: MESSAGE_MAX,
             may_retry: |_| true,
         };
-        let reply = self.conns.call(to, &asked).map_err(|fault| match fault {
+        let reply = self.conns.call(to, &call).map_err(|error| match error {
             PoolError::Connect(e) => PeerError::Unreachable(to, e.to_string()),
             PoolError::Call(e) => PeerError::Interrupted(to, e.to_string()),
         })?;
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// The peer was not reached.
+    /// No connection could be established, or the request could not be sent.
     pub fn open_stream(
         &self,
         purpose: Purpose,
@@ -145,10 +145,10 @@
             "POST {STREAM_PATH} HTTP/1.1\r\nhost:\r\n{}transfer-encoding:chunked\r\n\r\n",
             self.credential.as_ref().map_or_else(String::new, credential_line)
         );
-        let broken = |e: std::io::Error| PeerError::Interrupted(to, e.to_string());
-        conn.send(head.as_bytes(), self.timeouts.stall).map_err(|(_, e)| broken(e))?;
+        let interrupted = |e: std::io::Error| PeerError::Interrupted(to, e.to_string());
+        conn.send(head.as_bytes(), self.timeouts.stall).map_err(|(_, e)| interrupted(e))?;
         self.traffic.count_sent(purpose, head.len());
-        let sender = StreamSender::new(&conn, purpose, &self.traffic).map_err(broken)?;
+        let sender = StreamSender::new(&conn, purpose, &self.traffic).map_err(interrupted)?;
         let receiver =
             StreamReceiver { conn, reader: None, purpose, traffic: self.traffic.clone() };
         Ok((sender, receiver))
@@ -176,7 +176,7 @@
     message
 }
 
-/// The sending side of a stream; any thread may use it.
+/// Sending side of a stream, for use by any thread.
 pub struct StreamSender {
     stream: Mutex<TcpStream>,
     purpose: Purpose,
@@ -190,13 +190,13 @@
         traffic: &TrafficCounter,
     ) -> std::io::Result<StreamSender> {
         let stream = conn.try_clone_stream()?;
-        stream.set_write_timeout(Some(STREAM_SEND_TIME))?;
+        stream.set_write_timeout(Some(STREAM_SEND_TIMEOUT))?;
         Ok(StreamSender { stream: Mutex::new(stream), purpose, traffic: traffic.clone() })
     }
 
-    /// Sends a message; one that the peer does not take at once ends the stream.
+    /// Sends a message, and closes the stream if the peer does not accept the message within 250 ms.
     ///
-    /// Returns whether it was handed over.
+    /// Returns whether the message was sent.
     pub fn send(&self, message: &impl Serialize) -> bool {
         let mut chunk = ChunkWriter::default();
         let bytes = chunk.frame(&encode(message)).to_vec();
@@ -210,18 +210,18 @@
         sent
     }
 
-    /// Ends the stream in both directions.
+    /// Closes the stream in both directions.
     pub fn shutdown(&self) {
         shutdown(&lock(&self.stream));
     }
 }
 
 fn shutdown(stream: &TcpStream) {
-    // A stream that has ended already needs no cutting.
+    // It fails only if the stream is closed already.
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// The receiving side of a stream, for one thread.
+/// Receiving side of a stream, for use by one thread.
 pub struct StreamReceiver {
     conn: Conn,
     reader: Option<BodyReader>,
@@ -230,91 +230,95 @@
 }
 
 impl StreamReceiver {
-    /// Waits for the next message; `None` when the stream has ended.
-    ///
-    /// `keep_waiting` is asked every 50 ms.
+    /// Waits for the next message; returns `None` when the stream has ended, or when `keep_waiting`, which is called
+    /// every 50 ms, returns false.
     pub fn next<T: DeserializeOwned>(
         &mut self,
         keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Option<T> {
-        let until = self.conn.clock().now() + IDLE_TIMEOUT;
+        let deadline = self.conn.clock().now() + IDLE_TIMEOUT;
         if self.reader.is_none() {
-            let head = ResponseHead::read(&mut self.conn, HEAD_MAX, until, keep_waiting).ok()?;
+            let head = ResponseHead::read(&mut self.conn, HEAD_MAX, deadline, keep_waiting).ok()?;
             if head.status != http::StatusCode::OK {
                 return None;
             }
-            self.traffic.count_received(self.purpose, STREAM_ANSWER.len());
+            self.traffic.count_received(self.purpose, STREAM_RESPONSE_HEAD.len());
             self.reader = Some(BodyReader::new(head.framing(&http::Method::POST).ok()?));
         }
         let chunk = self
             .reader
             .as_mut()?
-            .next_chunk(&mut self.conn, MESSAGE_MAX, until, keep_waiting)
+            .next_chunk(&mut self.conn, MESSAGE_MAX, deadline, keep_waiting)
             .ok()??;
         self.traffic.count_received(self.purpose, ChunkWriter::default().frame(&chunk).len());
         decode(&chunk).ok()
     }
 }
 
-/// What a peer's connection is given to.
+/// What serves the connections of peers.
 pub struct PeerService<'s, A, S> {
-    /// Credentials accepted; `None` where instances have none and their network is closed.
+    /// Accepted credentials; `None` where instances have none because their network is private.
     pub credentials: Option<&'s [Secret]>,
-    /// Longest wait for a message or for the peer to take an answer.
+    /// Maximum pause within a message, and for the peer to accept a reply.
     pub timeout: Duration,
-    /// Is told the bytes.
+    /// Counts the bytes sent and received.
     pub traffic: &'s TrafficCounter,
-    /// Answers a call: path and message to the encoded answer, or a status.
+    /// Handles a call: returns the encoded reply to a path and message, or a status.
     pub handle_call: A,
-    /// Serves a stream until it ends.
+    /// Handles a stream until it ends.
     pub handle_stream: S,
-    /// Names the purpose of a call by its path.
+    /// Returns the purpose of the traffic at a path.
     pub purpose: fn(&str) -> Purpose,
 }
 
-/// Serves one connection of a peer until it ends.
+/// Serves one connection of a peer until it is closed.
 pub fn serve<A, S>(conn: Conn, service: &PeerService<'_, A, S>)
 where
     A: Fn(&str, &[u8]) -> Result<Vec<u8>, u16>,
     S: Fn(StreamSender, StreamReceiver),
 {
-    // One on which nothing comes for as long as it may be idle is closed.
-    drop(serve_for(conn, service, IDLE_TIMEOUT));
+    // A connection that has been idle for this time is closed.
+    drop(serve_with_idle_timeout(conn, service, IDLE_TIMEOUT));
 }
 
-/// Serves a connection of a peer until nothing has come on it for `idle`; for services without credentials, as
-/// these are shown once a connection.
+/// Serves a connection of a peer until it has been idle for `idle_timeout`. It is for services without credentials, as
+/// the connection's authentication is lost when the connection is handed back as idle.
 pub fn serve_until_idle<A, S>(
     conn: Conn,
     service: &PeerService<'_, A, S>,
-    idle: Duration,
+    idle_timeout: Duration,
 ) -> ConnOutcome
 where
     A: Fn(&str, &[u8]) -> Result<Vec<u8>, u16>,
     S: Fn(StreamSender, StreamReceiver),
 {
-    serve_for(conn, service, idle)
+    serve_with_idle_timeout(conn, service, idle_timeout)
 }
 
-fn serve_for<A, S>(mut conn: Conn, service: &PeerService<'_, A, S>, idle: Duration) -> ConnOutcome
+fn serve_with_idle_timeout<A, S>(
+    mut conn: Conn,
+    service: &PeerService<'_, A, S>,
+    idle_timeout: Duration,
+) -> ConnOutcome
 where
     A: Fn(&str, &[u8]) -> Result<Vec<u8>, u16>,
     S: Fn(StreamSender, StreamReceiver),
 {
-    let mut shown = service.credentials.is_none();
+    let mut is_authenticated = service.credentials.is_none();
     loop {
-        match conn.wait_for_data(conn.clock().now() + idle) {
+        match conn.wait_for_data(conn.clock().now() + idle_timeout) {
             Ok(true) => {}
             Ok(false) => return ConnOutcome::Idle(conn),
             Err(_) => return ConnOutcome::Closed,
         }
-        let until = conn.clock().now() + IDLE_TIMEOUT;
-        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else {
+        let deadline = conn.clock().now() + IDLE_TIMEOUT;
+        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, deadline) else {
             return ConnOutcome::Closed;
         };
-        shown = shown || shows_credential(&head, service.credentials.unwrap_or_default());
-        if !shown {
-            // The other side learns why; that it may not get the message is no loss.
+        is_authenticated = is_authenticated
+            || has_valid_credential(&head, service.credentials.unwrap_or_default());
+        if !is_authenticated {
+            // The connection is closed in any case, so a failure to report the status is ignored.
             let _ = conn.send(&reply_bytes(401, &[]), service.timeout);
             return ConnOutcome::Closed;
         }
@@ -344,19 +348,19 @@
     service: &PeerService<'_, A, S>,
 ) {
     let purpose = (service.purpose)(STREAM_PATH);
-    if conn.send(STREAM_ANSWER, service.timeout).is_err() {
+    if conn.send(STREAM_RESPONSE_HEAD, service.timeout).is_err() {
         return;
     }
-    service.traffic.count_sent(purpose, STREAM_ANSWER.len());
+    service.traffic.count_sent(purpose, STREAM_RESPONSE_HEAD.len());
     let Ok(sender) = StreamSender::new(&conn, purpose, service.traffic) else { return };
     let reader = Some(BodyReader::new(BodyFraming::Chunked));
     let receiver = StreamReceiver { conn, reader, purpose, traffic: service.traffic.clone() };
     (service.handle_stream)(sender, receiver);
 }
 
-fn shows_credential(head: &RequestHead, accepted: &[Secret]) -> bool {
-    let given = head.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
-    given.is_some_and(|given| any_matches(accepted, given))
+fn has_valid_credential(head: &RequestHead, accepted: &[Secret]) -> bool {
+    let token = head.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
+    token.is_some_and(|token| any_matches(accepted, token))
 }
 
 fn read_message(
@@ -364,8 +368,8 @@
     head: &RequestHead,
     timeout: Duration,
 ) -> Result<Vec<u8>, HeadError> {
-    let end = conn.clock().now() + MESSAGE_TIMEOUT;
+    let deadline = conn.clock().now() + MESSAGE_TIMEOUT;
     let mut reader = BodyReader::new(head.framing()?);
-    let body = reader.read_all_with_stall_limit(conn, MESSAGE_MAX, timeout, end);
-    Ok(body.map_err(|(_, fault)| fault)?)
+    let body = reader.read_all_with_stall_limit(conn, MESSAGE_MAX, timeout, deadline);
+    Ok(body.map_err(|(_, error)| error)?)
 }
--- a/src/link/text_server.rs
+++ b/src/link/text_server.rs
@@ -1,6 +1,6 @@
-//! Small answers to whoever looks at an instance from outside: readiness, metrics.
+//! HTTP server for short plain-text responses: readiness checks and metrics.
 //!
-//! `rouille` keeps seven threads for each address it listens on; see docs/DESIGN.md, "Callers' side".
+//! `rouille` would need seven threads for each address it listens on; see docs/DESIGN.md, "Callers' side".
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
     listener::ConnOutcome,
 };
 
-/// Largest head of a question.
+/// Maximum size of a request's head in bytes.
 const HEAD_MAX: usize = 8 << 10;
 
-/// Longest time for a head to come in, and for an answer to be taken: several round trips within a region.
-const TIME: Duration = Duration::from_millis(1000);
+/// Timeout for a request's head, and for the client to accept a response: several round trips within a region.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long a thread waits for the next question before the connection is left to the watch over idle ones: a
-/// new connection's first question comes right behind it.
-const BUSY: Duration = Duration::from_millis(20);
+/// Time that a thread waits for the next request before it hands the connection to the idle monitor. The first request
+/// follows a new connection at once.
+const NEXT_REQUEST_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// An answer in plain text.
+/// Plain-text response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextResponse {
     /// Status.
@@ -30,37 +30,37 @@
     pub text: String,
 }
 
-/// Answers the questions on a connection, whatever they ask, as long as they follow each other closely.
-pub fn serve(mut conn: Conn, answer: impl Fn() -> TextResponse) -> ConnOutcome {
+/// Responds to every request on a connection, whatever its method and path, until no request follows within 20 ms.
+pub fn serve(mut conn: Conn, respond: impl Fn() -> TextResponse) -> ConnOutcome {
     loop {
-        match conn.wait_for_data(conn.clock().now() + BUSY) {
+        match conn.wait_for_data(conn.clock().now() + NEXT_REQUEST_TIMEOUT) {
             Ok(true) => {}
             Ok(false) => return ConnOutcome::Idle(conn),
             Err(_) => return ConnOutcome::Closed,
         }
-        let until = conn.clock().now() + TIME;
-        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, until) else {
+        let deadline = conn.clock().now() + MESSAGE_TIMEOUT;
+        let Ok(head) = RequestHead::read(&mut conn, HEAD_MAX, deadline) else {
             return ConnOutcome::Closed;
         };
-        let keep = head.keep_alive() && !has_body(&head);
-        let reply = encode(&answer(), keep, head.method == http::Method::HEAD);
-        if conn.send(reply.as_bytes(), TIME).is_err() || !keep {
+        let keep_alive = head.keep_alive() && !has_body(&head);
+        let reply = encode(&respond(), keep_alive, head.method == http::Method::HEAD);
+        if conn.send(reply.as_bytes(), MESSAGE_TIMEOUT).is_err() || !keep_alive {
             return ConnOutcome::Closed;
         }
         conn.release_buffer();
     }
 }
 
-/// Returns whether something follows the head that would have to be read before the next question.
+/// Returns whether the request has a body, which would have to be read before the next request.
 fn has_body(head: &RequestHead) -> bool {
     head.header("content-length").is_some_and(|length| length != "0")
         || head.header("transfer-encoding").is_some()
 }
 
-fn encode(answer: &TextResponse, keep: bool, head_only: bool) -> String {
-    let TextResponse { status, text } = answer;
+fn encode(response: &TextResponse, keep_alive: bool, head_only: bool) -> String {
+    let TextResponse { status, text } = response;
     let (code, length) = (status.as_u16(), text.len());
-    let connection = if keep { "keep-alive" } else { "close" };
+    let connection = if keep_alive { "keep-alive" } else { "close" };
     let reason = status.canonical_reason().unwrap_or_default();
     let body = if head_only { "" } else { text.as_str() };
     format!(
--- a/src/link/traffic.rs
+++ b/src/link/traffic.rs
@@ -1,30 +1,30 @@
-//! Control traffic: what it is for, and who is told its bytes.
+//! Counting of control traffic by purpose and direction.
 
 use std::sync::Arc;
 
-/// What control traffic is for.
+/// Purpose of control traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Purpose {
-    /// Asks for permits, releases, late grants.
+    /// Permit requests, releases and late grants.
     Permits,
-    /// Heartbeats.
+    /// Heartbeats between instances.
     Heartbeat,
-    /// Loads among homes.
+    /// Load reports between instances.
     Loads,
-    /// Where chats went, told to replicas of homes' memory.
+    /// Chat locations, sent to replicas of homes.
     ChatLocations,
-    /// Files in force, among instances.
+    /// Configuration sent between instances.
     Config,
-    /// Exchanges with the platform.
+    /// Calls to the platform.
     Platform,
     /// Probes of backend servers.
     Probe,
-    /// Operators' questions passed on.
+    /// Operators' requests, forwarded to other instances.
     Operators,
 }
 
 impl Purpose {
-    /// Every purpose.
+    /// All purposes.
     pub const ALL: [Purpose; 8] = [
         Purpose::Permits,
         Purpose::Heartbeat,
@@ -51,12 +51,12 @@
     }
 }
 
-/// Which way bytes went.
+/// Direction of traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From this instance.
+    /// Sent by this instance.
     Sent,
-    /// To this instance.
+    /// Received by this instance.
     Received,
 }
 
@@ -70,26 +70,26 @@
     }
 }
 
-type Count = dyn Fn(Purpose, Direction, usize) + Send + Sync;
+type Recorder = dyn Fn(Purpose, Direction, usize) + Send + Sync;
 
-/// Is told the bytes of every message on a link, heads included; clones tell the same listener.
+/// Counter of the bytes of every message, including heads. Clones share the same counter.
 #[derive(Clone)]
-pub struct TrafficCounter(Arc<Count>);
+pub struct TrafficCounter(Arc<Recorder>);
 
 impl TrafficCounter {
-    /// Returns a counter that hands everything to `count`.
+    /// Returns a counter that calls `count` for every message.
     pub fn new(
         count: impl Fn(Purpose, Direction, usize) + Send + Sync + 'static,
     ) -> TrafficCounter {
         TrafficCounter(Arc::new(count))
     }
 
-    /// Notes the bytes of one message sent.
+    /// Counts the bytes of one sent message.
     pub fn count_sent(&self, purpose: Purpose, bytes: usize) {
         (self.0)(purpose, Direction::Sent, bytes);
     }
 
-    /// Notes the bytes of one message received.
+    /// Counts the bytes of one received message.
     pub fn count_received(&self, purpose: Purpose, bytes: usize) {
         (self.0)(purpose, Direction::Received, bytes);
     }
