--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -91,7 +91,7 @@
 fn idle_rules(
     monitor: &IdleMonitor,
     deadline: impl Fn(Instant) -> Instant + Send + Sync + 'static,
-    is_callers: bool,
+    is_caller_conn: bool,
 ) -> IdlePolicy {
-    IdlePolicy { monitor: monitor.clone(), deadline: Arc::new(deadline), is_callers }
+    IdlePolicy { monitor: monitor.clone(), deadline: Arc::new(deadline), is_caller_conn }
 }
--- a/src/link/call.rs
+++ b/src/link/call.rs
@@ -13,8 +13,8 @@
 /// concurrent traffic. It is long enough not to abort a transfer that makes progress.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Timeouts of a call. The body has none of its own: its duration depends on its length and the link, so a fixed timeout
-/// would abort every body beyond some length, on every retry.
+/// Timeouts of a call. The body has none of its own: its duration depends on its length and the link, so a fixed
+/// timeout would abort every body beyond some length, on every retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallTimeouts {
     /// From the sent call to the reply's head.
--- a/src/link/http1/conn.rs
+++ b/src/link/http1/conn.rs
@@ -28,8 +28,8 @@
 /// Interval at which a waiting read checks its condition `keep_waiting`.
 const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Maximum duration of a single `poll`. The kernel's timers stop while the machine is suspended, so after a suspension a
-/// wait exceeds its deadline by at most this duration. Each wait costs two system calls.
+/// Maximum duration of a single `poll`. The kernel's timers stop while the machine is suspended, so after a suspension
+/// a wait exceeds its deadline by at most this duration. Each wait costs two system calls.
 const POLL_WAIT_MAX: Duration = Duration::from_secs(1);
 
 /// Minimum timeout set on a socket, which rejects a timeout of zero.
--- a/src/link/idle.rs
+++ b/src/link/idle.rs
@@ -1,7 +1,7 @@
-//! Connections on which nothing is asked, all watched by one thread.
+//! Monitoring of all idle connections by a single thread.
 //!
-//! Nearly all connections of callers and of other instances are idle nearly all of the time. A thread for each
-//! would be most of a process's threads.
+//! Nearly all connections of callers and of other instances are idle nearly all of the time. With a thread for each,
+//! these would be most of the threads of the process.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -24,194 +24,196 @@
     utils::sync::lock,
 };
 
-/// Connections looked at in one go.
-const EVENTS: usize = 64;
+/// Maximum number of events read at once.
+const EVENTS_MAX: usize = 64;
 
-/// Pause after the watch itself failed, which it does only for want of memory.
-const PAUSE_FAILED: Duration = Duration::from_millis(50);
+/// Pause after `epoll_wait` failed, which happens only when memory is exhausted.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest single wait, which the kernel's call can surely express.
-const WAIT_MAX: Duration = Duration::from_secs(3600);
+/// Maximum duration of a single wait, which `epoll_wait` can represent.
+const EPOLL_WAIT_MAX: Duration = Duration::from_secs(3600);
 
-/// Number of the pipe by which the thread is told of an earlier end of waiting.
-const WAKE: u64 = 0;
+/// Token of the pipe that wakes the thread when a new connection has the earliest deadline.
+const WAKE_TOKEN: u64 = 0;
 
-/// Number of the pipe that becomes readable when callers' idle connections are to close.
-const CLOSING: u64 = 1;
+/// Token of the pipe that becomes readable when idle connections of callers are to be closed.
+const CLOSING_TOKEN: u64 = 1;
 
-/// Number of the first connection.
-const FIRST: u64 = 2;
+/// Token of the first connection.
+const FIRST_CONN_TOKEN: u64 = 2;
 
-/// A connection that waits for its next request.
+/// An idle connection, which waits for its next request.
 pub struct IdleConn {
-    /// The connection; nothing read from it is left over.
+    /// The connection, with an empty read buffer.
     pub conn: Conn,
-    /// Since when it has been idle.
+    /// Time at which it became idle.
     pub since: Instant,
-    /// Returns until when a connection may wait that has been idle since then; asked again when that has passed.
+    /// Returns the deadline of a connection that became idle at the given time. When the deadline has passed, it is
+    /// called again, as the timeout may have increased.
     pub deadline: Arc<dyn Fn(Instant) -> Instant + Send + Sync>,
-    /// Whether it ends when callers' idle connections are to close.
-    pub is_callers: bool,
-    /// Takes the connection when something has come on it.
+    /// Whether it is closed when the idle connections of callers are to be closed.
+    pub is_caller_conn: bool,
+    /// Serves the connection once it is readable.
     pub resume: Box<dyn FnOnce(Conn) + Send>,
 }
 
-/// The watch over idle connections.
+/// Monitor of idle connections; clones share its thread.
 #[derive(Clone)]
 pub struct IdleMonitor {
-    watch: Arc<Watch>,
+    monitor: Arc<Monitor>,
 }
 
-struct Watch {
+struct Monitor {
     epoll: OwnedFd,
     clock: Clock,
-    wake: PipeWriter,
-    waiting: Mutex<Waiting>,
+    wake_writer: PipeWriter,
+    state: Mutex<State>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct State {
     conns: HashMap<u64, (IdleConn, Instant)>,
-    /// When each may wait no longer, first ones first.
-    ends: BTreeSet<(Instant, u64)>,
-    next: u64,
-    /// Whether callers' idle connections are to close.
+    /// Deadlines in order, with the tokens of their connections.
+    deadlines: BTreeSet<(Instant, u64)>,
+    next_token: u64,
+    /// Whether idle connections of callers are to be closed.
     closing: bool,
 }
 
 impl IdleMonitor {
-    /// Starts the watch; callers' idle connections end when `closing` becomes readable.
+    /// Starts the monitor. It closes the idle connections of callers when `closing` becomes readable.
     ///
     /// # Errors
     ///
-    /// A pipe, the watch or its thread cannot be made.
+    /// A pipe, the epoll instance or the thread cannot be created.
     pub fn spawn(clock: Clock, closing: PipeReader) -> io::Result<IdleMonitor> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        let (woken, wake) = io::pipe()?;
-        rustix::io::ioctl_fionbio(&woken, true)?;
+        let (wake_reader, wake_writer) = io::pipe()?;
+        rustix::io::ioctl_fionbio(&wake_reader, true)?;
         let events = epoll::EventFlags::IN;
-        epoll::add(&epoll, &woken, epoll::EventData::new_u64(WAKE), events)?;
+        epoll::add(&epoll, &wake_reader, epoll::EventData::new_u64(WAKE_TOKEN), events)?;
         let once = events | epoll::EventFlags::ONESHOT;
-        epoll::add(&epoll, &closing, epoll::EventData::new_u64(CLOSING), once)?;
-        let waiting = Mutex::new(Waiting { next: FIRST, ..Waiting::default() });
-        let watch = Arc::new(Watch { epoll, clock, wake, waiting });
-        let watched = Arc::clone(&watch);
-        // The pipes' ends live as long as the thread, which is as long as the process.
+        epoll::add(&epoll, &closing, epoll::EventData::new_u64(CLOSING_TOKEN), once)?;
+        let state = Mutex::new(State { next_token: FIRST_CONN_TOKEN, ..State::default() });
+        let monitor = Arc::new(Monitor { epoll, clock, wake_writer, state });
+        let thread_monitor = Arc::clone(&monitor);
+        // The thread owns the read ends of the pipes and runs as long as the process.
         thread::Builder::new()
             .name("idle".to_owned())
-            .spawn(move || watched.run(&woken, &closing))?;
-        Ok(IdleMonitor { watch })
+            .spawn(move || thread_monitor.run(&wake_reader, &closing))?;
+        Ok(IdleMonitor { monitor })
     }
 
-    /// Watches a connection until something comes on it, it is closed, or its time is over.
+    /// Monitors a connection until it is readable, the peer closes it, or its deadline passes.
     pub fn watch(&self, idle: IdleConn) {
-        self.watch.watch(idle);
+        self.monitor.watch(idle);
     }
 }
 
-impl Watch {
+impl Monitor {
     fn watch(&self, idle: IdleConn) {
-        let end = (idle.deadline)(idle.since);
-        let mut waiting = lock(&self.waiting);
-        if idle.is_callers && waiting.closing {
+        let deadline = (idle.deadline)(idle.since);
+        let mut state = lock(&self.state);
+        if idle.is_caller_conn && state.closing {
             return;
         }
-        let number = waiting.next;
-        waiting.next += 1;
+        let token = state.next_token;
+        state.next_token += 1;
         let events = epoll::EventFlags::IN | epoll::EventFlags::RDHUP | epoll::EventFlags::ONESHOT;
         let added =
-            epoll::add(&self.epoll, idle.conn.stream(), epoll::EventData::new_u64(number), events);
-        if let Err(fault) = added {
-            log::error!("event=idle_unwatched reason={fault}");
+            epoll::add(&self.epoll, idle.conn.stream(), epoll::EventData::new_u64(token), events);
+        if let Err(error) = added {
+            log::error!("event=idle_unwatched reason={error}");
             return;
         }
-        let is_first = waiting.ends.first().is_none_or(|(first, _)| end < *first);
-        waiting.ends.insert((end, number));
-        waiting.conns.insert(number, (idle, end));
-        drop(waiting);
-        if is_first {
-            // A full pipe wakes the thread just as well.
-            let _ = (&self.wake).write(&[0]);
+        let is_earliest = state.deadlines.first().is_none_or(|(first, _)| deadline < *first);
+        state.deadlines.insert((deadline, token));
+        state.conns.insert(token, (idle, deadline));
+        drop(state);
+        if is_earliest {
+            // The write fails only if the pipe is full, and then the thread is woken anyway.
+            let _ = (&self.wake_writer).write(&[0]);
         }
     }
 
-    fn run(&self, woken: &PipeReader, _closing: &PipeReader) {
+    fn run(&self, wake_reader: &PipeReader, _closing: &PipeReader) {
         loop {
-            let timeout = self.next_end().map(|end| {
-                let left = end.saturating_duration_since(self.clock.now()).min(WAIT_MAX);
-                // Rounded up, so that the end has passed when the wait is over.
-                Timespec::try_from(left + Duration::from_millis(1)).unwrap_or_default()
+            let timeout = self.next_deadline().map(|deadline| {
+                let remaining =
+                    deadline.saturating_duration_since(self.clock.now()).min(EPOLL_WAIT_MAX);
+                // Rounded up, so that the deadline has passed when the wait ends.
+                Timespec::try_from(remaining + Duration::from_millis(1)).unwrap_or_default()
             });
-            let mut room = [MaybeUninit::<epoll::Event>::uninit(); EVENTS];
-            let events = match epoll::wait(&self.epoll, &mut room, timeout.as_ref()) {
+            let mut buffer = [MaybeUninit::<epoll::Event>::uninit(); EVENTS_MAX];
+            let events = match epoll::wait(&self.epoll, &mut buffer, timeout.as_ref()) {
                 Ok((events, _)) => &*events,
                 Err(Errno::INTR) => continue,
-                Err(fault) => {
-                    log::error!("event=idle_watch_failed reason={fault}");
-                    thread::sleep(PAUSE_FAILED);
+                Err(error) => {
+                    log::error!("event=idle_watch_failed reason={error}");
+                    thread::sleep(RETRY_PAUSE);
                     continue;
                 }
             };
             for event in events {
                 match event.data.u64() {
-                    WAKE => {
-                        // Whatever was written only says that there is a new first end.
-                        let _ = rustix::io::read(woken, &mut [0; 16]);
+                    WAKE_TOKEN => {
+                        // The bytes have no meaning: the loop computes the earliest deadline anew.
+                        let _ = rustix::io::read(wake_reader, &mut [0; 16]);
                     }
-                    CLOSING => self.close_callers(),
-                    number => self.resume(number),
+                    CLOSING_TOKEN => self.close_caller_conns(),
+                    token => self.resume(token),
                 }
             }
-            self.end_overdue();
+            self.close_expired();
         }
     }
 
-    fn next_end(&self) -> Option<Instant> {
-        lock(&self.waiting).ends.first().map(|(end, _)| *end)
+    fn next_deadline(&self) -> Option<Instant> {
+        lock(&self.state).deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    fn take(&self, number: u64) -> Option<IdleConn> {
-        let mut waiting = lock(&self.waiting);
-        let (idle, end) = waiting.conns.remove(&number)?;
-        waiting.ends.remove(&(end, number));
-        drop(waiting);
-        if let Err(fault) = epoll::delete(&self.epoll, idle.conn.stream()) {
-            log::error!("event=idle_still_watched reason={fault}");
+    fn take(&self, token: u64) -> Option<IdleConn> {
+        let mut state = lock(&self.state);
+        let (idle, deadline) = state.conns.remove(&token)?;
+        state.deadlines.remove(&(deadline, token));
+        drop(state);
+        if let Err(error) = epoll::delete(&self.epoll, idle.conn.stream()) {
+            log::error!("event=idle_still_watched reason={error}");
         }
         Some(idle)
     }
 
-    fn resume(&self, number: u64) {
-        let Some(idle) = self.take(number) else { return };
+    fn resume(&self, token: u64) {
+        let Some(idle) = self.take(token) else { return };
         match idle.conn.state() {
             ConnState::Readable => (idle.resume)(idle.conn),
             ConnState::HalfClosed | ConnState::Broken => {}
-            // Woken for nothing.
+            // A spurious wake-up.
             ConnState::Open => self.watch(idle),
         }
     }
 
-    fn close_callers(&self) {
-        let numbers: Vec<u64> = {
-            let mut waiting = lock(&self.waiting);
-            waiting.closing = true;
-            let callers = waiting.conns.iter().filter(|(_, (idle, _))| idle.is_callers);
-            callers.map(|(number, _)| *number).collect()
+    fn close_caller_conns(&self) {
+        let tokens: Vec<u64> = {
+            let mut state = lock(&self.state);
+            state.closing = true;
+            let callers = state.conns.iter().filter(|(_, (idle, _))| idle.is_caller_conn);
+            callers.map(|(token, _)| *token).collect()
         };
-        // A request that crosses the close is not read, so its caller may send it again.
-        numbers.into_iter().for_each(|number| drop(self.take(number)));
+        // A request that is in transit when its connection is closed is not read, so its caller may retry it.
+        tokens.into_iter().for_each(|token| drop(self.take(token)));
     }
 
-    /// Closes the connections that may wait no longer.
-    fn end_overdue(&self) {
+    /// Closes the connections whose deadlines have passed.
+    fn close_expired(&self) {
         let now = self.clock.now();
         loop {
-            let number = match lock(&self.waiting).ends.first() {
-                Some(&(end, number)) if end <= now => number,
+            let token = match lock(&self.state).deadlines.first() {
+                Some(&(deadline, token)) if deadline <= now => token,
                 _ => return,
             };
-            let Some(idle) = self.take(number) else { return };
-            // The limit may have grown meanwhile.
+            let Some(idle) = self.take(token) else { return };
+            // The timeout may have increased in the meantime.
             if (idle.deadline)(idle.since) > now {
                 self.watch(idle);
             }
--- a/src/link/listener.rs
+++ b/src/link/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners: a thread for each connection on which something is asked, none for those that are idle.
+//! Listeners: each active connection has a thread, idle connections have none.
 
 use std::{
     io,
@@ -19,37 +19,37 @@
     },
 };
 
-/// Stack of a connection's thread; touched only as deep as it is used.
-const STACK: usize = 512 << 10;
+/// Stack size of a connection's thread in bytes. Only the pages that are used take memory.
+const THREAD_STACK_BYTES: usize = 512 << 10;
 
-/// Pause after a failed accept, such as for want of file descriptors.
+/// Pause after a failed `accept`, for example when the process has no file descriptors left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Bytes of a refused request that are read and dropped, so that the caller sees the answer: as many as
-/// the largest body that the users allow.
-const DISCARD_MAX: usize = 4 << 20;
+/// Maximum number of bytes of a rejected request that are read and discarded, so that the caller receives the response:
+/// the size of the largest body that users allow.
+const DISCARD_BYTES_MAX: usize = 4 << 20;
 
-/// Longest time spent on reading what is dropped: a large body over a slow link, and little enough for a
+/// Maximum time for reading what is discarded: long enough for a large body over a slow link, short enough for a
 /// connection that a caller leaves open.
-const DISCARD_TIME: Duration = Duration::from_secs(2);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What has become of a connection.
+/// State of a connection after it was served.
 pub enum ConnOutcome {
-    /// It has ended.
+    /// It is closed.
     Closed,
-    /// It waits for its next request.
+    /// It is idle and waits for its next request.
     Idle(Conn),
 }
 
-/// How a listener's idle connections wait.
+/// How a listener's idle connections are monitored.
 #[derive(Clone)]
 pub struct IdlePolicy {
-    /// The watch over them.
+    /// Monitor of the connections.
     pub monitor: IdleMonitor,
-    /// Returns until when one may wait that has been idle since then.
+    /// Returns the deadline of a connection that became idle at the given time.
     pub deadline: Arc<dyn Fn(Instant) -> Instant + Send + Sync>,
-    /// Whether they end when callers' idle connections are to close.
-    pub is_callers: bool,
+    /// Whether they are closed when the idle connections of callers are to be closed.
+    pub is_caller_conn: bool,
 }
 
 /// A running listener.
@@ -60,96 +60,96 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// Counts a connection for as long as it lives, also when its thread panics.
-struct OpenGuard(Arc<AtomicUsize>);
+/// Counts a connection as open until it is dropped, also when its thread panics.
+struct OpenConnectionGuard(Arc<AtomicUsize>);
 
-impl Drop for OpenGuard {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// What serves a listener's connections.
-struct Service<S> {
+/// Serves a listener's connections.
+struct ConnService<S> {
     serve: S,
     idle: Option<IdlePolicy>,
     clock: Clock,
 }
 
-impl<S: Fn(Conn) -> ConnOutcome + Send + Sync + 'static> Service<S> {
+impl<S: Fn(Conn) -> ConnOutcome + Send + Sync + 'static> ConnService<S> {
     /// Serves a connection in a thread of its own.
-    fn spawn(self: &Arc<Self>, conn: Conn, guard: OpenGuard) {
+    fn spawn(self: &Arc<Self>, conn: Conn, guard: OpenConnectionGuard) {
         let service = Arc::clone(self);
-        let thread = thread::Builder::new().name("conn".to_owned()).stack_size(STACK);
+        let thread = thread::Builder::new().name("conn".to_owned()).stack_size(THREAD_STACK_BYTES);
         let spawned = thread.spawn(move || {
             if let ConnOutcome::Idle(conn) = (service.serve)(conn) {
-                service.wait(conn, guard);
+                service.watch_idle(conn, guard);
             }
         });
-        if let Err(fault) = spawned {
-            // The connection is dropped, which its caller sees.
-            log::error!("event=connection_dropped reason={fault}");
+        if let Err(error) = spawned {
+            // The connection is dropped, so its caller sees that it is closed.
+            log::error!("event=connection_dropped reason={error}");
         }
     }
 
-    fn wait(self: &Arc<Self>, conn: Conn, guard: OpenGuard) {
-        let Some(rules) = &self.idle else { return };
+    fn watch_idle(self: &Arc<Self>, conn: Conn, guard: OpenConnectionGuard) {
+        let Some(policy) = &self.idle else { return };
         let service = Arc::clone(self);
-        rules.monitor.watch(IdleConn {
+        policy.monitor.watch(IdleConn {
             conn,
             since: self.clock.now(),
-            deadline: Arc::clone(&rules.deadline),
-            is_callers: rules.is_callers,
+            deadline: Arc::clone(&policy.deadline),
+            is_caller_conn: policy.is_caller_conn,
             resume: Box::new(move |conn| service.spawn(conn, guard)),
         });
     }
 }
 
 impl Listener {
-    /// Listens on `address` and serves up to `most` connections at once, each in a thread of its own until it
-    /// ends.
+    /// Listens on `address` and serves up to `max_connections` concurrent connections, each in a thread of its own until
+    /// it is closed.
     ///
-    /// `serve` is given each connection; `refuse` those beyond `most`.
+    /// `serve` receives each connection, `refuse` those beyond `max_connections`.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// The address cannot be bound, or the thread cannot be created.
     pub fn bind(
         address: SocketAddr,
         clock: Clock,
-        most: usize,
+        max_connections: usize,
         serve: impl Fn(Conn) + Send + Sync + 'static,
         refuse: impl Fn(Conn) + Send + Sync + 'static,
     ) -> io::Result<Listener> {
-        let until_ended = move |conn| {
+        let serve_until_closed = move |conn| {
             serve(conn);
             ConnOutcome::Closed
         };
-        Listener::bind_with(address, clock, most, None, until_ended, refuse)
+        Listener::bind_with(address, clock, max_connections, None, serve_until_closed, refuse)
     }
 
-    /// Listens on `address` and serves up to `most` connections at once; those that wait for their next request
-    /// hold no thread.
+    /// Listens on `address` and serves up to `max_connections` concurrent connections; idle connections have no thread.
     ///
-    /// `serve` is given a connection that is new or on which something has come; `refuse` those beyond `most`.
+    /// `serve` receives each connection that is new or has become readable. Connections beyond `max_connections` are
+    /// closed.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// The address cannot be bound, or the thread cannot be created.
     pub fn bind_with_idle(
         address: SocketAddr,
         clock: Clock,
-        most: usize,
+        max_connections: usize,
         idle: IdlePolicy,
         serve: impl Fn(Conn) -> ConnOutcome + Send + Sync + 'static,
     ) -> io::Result<Listener> {
-        Listener::bind_with(address, clock, most, Some(idle), serve, drop)
+        Listener::bind_with(address, clock, max_connections, Some(idle), serve, drop)
     }
 
     fn bind_with(
         address: SocketAddr,
         clock: Clock,
-        most: usize,
+        max_connections: usize,
         idle: Option<IdlePolicy>,
         serve: impl Fn(Conn) -> ConnOutcome + Send + Sync + 'static,
         refuse: impl Fn(Conn) + Send + Sync + 'static,
@@ -159,7 +159,7 @@
         let stopped = Arc::new(AtomicBool::new(false));
         let open_connections = Arc::new(AtomicUsize::new(0));
         let (stop, count) = (Arc::clone(&stopped), Arc::clone(&open_connections));
-        let service = Arc::new(Service { serve, idle, clock: clock.clone() });
+        let service = Arc::new(ConnService { serve, idle, clock: clock.clone() });
         let thread = thread::Builder::new().name("accept".to_owned()).spawn(move || {
             while !stop.load(Ordering::SeqCst) {
                 let Ok((stream, _)) = listener.accept() else {
@@ -170,12 +170,12 @@
                     return;
                 }
                 let Ok(conn) = Conn::new(stream, clock.clone()) else { continue };
-                if count.load(Ordering::SeqCst) >= most {
+                if count.load(Ordering::SeqCst) >= max_connections {
                     refuse(conn);
                     continue;
                 }
                 count.fetch_add(1, Ordering::SeqCst);
-                service.spawn(conn, OpenGuard(Arc::clone(&count)));
+                service.spawn(conn, OpenConnectionGuard(Arc::clone(&count)));
             }
         })?;
         Ok(Listener { address, stopped, open_connections, thread: Some(thread) })
@@ -191,10 +191,10 @@
         self.open_connections.load(Ordering::SeqCst)
     }
 
-    /// Stops taking connections; those that are open go on.
+    /// Stops accepting connections; open ones continue to be served.
     pub fn stop(&mut self) {
         self.stopped.store(true, Ordering::SeqCst);
-        // The accept call returns for this connection and sees that it is to stop.
+        // This connection makes the call to accept return, after which the thread reads the flag.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -210,15 +210,15 @@
     }
 }
 
-/// Ends a connection after a refusal whose request may still be coming in: closes the own direction, then
-/// reads and drops the rest until the caller closes too, for a moment. Closing both directions with bytes
-/// unread, or still to come, would reset the connection and destroy the answer on its way.
+/// Closes a connection after a rejection whose request may not have been read completely: closes the sending direction,
+/// then reads and discards data until the caller closes its direction too, within limits of size and time. Closing both
+/// directions with unread or arriving data would reset the connection, and the caller could lose the response.
 pub fn lingering_close(conn: &mut Conn) {
     conn.shutdown_write();
-    let deadline = conn.clock().now() + DISCARD_TIME;
-    let mut dropped = 0;
-    while dropped < DISCARD_MAX && conn.fill_until(deadline, None).is_ok() {
-        dropped += conn.buffered().len();
+    let deadline = conn.clock().now() + DISCARD_TIMEOUT;
+    let mut discarded = 0;
+    while discarded < DISCARD_BYTES_MAX && conn.fill_until(deadline, None).is_ok() {
+        discarded += conn.buffered().len();
         conn.consume(conn.buffered().len());
     }
 }
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -1,9 +1,9 @@
 //! Communication between instances: HTTP/1.1 with `rmp-serde` bodies on pooled connections.
 //!
 //! There are calls, with one request and one reply, and streams, whose request and response bodies are open-ended
-//! sequences of chunks, each chunk a message. Heads are the shortest that HTTP allows and the credential is sent once per
-//! connection, since every byte counts against the budget of control traffic; see docs/DESIGN.md, "Between instances",
-//! for the figures.
+//! sequences of chunks, each chunk a message. Heads are the shortest that HTTP allows and the credential is sent once
+//! per connection, since every byte counts against the budget of control traffic; see docs/DESIGN.md, "Between
+//! instances", for the figures.
 
 use std::{
     io::Write as _,
