--- a/src/link/backend.rs
+++ b/src/link/backend.rs
@@ -1,7 +1,7 @@
-//! Connections to backend servers: each request is handed over once, and every failure says
-//! whether a byte of it can have been seen.
+//! Connections to backend servers: each attempt sends the request once, and every error says whether the server can have
+//! received any byte of it.
 //!
-//! Why this is not `ureq`: see docs/DESIGN.md, "Towards backend servers".
+//! For the reasons not to use `ureq`, see docs/DESIGN.md, "Towards backend servers".
 
 use std::{
     collections::HashMap,
@@ -23,36 +23,36 @@
     utils::sync::lock,
 };
 
-/// Largest head of an answer.
+/// Maximum size of a response's head in bytes.
 const HEAD_MAX: usize = 64 << 10;
 
-/// Idle connections kept for each backend server.
-const IDLE_MAX: usize = 64;
+/// Maximum number of idle connections for each backend server.
+const IDLE_MAX_PER_SERVER: usize = 64;
 
-/// Age at which an idle connection is not used again.
+/// Age from which an idle connection is not reused.
 const IDLE_AGE_MAX: Duration = Duration::from_secs(20);
 
-/// Header that names the attempt; a backend server that knows it echoes it.
+/// Header with the id of the attempt. A backend server that supports it echoes it.
 pub const ATTEMPT_HEADER: &str = "cartvane-attempt";
 
-/// Header with which a backend server says that it has not run the request.
+/// Header with which a backend server reports that it has not run the request.
 pub const OUTCOME_HEADER: &str = "cartvane-outcome";
 
-struct Idle {
+struct IdleConn {
     conn: Conn,
     since: Instant,
 }
 
-/// Kept connections to backend servers.
+/// Pool of connections to backend servers.
 pub struct BackendPool {
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConn>>>,
     clock: Clock,
-    connect: Duration,
+    connect_timeout: Duration,
 }
 
-/// One try at one backend server.
+/// One attempt at one backend server.
 pub struct Attempt<'a> {
-    /// Where.
+    /// Address of the server.
     pub address: SocketAddr,
     /// Method.
     pub method: &'a Method,
@@ -62,15 +62,16 @@
     pub headers: &'a HeaderMap,
     /// Body.
     pub body: &'a [u8],
-    /// Identity of this attempt.
+    /// Id of the attempt.
     pub id: &'a str,
-    /// Whether only a new connection will do, so that no failure of a kept one is in doubt.
+    /// Whether to use a new connection only. A pooled one may have been closed by the server, and after a send on it
+    /// fails, it is unknown whether the server ran the request.
     pub new_connection: bool,
-    /// When the answer's head must have come.
+    /// Deadline for the response's head.
     pub head_deadline: Instant,
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 pub struct BackendResponse {
     /// Head.
     pub head: ResponseHead,
@@ -80,25 +81,25 @@
 }
 
 impl BackendPool {
-    /// Returns links that connect within `connect`.
-    pub fn new(clock: Clock, connect: Duration) -> BackendPool {
-        BackendPool { idle: Mutex::default(), clock, connect }
+    /// Returns an empty pool; `connect_timeout` is for new connections.
+    pub fn new(clock: Clock, connect_timeout: Duration) -> BackendPool {
+        BackendPool { idle: Mutex::default(), clock, connect_timeout }
     }
 
-    /// Sends the request once and reads the answer's head.
+    /// Sends the request once and reads the response's head.
     ///
-    /// `keep_waiting` is asked while waiting; when it says no, the connection is cut.
+    /// `keep_waiting` is called every 50 ms while waiting for the head; when it returns false, the connection is closed.
     ///
     /// # Errors
     ///
-    /// The fault says what is known of the request; no fault is followed by another send here.
+    /// The fault says whether the server can have received or run the request. This method never sends it again.
     pub fn send(
         &self,
         attempt: &Attempt<'_>,
         keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<BackendResponse, AttemptFault> {
-        let kept = if attempt.new_connection { None } else { self.take_idle(attempt.address) };
-        let mut conn = match kept {
+        let idle_conn = if attempt.new_connection { None } else { self.take_idle(attempt.address) };
+        let mut conn = match idle_conn {
             Some(conn) => conn,
             None => self.connect(attempt)?,
         };
@@ -108,79 +109,79 @@
             return Err(if sent == 0 { AttemptFault::BeforeSend } else { AttemptFault::AfterSend });
         }
         let head = ResponseHead::read(&mut conn, HEAD_MAX, attempt.head_deadline, keep_waiting)
-            .map_err(head_fault)?;
+            .map_err(attempt_fault)?;
         let framing = head.framing(attempt.method).map_err(|_| AttemptFault::Garbage)?;
-        let echoed = head.header(ATTEMPT_HEADER);
-        if echoed.is_some_and(|id| id != attempt.id) {
+        let echoed_id = head.header(ATTEMPT_HEADER);
+        if echoed_id.is_some_and(|id| id != attempt.id) {
             return Err(AttemptFault::Foreign);
         }
-        let answer = BackendResponse {
+        let response = BackendResponse {
             head,
             conn,
             body: BodyReader::new(framing),
             address: attempt.address,
         };
-        if answer.is_not_run() {
-            self.finish(answer);
+        if response.is_not_run() {
+            self.finish(response);
             return Err(AttemptFault::Refused);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Takes an answer back; its connection is kept if the answer was read to its end.
-    pub fn finish(&self, mut answer: BackendResponse) {
-        if !answer.body.is_done() {
-            // A short rest that is already here ends the answer; anything else ends the connection.
-            let until = self.clock.now() + Duration::from_millis(1);
-            let drained = answer.body.next(&mut answer.conn, until, &mut || false);
-            if drained.is_err() || !answer.body.is_done() {
+    /// Returns a response's connection to the pool if the response was read completely.
+    pub fn finish(&self, mut response: BackendResponse) {
+        if !response.body.is_done() {
+            // A last part that has already arrived completes the response; otherwise the connection is closed.
+            let deadline = self.clock.now() + Duration::from_millis(1);
+            let read = response.body.next(&mut response.conn, deadline, &mut || false);
+            if read.is_err() || !response.body.is_done() {
                 return;
             }
         }
-        if !answer.head.keep_alive() || !answer.conn.buffered().is_empty() {
+        if !response.head.keep_alive() || !response.conn.buffered().is_empty() {
             return;
         }
         let since = self.clock.now();
         let mut idle = lock(&self.idle);
-        let conns = idle.entry(answer.address).or_default();
-        if conns.len() < IDLE_MAX {
-            conns.push(Idle { conn: answer.conn, since });
+        let conns = idle.entry(response.address).or_default();
+        if conns.len() < IDLE_MAX_PER_SERVER {
+            conns.push(IdleConn { conn: response.conn, since });
         }
     }
 
     fn connect(&self, attempt: &Attempt<'_>) -> Result<Conn, AttemptFault> {
-        let left = attempt.head_deadline.saturating_duration_since(self.clock.now());
-        let timeout = left.min(self.connect);
+        let remaining = attempt.head_deadline.saturating_duration_since(self.clock.now());
+        let timeout = remaining.min(self.connect_timeout);
         Conn::connect(attempt.address, timeout, &self.clock).map_err(|_| AttemptFault::Connect)
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Conn> {
         let now = self.clock.now();
         loop {
-            let kept = {
+            let idle_conn = {
                 let mut idle = lock(&self.idle);
                 idle.get_mut(&address)?.pop()?
             };
-            let young = now.saturating_duration_since(kept.since) < IDLE_AGE_MAX;
-            if young && kept.conn.state() == ConnState::Open {
-                return Some(kept.conn);
+            let is_fresh = now.saturating_duration_since(idle_conn.since) < IDLE_AGE_MAX;
+            if is_fresh && idle_conn.conn.state() == ConnState::Open {
+                return Some(idle_conn.conn);
             }
         }
     }
 }
 
 impl BackendResponse {
-    /// Returns the next piece of the body as soon as it is there; `None` at its true end.
+    /// Returns the next bytes of the body as soon as there are any; `None` at the end of the complete body.
     ///
     /// # Errors
     ///
-    /// The body was cut, stalled or is not framed as announced; or `keep_waiting` said no.
+    /// The body is truncated, stalled or framed incorrectly, or `keep_waiting` returned false.
     pub fn next(
         &mut self,
-        until: Instant,
+        deadline: Instant,
         keep_waiting: &mut dyn FnMut() -> bool,
     ) -> Result<Option<Vec<u8>>, AttemptFault> {
-        self.body.next(&mut self.conn, until, keep_waiting).map_err(|e| match e {
+        self.body.next(&mut self.conn, deadline, keep_waiting).map_err(|e| match e {
             ReadError::Timeout => AttemptFault::StalledBody,
             ReadError::Cancelled => AttemptFault::CallerGone,
             ReadError::Closed | ReadError::Io(_) => AttemptFault::CutBody,
@@ -188,22 +189,22 @@
         })
     }
 
-    /// Returns the body's length, if the head states one.
+    /// Returns the body's length, if the head has a valid one.
     pub fn content_length(&self) -> Option<u64> {
         self.head.header("content-length")?.parse().ok()
     }
 
     fn is_not_run(&self) -> bool {
-        let refusal = matches!(
+        let is_rejection = matches!(
             self.head.status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
         );
-        refusal && self.head.header(OUTCOME_HEADER) == Some("not-run")
+        is_rejection && self.head.header(OUTCOME_HEADER) == Some("not-run")
     }
 }
 
-fn head_fault(fault: HeadError) -> AttemptFault {
-    match fault {
+fn attempt_fault(error: HeadError) -> AttemptFault {
+    match error {
         HeadError::Read(ReadError::Timeout) => AttemptFault::HeadTimeout,
         HeadError::Read(ReadError::Cancelled) => AttemptFault::CallerGone,
         HeadError::Read(ReadError::Closed | ReadError::Io(_)) => AttemptFault::AfterSend,
@@ -212,7 +213,7 @@
 }
 
 impl Attempt<'_> {
-    /// Returns the bytes of the request.
+    /// Returns the encoded request.
     pub fn bytes(&self) -> Vec<u8> {
         request_bytes(self)
     }
@@ -227,8 +228,9 @@
     write_header(&mut buf, "host", attempt.address.to_string().as_bytes());
     write_headers(&mut buf, attempt.headers);
     write_header(&mut buf, ATTEMPT_HEADER, attempt.id.as_bytes());
-    let bodiless = matches!(*attempt.method, Method::GET | Method::HEAD) && attempt.body.is_empty();
-    if !bodiless {
+    let has_no_body =
+        matches!(*attempt.method, Method::GET | Method::HEAD) && attempt.body.is_empty();
+    if !has_no_body {
         write_header(&mut buf, "content-length", attempt.body.len().to_string().as_bytes());
     }
     buf.extend_from_slice(b"\r\n");
--- a/src/link/listener.rs
+++ b/src/link/listener.rs
@@ -106,8 +106,8 @@
 }
 
 impl Listener {
-    /// Listens on `address` and serves up to `max_connections` concurrent connections, each in a thread of its own until
-    /// it is closed.
+    /// Listens on `address` and serves up to `max_connections` concurrent connections, each in a thread of its own
+    /// until it is closed.
     ///
     /// `serve` receives each connection, `refuse` those beyond `max_connections`.
     ///
--- a/src/link/response.rs
+++ b/src/link/response.rs
@@ -1,4 +1,4 @@
-//! Writes answers to callers, so that a cut answer never looks whole.
+//! Writes responses to callers, so that callers recognize a truncated response as such.
 
 use std::{io, time::Duration};
 
@@ -13,62 +13,60 @@
     },
 };
 
-/// What every answer carries.
+/// Options of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseOptions {
-    /// What the router adds of its own; nothing where callers speak another interface.
+    /// Headers that the router adds; `None` where the interface to callers has no such headers.
     pub router_headers: Option<RouterHeaders>,
-    /// Whether the connection stays open afterwards.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
 }
 
-/// Headers that the router adds to an answer.
+/// Headers that the router adds to a response.
 #[derive(Debug, Clone)]
 pub struct RouterHeaders {
     /// Id of the request.
     pub request_id: String,
-    /// Whether the request ran.
+    /// Whether a backend server ran the request.
     pub outcome: Outcome,
-    /// Placement hint for the caller to send back.
+    /// Placement hint, which the caller sends with its next request.
     pub placement: Option<String>,
 }
 
 impl ResponseOptions {
-    /// Returns a note that adds no headers of the router's own.
+    /// Returns options without headers of the router.
     pub fn plain(keep_alive: bool) -> ResponseOptions {
         ResponseOptions { router_headers: None, keep_alive }
     }
 
-    /// Returns the same note with another outcome.
+    /// Returns the same options with another outcome.
     pub fn with_outcome(&self, outcome: Outcome) -> ResponseOptions {
-        let router_headers = self
-            .router_headers
-            .clone()
-            .map(|router_headers| RouterHeaders { outcome, ..router_headers });
+        let router_headers =
+            self.router_headers.clone().map(|headers| RouterHeaders { outcome, ..headers });
         ResponseOptions { router_headers, keep_alive: self.keep_alive }
     }
 }
 
-/// How the body is framed towards the caller.
+/// How the body of a response to a caller is framed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseFraming {
     /// By length.
     Length(u64),
     /// In chunks.
     Chunked,
-    /// Up to the end of the connection, for HTTP/1.0.
+    /// By the end of the connection, for HTTP/1.0.
     UntilClose,
-    /// None, by the method or status.
+    /// No body, because of the method or status.
     None,
 }
 
-/// An answer being written.
+/// Writer of one response.
 pub struct ResponseWriter<'c> {
     conn: &'c mut Conn,
     stall: Duration,
-    body: ResponseFraming,
+    framing: ResponseFraming,
     chunks: ChunkWriter,
-    /// Bytes of the body handed over so far.
+    /// Number of bytes of the body sent so far.
     pub written: u64,
 }
 
@@ -77,70 +75,70 @@
     ///
     /// # Errors
     ///
-    /// The caller is gone or takes nothing for `stall`.
+    /// The caller has disconnected, or accepts no bytes for `stall`.
     pub fn start(
         conn: &'c mut Conn,
         stall: Duration,
         status: StatusCode,
         headers: &HeaderMap,
-        note: &ResponseOptions,
-        body: ResponseFraming,
+        options: &ResponseOptions,
+        framing: ResponseFraming,
         first: &[u8],
     ) -> io::Result<ResponseWriter<'c>> {
         let mut writer = ResponseWriter {
             conn,
             stall,
-            body,
+            framing,
             chunks: ChunkWriter::default(),
             written: first.len() as u64,
         };
-        let mut buf = head_bytes(status, headers, note, body);
+        let mut buf = encode_head(status, headers, options, framing);
         if !first.is_empty() {
-            buf.extend_from_slice(&writer.framed(first));
+            buf.extend_from_slice(&writer.frame(first));
         }
         writer.send(&buf)?;
         Ok(writer)
     }
 
-    /// Writes a piece of the body at once.
+    /// Writes a part of the body immediately.
     ///
     /// # Errors
     ///
-    /// The caller is gone or takes nothing for the stall time.
+    /// The caller has disconnected, or accepts no bytes for the stall timeout.
     pub fn write(&mut self, piece: &[u8]) -> io::Result<()> {
         self.written += piece.len() as u64;
-        if self.body == ResponseFraming::Chunked {
-            let framed = self.chunks.frame(piece);
-            return self.conn.send(framed, self.stall).map_err(|(_, e)| e);
+        if self.framing == ResponseFraming::Chunked {
+            let frame = self.chunks.frame(piece);
+            return self.conn.send(frame, self.stall).map_err(|(_, e)| e);
         }
         self.send(piece)
     }
 
-    /// Ends a whole body.
+    /// Ends a complete body.
     ///
     /// # Errors
     ///
-    /// The caller is gone or takes nothing for the stall time.
+    /// The caller has disconnected, or accepts no bytes for the stall timeout.
     pub fn finish(mut self) -> io::Result<()> {
-        if self.body == ResponseFraming::Chunked { self.send(LAST_CHUNK) } else { Ok(()) }
+        if self.framing == ResponseFraming::Chunked { self.send(LAST_CHUNK) } else { Ok(()) }
     }
 
-    /// Ends a body that cannot be completed: `last_words` go out and the connection is cut.
-    pub fn abort(mut self, last_words: &[u8]) {
-        if !last_words.is_empty() {
-            // A caller that is gone needs no last words.
-            let _ = self.write(last_words);
+    /// Ends a body that cannot be completed: sends `final_bytes` and closes the connection.
+    pub fn abort(mut self, final_bytes: &[u8]) {
+        if !final_bytes.is_empty() {
+            // It fails only if the caller no longer reads the response.
+            let _ = self.write(final_bytes);
         }
         self.conn.shutdown();
     }
 
-    /// Returns the connection's state as the caller left it.
+    /// Returns the connection that the response is written to.
     pub fn conn(&self) -> &Conn {
         self.conn
     }
 
-    fn framed(&mut self, piece: &[u8]) -> Vec<u8> {
-        if self.body == ResponseFraming::Chunked {
+    fn frame(&mut self, piece: &[u8]) -> Vec<u8> {
+        if self.framing == ResponseFraming::Chunked {
             self.chunks.frame(piece).to_vec()
         } else {
             piece.to_vec()
@@ -152,35 +150,35 @@
     }
 }
 
-/// Writes a whole answer of known length.
+/// Writes a response with a complete body.
 ///
 /// # Errors
 ///
-/// The caller is gone or takes nothing for `stall`.
+/// The caller has disconnected, or accepts no bytes for `stall`.
 pub fn send_response(
     conn: &mut Conn,
     stall: Duration,
     status: StatusCode,
     headers: &HeaderMap,
-    note: &ResponseOptions,
+    options: &ResponseOptions,
     body: &[u8],
     head_only: bool,
 ) -> io::Result<()> {
     let framing = ResponseFraming::Length(body.len() as u64);
     let first = if head_only { &[] } else { body };
-    ResponseWriter::start(conn, stall, status, headers, note, framing, first)?.finish()
+    ResponseWriter::start(conn, stall, status, headers, options, framing, first)?.finish()
 }
 
-/// Writes the router's own refusal as `problem+json`.
+/// Writes a rejection by the router as `problem+json`.
 ///
 /// # Errors
 ///
-/// The caller is gone or takes nothing for `stall`.
+/// The caller has disconnected, or accepts no bytes for `stall`.
 pub fn send_refusal(
     conn: &mut Conn,
     stall: Duration,
     refusal: &Refusal,
-    note: &ResponseOptions,
+    options: &ResponseOptions,
     head_only: bool,
 ) -> io::Result<()> {
     let mut headers = HeaderMap::new();
@@ -191,36 +189,36 @@
     if refusal.status == 401 {
         headers.insert("www-authenticate", http::HeaderValue::from_static("Bearer"));
     }
-    let note = note.with_outcome(refusal.outcome);
+    let options = options.with_outcome(refusal.outcome);
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    send_response(conn, stall, status, &headers, &note, &refusal.body(), head_only)
+    send_response(conn, stall, status, &headers, &options, &refusal.body(), head_only)
 }
 
-fn head_bytes(
+fn encode_head(
     status: StatusCode,
     headers: &HeaderMap,
-    note: &ResponseOptions,
-    body: ResponseFraming,
+    options: &ResponseOptions,
+    framing: ResponseFraming,
 ) -> Vec<u8> {
     let mut buf = Vec::with_capacity(512);
     let reason = status.canonical_reason().unwrap_or_default();
     buf.extend_from_slice(format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).as_bytes());
     write_headers(&mut buf, headers);
-    if let Some(router_headers) = &note.router_headers {
+    if let Some(router_headers) = &options.router_headers {
         write_header(&mut buf, "cartvane-request-id", router_headers.request_id.as_bytes());
         write_header(&mut buf, "cartvane-outcome", router_headers.outcome.to_string().as_bytes());
         if let Some(placement) = &router_headers.placement {
             write_header(&mut buf, "cartvane-placement", placement.as_bytes());
         }
     }
-    match body {
+    match framing {
         ResponseFraming::Length(length) => {
             write_header(&mut buf, "content-length", length.to_string().as_bytes())
         }
         ResponseFraming::Chunked => write_header(&mut buf, "transfer-encoding", b"chunked"),
         ResponseFraming::UntilClose | ResponseFraming::None => {}
     }
-    if !note.keep_alive || body == ResponseFraming::UntilClose {
+    if !options.keep_alive || framing == ResponseFraming::UntilClose {
         write_header(&mut buf, "connection", b"close");
     }
     buf.extend_from_slice(b"\r\n");
