--- a/src/link/backend.rs
+++ b/src/link/backend.rs
@@ -1,5 +1,5 @@
-//! Connections to backend servers: each attempt sends the request once, and every error says whether the server can have
-//! received any byte of it.
+//! Connections to backend servers: each attempt sends the request once, and every error says whether the server can
+//! have received any byte of it.
 //!
 //! For the reasons not to use `ureq`, see docs/DESIGN.md, "Towards backend servers".
 
@@ -88,7 +88,8 @@
 
     /// Sends the request once and reads the response's head.
     ///
-    /// `keep_waiting` is called every 50 ms while waiting for the head; when it returns false, the connection is closed.
+    /// While waiting for the head, `keep_waiting` is called every 50 ms; when it returns false, the connection is
+    /// closed.
     ///
     /// # Errors
     ///
--- a/src/link/wire.rs
+++ b/src/link/wire.rs
@@ -1,6 +1,6 @@
-//! Messages between instances, in compact `rmp-serde` form.
+//! Messages between instances, in the compact encoding of `rmp-serde`.
 //!
-//! Structs travel as arrays and names as tags; the sizes are measured in docs/MEASUREMENTS.md.
+//! Structs are encoded as arrays, and names are sent as tags; docs/MEASUREMENTS.md has the sizes of the messages.
 
 use std::time::Duration;
 
@@ -22,43 +22,43 @@
 pub const HEARTBEAT_PATH: &str = "/h";
 /// Path of [`FetchRequest`].
 pub const FETCH_PATH: &str = "/f";
-/// Path of the request for an instance's status.
+/// Path of requests for an instance's status.
 pub const STATUS_PATH: &str = "/s";
-/// Path of the question where a chat would go.
+/// Path of requests that explain the placement of a chat.
 pub const EXPLAIN_PATH: &str = "/e";
-/// Path of the order to drain.
+/// Path of requests to drain an instance.
 pub const DRAIN_PATH: &str = "/d";
 /// Path of [`ChatLocationsMessage`].
 pub const CHAT_LOCATIONS_PATH: &str = "/m";
 /// Path of [`LoadsMessage`].
 pub const LOADS_PATH: &str = "/l";
 
-/// Who speaks.
+/// Introduction of a message's sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// Tag of the instance.
     pub from: Tag,
-    /// Start of its process, in seconds since 1970.
+    /// Start time of its process, in seconds since the Unix epoch.
     pub incarnation: u32,
-    /// Revision in force at it.
+    /// Active revision of the instance.
     pub revision: Revision,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     pub leaving: bool,
 }
 
 impl Hello {
-    /// Returns the permit identity that `number` stands for in this instance's messages.
+    /// Returns the full permit id for a `number` in the messages of this instance.
     pub fn permit(&self, number: u32) -> PermitId {
         PermitId { entry: self.from, number: u64::from(self.incarnation) << 32 | u64::from(number) }
     }
 }
 
-/// Returns the number that stands for a permit in its own entry's messages.
+/// Returns the number of a permit in the messages of its entry, which omit the incarnation.
 pub fn wire_number(number: u64) -> u32 {
     number as u32
 }
 
-/// An ask on its way.
+/// Encoded form of a permit request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequestWire {
     /// Number of the permit.
@@ -67,31 +67,31 @@
     pub chat: ChatKey,
     /// Team.
     pub team: Tag,
-    /// Milliseconds left.
+    /// Milliseconds until the request's deadline.
     pub left_ms: u32,
-    /// Engine that the caller's hint names; zero: none.
+    /// Engine in the caller's placement hint, or zero for none.
     pub hint: u32,
-    /// Engines already tried.
+    /// Engines that earlier attempts have used.
     pub avoid: Vec<Tag>,
-    /// Whether another shard may be asked.
+    /// Whether the request may be sent to another shard.
     pub may_spill: bool,
 }
 
 impl PermitRequestWire {
-    /// Returns the message form of an ask.
-    pub fn new(ask: &Ask) -> PermitRequestWire {
+    /// Encodes a permit request.
+    pub fn new(request: &Ask) -> PermitRequestWire {
         PermitRequestWire {
-            number: wire_number(ask.id.number),
-            chat: ask.chat,
-            team: ask.team,
-            left_ms: millis(ask.left),
-            hint: ask.hint.map_or(0, |tag| tag.0),
-            avoid: ask.avoid.clone(),
-            may_spill: ask.may_spill,
+            number: wire_number(request.id.number),
+            chat: request.chat,
+            team: request.team,
+            left_ms: millis(request.left),
+            hint: request.hint.map_or(0, |tag| tag.0),
+            avoid: request.avoid.clone(),
+            may_spill: request.may_spill,
         }
     }
 
-    /// Returns the ask that `hello`'s instance sent.
+    /// Decodes the permit request, which the instance of `hello` has sent.
     pub fn into_request(self, hello: &Hello) -> Ask {
         Ask {
             id: hello.permit(self.number),
@@ -105,30 +105,30 @@
     }
 }
 
-/// Returns a duration in whole milliseconds.
-pub fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+/// Returns a duration in milliseconds, at most `u32::MAX`.
+pub fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// A release on its way.
+/// Encoded form of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseWire {
     /// Number of the permit.
     pub number: u32,
-    /// How the request ended, by its place in `KINDS`.
+    /// How the request ended, as an index into `KINDS`.
     pub kind: u8,
-    /// Reported load plus one; zero: none.
+    /// Reported load plus one, or zero for none.
     pub load: u32,
 }
 
 impl ReleaseWire {
-    /// The kinds by code.
+    /// Kinds of releases by code.
     const KINDS: [crate::contract::permit::ReleaseKind; 5] = {
         use crate::contract::permit::ReleaseKind::*;
         [Done, Failed, Refused, Unused, Leaving]
     };
 
-    /// Returns the message form of a release.
+    /// Encodes a release.
     pub fn new(release: &Release) -> ReleaseWire {
         let code = Self::KINDS.iter().position(|kind| *kind == release.kind).unwrap_or(0);
         ReleaseWire {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns the release that `hello`'s instance sent.
+    /// Decodes the release, which the instance of `hello` has sent.
     pub fn into_release(self, hello: &Hello) -> Release {
         Release {
             number: hello.permit(self.number).number,
@@ -153,42 +153,42 @@
 pub struct Announcement {
     /// Permits held.
     pub held: Vec<Held>,
-    /// Asks under way, whose grants the entry may not know yet.
+    /// Pending permit requests, whose grants the entry may not have received yet.
     pub pending: Vec<u32>,
 }
 
-/// What one entry tells the home of one shard.
+/// Messages from one entry to the home of one shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardBatch {
     /// The shard.
     pub shard: ShardId,
-    /// Permits given back.
+    /// Released permits.
     pub releases: Vec<ReleaseWire>,
-    /// All permits held, when the home asked for them or is new.
+    /// All permits held, if the home has requested them or is new.
     pub announce: Option<Announcement>,
-    /// Number of permits held after the releases, when it is known for sure.
+    /// Number of permits held after the releases, if no request is pending.
     pub held: Option<u32>,
-    /// New asks.
+    /// New permit requests.
     pub requests: Vec<PermitRequestWire>,
 }
 
 impl ShardBatch {
-    /// Returns a batch that says nothing yet.
+    /// Returns an empty batch.
     pub fn new(shard: ShardId) -> ShardBatch {
         ShardBatch { shard, releases: Vec::new(), announce: None, held: None, requests: Vec::new() }
     }
 }
 
-/// A message of an entry on its stream to a home.
+/// Message from an entry on its stream to a home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryMessage {
-    /// Sender, in the first message and whenever something of it has changed.
+    /// Sender, in the first message and in those after a change of it.
     pub hello: Option<Hello>,
-    /// One batch a shard.
+    /// One batch for each shard.
     pub batches: Vec<ShardBatch>,
 }
 
-/// A home's answer to one ask: a code and a value.
+/// Encoded form of a home's reply to a permit request: a code and a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyWire(u8, u32);
 
@@ -200,11 +200,11 @@
     RefuseReason::NoEngine,
 ];
 
-/// First code that stands for a refusal.
-const REFUSED: u8 = 3;
+/// Code of the first reason in `REASONS`; the codes of the other reasons follow.
+const FIRST_REJECTION_CODE: u8 = 3;
 
 impl ReplyWire {
-    /// Returns the message form of a reply.
+    /// Encodes a reply.
     pub fn new(reply: Reply) -> ReplyWire {
         match reply {
             Reply::Granted(tag) => ReplyWire(0, tag.0),
@@ -212,61 +212,61 @@
             Reply::Spill => ReplyWire(2, 0),
             Reply::Refused { reason, retry_after_ms } => {
                 let code = REASONS.iter().position(|r| *r == reason).unwrap_or(0);
-                ReplyWire(REFUSED + code as u8, retry_after_ms)
+                ReplyWire(FIRST_REJECTION_CODE + code as u8, retry_after_ms)
             }
         }
     }
 
-    /// Returns the reply.
+    /// Decodes the reply.
     pub fn reply(self) -> Reply {
         match self.0 {
             0 => Reply::Granted(Tag(self.1)),
             1 => Reply::Queued,
             2 => Reply::Spill,
             code => Reply::Refused {
-                reason: REASONS[usize::from(code - REFUSED).min(REASONS.len() - 1)],
+                reason: REASONS[usize::from(code - FIRST_REJECTION_CODE).min(REASONS.len() - 1)],
                 retry_after_ms: self.1,
             },
         }
     }
 }
 
-/// A home's answer to the ask with this number.
+/// A home's reply to the permit request with this number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedReply {
     /// Number of the permit.
     pub number: u32,
-    /// Answer.
+    /// Reply.
     pub reply: ReplyWire,
 }
 
 impl NumberedReply {
-    /// Returns the reply of a home that knows no engine for an ask.
+    /// Returns the reply of a home that has no engine for a permit request.
     pub fn no_engine(number: u32) -> NumberedReply {
         let reply = Reply::Refused { reason: RefuseReason::NoEngine, retry_after_ms: 1000 };
         NumberedReply { number, reply: ReplyWire::new(reply) }
     }
 }
 
-/// A message of a home on an entry's stream.
+/// Message from a home on an entry's stream.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HomeMessage {
-    /// Sender, in the first message and whenever something of it has changed.
+    /// Sender, in the first message and in those after a change of it.
     pub hello: Option<Hello>,
-    /// Replies, to asks just made or made earlier and queued.
+    /// Replies to new permit requests, and to earlier ones that were queued.
     pub replies: Vec<NumberedReply>,
-    /// Shards for which the entry is to announce what it holds.
+    /// Shards for which the entry is to announce the permits that it holds.
     pub request_announcement: Vec<ShardId>,
 }
 
-/// A sign of life, with news.
+/// Heartbeat, with changes in the list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Sender.
     pub hello: Hello,
-    /// Instances that the sender suspects by its own evidence.
+    /// Instances that the sender itself has found unresponsive.
     pub suspects: Vec<Tag>,
-    /// Instances that introduced themselves a short while ago.
+    /// Instances that have recently introduced themselves.
     pub introduced: Vec<Member>,
 }
 
@@ -279,42 +279,42 @@
     pub loads: Vec<(ShardId, ShardLoad)>,
 }
 
-/// Where chats of a shard went.
+/// Engines at which the chats of a shard were last placed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardChatLocations {
     /// The shard.
     pub shard: ShardId,
-    /// Chats with their engines.
+    /// Engine of each chat.
     pub locations: Vec<(ChatKey, Tag)>,
 }
 
-/// Where chats went, told to the replica of a home's memory.
+/// Chat locations, sent to the replica of a home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatLocationsMessage {
     /// Sender.
     pub hello: Hello,
-    /// By shard.
+    /// Locations by shard.
     pub shards: Vec<ShardChatLocations>,
 }
 
-/// Asks for parts of the file in force.
+/// Request for a part of the active configuration, or for the list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FetchRequest {
-    /// The head.
+    /// The head of the active configuration.
     Head,
     /// An object: a manifest or a chunk.
     Object(Digest),
-    /// The instances known; the asker introduces itself.
+    /// The list of instances; the requester introduces itself.
     Members(Member),
 }
 
-/// Answer to [`FetchRequest`].
+/// Reply to [`FetchRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FetchReply {
-    /// The head in force, if there is one.
+    /// The head of the active configuration, if there is one.
     Head(Option<Head>),
-    /// The object, if it is there.
+    /// The object, if the instance has it.
     Object(Option<serde_bytes::ByteBuf>),
-    /// The instances known.
+    /// The list of instances.
     Members(Vec<Member>),
 }
