--- a/src/link/http1/body.rs
+++ b/src/link/http1/body.rs
@@ -53,7 +53,7 @@
         BodyReader { state }
     }
 
-    /// Returns whether the whole body has been read.
+    /// Returns whether the complete body has been read.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
@@ -252,13 +252,14 @@
 }
 
 fn chunk_size(line: &[u8]) -> Result<u64, ReadError> {
-    const FAULT: ReadError = ReadError::Protocol("a chunk's size is not a hexadecimal number");
-    let text = std::str::from_utf8(line).map_err(|_| FAULT)?;
+    const INVALID_SIZE: ReadError =
+        ReadError::Protocol("a chunk's size is not a hexadecimal number");
+    let text = std::str::from_utf8(line).map_err(|_| INVALID_SIZE)?;
     let digits = text.split(';').next().unwrap_or_default().trim_end();
     if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(FAULT);
+        return Err(INVALID_SIZE);
     }
-    u64::from_str_radix(digits, 16).map_err(|_| FAULT)
+    u64::from_str_radix(digits, 16).map_err(|_| INVALID_SIZE)
 }
 
 /// Encoder of the chunked transfer coding. Dropping it writes nothing, so that an unfinished body is recognized as
--- a/src/link/http1/conn.rs
+++ b/src/link/http1/conn.rs
@@ -198,7 +198,7 @@
         match self.fill_watching(deadline, None) {
             Ok(()) => Ok(true),
             Err(ReadError::Timeout) => Ok(false),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         }
     }
 
@@ -249,7 +249,7 @@
                 Ok(Wake::Ready(_)) => {}
                 Ok(Wake::Timeout) => return Err((sent, ReadError::Timeout)),
                 Ok(Wake::Watched) => return Err((sent, ReadError::Cancelled)),
-                Err(fault) => return Err((sent, fault)),
+                Err(error) => return Err((sent, error)),
             }
         }
         Ok(sent)
--- a/tests/suite/framing.rs
+++ b/tests/suite/framing.rs
@@ -1,4 +1,4 @@
-//! The framing of HTTP/1.1, on raw connections and drawn bytes.
+//! Framing of HTTP/1.1 messages, on raw connections and with random bytes.
 
 use std::{
     io::{Read as _, Write as _},
@@ -22,25 +22,25 @@
     Config { cases, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Config::default() }
 }
 
-/// Returns both ends of a connection on loopback.
-fn pair() -> (TcpStream, Conn) {
+/// Returns both ends of a loopback connection.
+fn connected_pair() -> (TcpStream, Conn) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let near = TcpStream::connect(address).expect("a connection");
-    let (far, _) = listener.accept().expect("a connection");
-    (near, Conn::new(far, Clock::system()).expect("a connection"))
+    let client = TcpStream::connect(address).expect("a connection");
+    let (server, _) = listener.accept().expect("a connection");
+    (client, Conn::new(server, Clock::system()).expect("a connection"))
 }
 
-fn soon() -> Instant {
+fn deadline_in_5_s() -> Instant {
     Instant::now() + Duration::from_secs(5)
 }
 
-/// Sends `bytes` and the end of the stream; returns what the reader makes of them.
+/// Sends `bytes` and the end of the stream; returns the result of reading them as a body.
 fn read_body(framing: BodyFraming, bytes: &[u8]) -> Result<Vec<u8>, ReadError> {
-    let (mut near, mut far) = pair();
-    near.write_all(bytes).expect("sent");
-    near.shutdown(Shutdown::Write).expect("closed");
-    BodyReader::new(framing).read_all(&mut far, 1 << 20, soon())
+    let (mut client, mut server) = connected_pair();
+    client.write_all(bytes).expect("sent");
+    client.shutdown(Shutdown::Write).expect("closed");
+    BodyReader::new(framing).read_all(&mut server, 1 << 20, deadline_in_5_s())
 }
 
 fn chunked(pieces: &[Vec<u8>]) -> Vec<u8> {
@@ -51,45 +51,45 @@
 }
 
 #[test]
-fn what_is_written_in_chunks_is_read_again() {
+fn chunked_bodies_round_trip() {
     let strategy = proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..200), 0..12);
-    let done = TestRunner::new(config(40)).run(&strategy, |pieces| {
-        let body = read_body(BodyFraming::Chunked, &chunked(&pieces)).expect("a whole body");
+    let result = TestRunner::new(config(40)).run(&strategy, |pieces| {
+        let body = read_body(BodyFraming::Chunked, &chunked(&pieces)).expect("a complete body");
         prop_assert_eq!(body, pieces.concat());
         Ok(())
     });
-    done.expect("chunks are read as written");
+    result.expect("chunks are read as they were written");
 }
 
 #[test]
-fn a_body_cut_anywhere_is_never_whole() {
+fn a_body_truncated_anywhere_is_an_error() {
     let pieces = vec![b"first piece".to_vec(), b"second".to_vec()];
     let bytes = chunked(&pieces);
     for end in 0..bytes.len() {
         let read = read_body(BodyFraming::Chunked, &bytes[..end]);
-        assert!(matches!(read, Err(ReadError::Closed)), "cut at {end}: {read:?}");
+        assert!(matches!(read, Err(ReadError::Closed)), "truncated at {end}: {read:?}");
     }
     for end in 0..10 {
         let read = read_body(BodyFraming::Length(10), &b"0123456789"[..end]);
-        assert!(matches!(read, Err(ReadError::Closed)), "cut at {end}: {read:?}");
+        assert!(matches!(read, Err(ReadError::Closed)), "truncated at {end}: {read:?}");
     }
 }
 
 #[test]
-fn drawn_bytes_never_panic_a_reader() {
+fn random_bytes_never_panic_a_reader() {
     let strategy = proptest::collection::vec(any::<u8>(), 0..300);
-    let done = TestRunner::new(config(60)).run(&strategy, |bytes| {
-        // Any result will do; what matters is that there is one.
+    let result = TestRunner::new(config(60)).run(&strategy, |bytes| {
+        // Any result is valid, as long as the reader does not panic.
         let _ = read_body(BodyFraming::Chunked, &bytes);
         let _ = RequestHead::parse(&bytes);
         Ok(())
     });
-    done.expect("no panic");
+    result.expect("no panic");
 }
 
 #[test]
-fn framing_that_can_be_taken_two_ways_is_refused() {
-    let table = [
+fn ambiguous_framing_is_rejected() {
+    let cases = [
         ("content-length: 5\r\ntransfer-encoding: chunked", "both"),
         ("content-length: 5\r\ncontent-length: 6", "two"),
         ("content-length: +5", "sign"),
@@ -100,7 +100,7 @@
         ("transfer-encoding: chunked\r\ntransfer-encoding: chunked", "twice"),
         ("transfer-encoding: xchunked", "unknown coding"),
     ];
-    for (lines, name) in table {
+    for (lines, name) in cases {
         let bytes = format!("POST /a HTTP/1.1\r\nhost: x\r\n{lines}\r\n\r\n");
         let head = RequestHead::parse(bytes.as_bytes()).expect("a head");
         assert!(head.framing().is_err(), "{name}");
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn heads_that_are_no_heads_are_refused() {
-    let table: [&[u8]; 7] = [
+fn invalid_heads_are_rejected() {
+    let cases: [&[u8]; 7] = [
         b"GET /a HTTP/1.1\r\n\r\n",
         b"GET /a HTTP/1.1\r\nhost: x\r\nhost: y\r\n\r\n",
         b"GET http://elsewhere/ HTTP/1.1\r\nhost: x\r\n\r\n",
@@ -121,14 +121,14 @@
         b"GET /a HTTP/3.0\r\nhost: x\r\n\r\n",
         b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
     ];
-    for bytes in table {
+    for bytes in cases {
         let parsed = RequestHead::parse(bytes);
         assert!(parsed.is_err(), "{:?}", String::from_utf8_lossy(bytes));
     }
 }
 
 #[test]
-fn a_chunk_size_beyond_reason_is_refused() {
+fn invalid_chunk_sizes_are_rejected() {
     for line in ["fffffffffffffffff\r\n", "-1\r\n", "\r\n", "g\r\n", "1 2\r\n"] {
         let read = read_body(BodyFraming::Chunked, line.as_bytes());
         assert!(matches!(read, Err(ReadError::Protocol(_))), "{line:?}: {read:?}");
@@ -138,36 +138,39 @@
 }
 
 #[test]
-fn a_head_larger_than_allowed_is_refused_before_it_ends() {
-    let (mut near, mut far) = pair();
-    near.write_all(b"GET /a HTTP/1.1\r\nhost: x\r\nlong: ").expect("sent");
-    near.write_all(&vec![b'x'; 4096]).expect("sent");
-    let read = RequestHead::read(&mut far, 1024, soon());
+fn an_oversized_head_is_rejected_before_its_end() {
+    let (mut client, mut server) = connected_pair();
+    client.write_all(b"GET /a HTTP/1.1\r\nhost: x\r\nlong: ").expect("sent");
+    client.write_all(&vec![b'x'; 4096]).expect("sent");
+    let read = RequestHead::read(&mut server, 1024, deadline_in_5_s());
     assert!(matches!(read, Err(HeadError::TooLarge)), "{read:?}");
 }
 
 #[test]
 fn two_requests_in_one_packet_are_both_read() {
-    let (mut near, mut far) = pair();
-    near.write_all(b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\nabcPOST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n")
+    let (mut client, mut server) = connected_pair();
+    client.write_all(b"POST /a HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\nabcPOST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n")
         .expect("sent");
     for (path, body) in [("/a", &b"abc"[..]), ("/b", b"")] {
-        let head = RequestHead::read(&mut far, 1024, soon()).expect("a head");
+        let head = RequestHead::read(&mut server, 1024, deadline_in_5_s()).expect("a head");
         assert_eq!(head.target, path);
         let framing = head.framing().expect("a framing");
-        assert_eq!(BodyReader::new(framing).read_all(&mut far, 100, soon()).expect("a body"), body);
+        assert_eq!(
+            BodyReader::new(framing).read_all(&mut server, 100, deadline_in_5_s()).expect("a body"),
+            body
+        );
     }
 }
 
 #[test]
-fn an_unfinished_answer_writes_no_last_chunk() {
-    let (mut near, mut far) = pair();
+fn an_unfinished_response_has_no_last_chunk() {
+    let (mut client, mut server) = connected_pair();
     let mut writer = ChunkWriter::default();
-    far.send(writer.frame(b"token"), Duration::from_secs(1)).expect("sent");
+    server.send(writer.frame(b"token"), Duration::from_secs(1)).expect("sent");
     drop(writer);
-    far.shutdown();
-    let mut seen = Vec::new();
-    // How the cut shows, as an end or as an error, is the machine's choice.
-    let _ = near.read_to_end(&mut seen);
-    assert_eq!(seen, b"5\r\ntoken\r\n");
+    server.shutdown();
+    let mut received = Vec::new();
+    // Whether the peer sees the close as an end of the stream or as an error depends on the system.
+    let _ = client.read_to_end(&mut received);
+    assert_eq!(received, b"5\r\ntoken\r\n");
 }
