--- a/src/contract/team_limits.rs
+++ b/src/contract/team_limits.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     contract::{
-        permit::{RefuseReason, TeamTerms},
+        permit::{RefuseReason, TeamPolicy},
         token_bucket::TokenBucket,
     },
     names::Tag,
@@ -33,7 +33,7 @@
         &mut self,
         now: Instant,
         team: Tag,
-        terms: &TeamTerms,
+        terms: &TeamPolicy,
     ) -> Result<(), (RefuseReason, Duration)> {
         let in_flight = self.in_flight.get(&team).copied().unwrap_or(0);
         if terms.max_in_flight.is_some_and(|most| in_flight >= most) {
@@ -46,12 +46,12 @@
     }
 
     /// Counts a request in flight.
-    pub fn began(&mut self, team: Tag) {
+    pub fn start_request(&mut self, team: Tag) {
         *self.in_flight.entry(team).or_default() += 1;
     }
 
     /// Counts a request as ended.
-    pub fn ended(&mut self, team: Tag) {
+    pub fn finish_request(&mut self, team: Tag) {
         if let Some(count) = self.in_flight.get_mut(&team) {
             *count = count.saturating_sub(1);
             if *count == 0 {
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -55,10 +55,10 @@
     idle: &IdleMonitor,
     address: SocketAddr,
     what: &str,
-    answer: impl Fn() -> TextResponse + Send + Sync + 'static,
+    respond: impl Fn() -> TextResponse + Send + Sync + 'static,
 ) -> anyhow::Result<Listener> {
     let rules = idle_rules(idle, |since| since + STATUS_IDLE_TIMEOUT, false);
-    let serve = move |conn: Conn| text_server::serve(conn, &answer);
+    let serve = move |conn: Conn| text_server::serve(conn, &respond);
     Listener::bind_with_idle(address, gateway.clock.clone(), STATUS_CONNECTIONS_MAX, rules, serve)
         .with_context(|| format!("cannot listen for {what} on {address}"))
 }
@@ -69,8 +69,8 @@
     let rules = idle_rules(idle, |since| since + peer::IDLE_TIMEOUT, false);
     let serving = Arc::clone(gateway);
     let serve = move |conn: Conn| peer_server::serve(&serving, conn);
-    let most = gateway.settings.peer_connections;
-    Listener::bind_with_idle(listen, gateway.clock.clone(), most, rules, serve)
+    let max_connections = gateway.settings.peer_connections;
+    Listener::bind_with_idle(listen, gateway.clock.clone(), max_connections, rules, serve)
         .with_context(|| format!("cannot listen for other instances on {listen}"))
 }
 
@@ -80,18 +80,18 @@
     idle: &IdleMonitor,
 ) -> anyhow::Result<Listener> {
     let listen = gateway.settings.addresses.callers;
-    let most = gateway.settings.connections;
+    let max_connections = gateway.settings.connections;
     let (waiting, serving) = (Arc::clone(gateway), Arc::clone(gateway));
-    let rules = idle_rules(idle, move |since| connection::idle_until(&waiting, since), true);
+    let rules = idle_rules(idle, move |since| connection::idle_deadline(&waiting, since), true);
     let serve = move |conn: Conn| -> ConnOutcome { connection::serve(&serving, conn) };
-    Listener::bind_with_idle(listen, gateway.clock.clone(), most, rules, serve)
+    Listener::bind_with_idle(listen, gateway.clock.clone(), max_connections, rules, serve)
         .with_context(|| format!("cannot listen for callers on {listen}"))
 }
 
 fn idle_rules(
-    monitor: &IdleMonitor,
+    idle: &IdleMonitor,
     deadline: impl Fn(Instant) -> Instant + Send + Sync + 'static,
     is_caller_conn: bool,
 ) -> IdlePolicy {
-    IdlePolicy { monitor: monitor.clone(), deadline: Arc::new(deadline), is_caller_conn }
+    IdlePolicy { monitor: idle.clone(), deadline: Arc::new(deadline), is_caller_conn }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -16,7 +16,7 @@
 
 use super::{
     Gateway,
-    cold_permits::{PERMIT_PATH, PERMIT_TIME, PermitAsk, PermitReply},
+    cold_permits::{PERMIT_PATH, PERMIT_TIMEOUT, PermitReply, PermitRequest},
     intent_reader,
     intent_relay::{OFFER_PATH, Offer, OfferReply},
     messages::{ConfirmedAgo, ExchangePurpose, ExchangeReply, ExchangeReport},
@@ -85,9 +85,9 @@
     pub(super) run: RunId,
     /// Whether the other instances have been discovered.
     joined: AtomicBool,
-    started: Instant,
+    started_at: Instant,
     /// How long this instance waits for seeds at its start.
-    pub(super) start: StartupWait,
+    pub(super) startup_wait: StartupWait,
     pub(super) fleet_sums: Recent<FleetSums>,
     last_round: Mutex<Option<Instant>>,
     /// Chooses an instance that reads the store while it rejects this one.
@@ -109,13 +109,13 @@
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
-            permit_links: PeerClient::new(clock.clone(), None, PERMIT_TIME, traffic.clone()),
+            permit_links: PeerClient::new(clock.clone(), None, PERMIT_TIMEOUT, traffic.clone()),
             links: PeerClient::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
-            started: clock.now(),
-            start: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
+            started_at: clock.now(),
+            startup_wait: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
             fleet_sums: Recent::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
             fallback_reader: Mutex::default(),
@@ -139,8 +139,9 @@
 
     /// Returns whether this instance reads the store periodically: it is the aggregator, or no other instance responds.
     pub fn is_reader(&self, now: Instant) -> bool {
-        let alone = self.has_joined(now) && lock(&self.candidates).aggregator(now).is_none();
-        alone || self.is_aggregator(now)
+        let has_no_aggregator =
+            self.has_joined(now) && lock(&self.candidates).aggregator(now).is_none();
+        has_no_aggregator || self.is_aggregator(now)
     }
 
     /// Returns whether this instance is one of `seeds`.
@@ -154,9 +155,9 @@
     }
 
     /// Returns whether the list of instances counts as complete: they have been discovered, or the time for that is
-    /// over. Before, an instance that knows no other one may not be the only one.
+    /// over. Until then, an instance without known peers need not be the only one.
     pub(super) fn has_joined(&self, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(self.started) >= JOIN_TIMEOUT;
+        let waited = now.saturating_duration_since(self.started_at) >= JOIN_TIMEOUT;
         waited || self.joined.load(Ordering::Relaxed)
     }
 
@@ -224,10 +225,10 @@
     /// The reason why it did not reply, for logs.
     pub fn request_permit(
         &self,
-        of: SocketAddr,
-        request: &PermitAsk,
+        from: SocketAddr,
+        request: &PermitRequest,
     ) -> Result<PermitReply, String> {
-        let reply = self.permit_links.call(Purpose::Permits, of, PERMIT_PATH, request);
+        let reply = self.permit_links.call(Purpose::Permits, from, PERMIT_PATH, request);
         reply.map_err(|fault| fault.to_string())
     }
 
--- /dev/null
+++ b/src/gateway/server_call.rs
@@ -0,0 +1,194 @@
+//! One attempt at one backend server: the request is sent once, and each failure says whether it can have run.
+
+use std::time::Instant;
+
+use http::Method;
+
+use super::{
+    request::{AttemptHeaders, Request},
+    response::ResponseMetadata,
+};
+use crate::{
+    adapter,
+    contract::outcome::AttemptFault,
+    link::http1::{
+        BodyReader, Conn, ReadError, ResponseHead,
+        head::{write_header, write_headers},
+    },
+};
+
+/// Largest head of a response.
+const HEAD_BYTES_MAX: usize = 64 << 10;
+
+/// Largest response body that is buffered before it is sent to the caller.
+const BODY_BYTES_MAX: usize = 32 << 20;
+
+/// Responses to other requests that are skipped on one connection.
+const FOREIGN_RESPONSES_MAX: usize = 2;
+
+/// How long to wait for the head of a response.
+pub struct HeadWait<'a> {
+    /// When the wait ends, or `extend` is called.
+    pub deadline: Instant,
+    /// Returns the next deadline; `None` ends the attempt.
+    pub extend: &'a dyn Fn() -> Option<Instant>,
+    /// Receives the metadata of each response head, including responses to other requests.
+    pub on_metadata: &'a dyn Fn(&ResponseMetadata),
+}
+
+/// A response of a backend server whose body has not been read.
+pub struct ServerResponse {
+    /// Head.
+    pub head: ResponseHead,
+    /// Metadata from the head.
+    pub metadata: ResponseMetadata,
+    conn: Conn,
+    body: BodyReader,
+    /// Whether the request was sent to its end before the response head arrived.
+    request_sent: bool,
+}
+
+/// Sends a request on `conn` and waits for the head of the response as `wait` says.
+///
+/// With a `caller`, the attempt ends as soon as the caller closes its connection.
+///
+/// # Errors
+///
+/// The fault says whether the request can have run.
+pub fn send(
+    mut conn: Conn,
+    request: &Request,
+    attempt_headers: &AttemptHeaders<'_>,
+    wait: &HeadWait<'_>,
+    caller: Option<&Conn>,
+) -> Result<ServerResponse, AttemptFault> {
+    let deadline = wait.deadline;
+    let bytes = request_bytes(request, attempt_headers);
+    let sent = match conn.send_until_response(&bytes, deadline, caller) {
+        Ok(sent) => sent,
+        Err((_, ReadError::Cancelled)) => return Err(AttemptFault::CallerGone),
+        Err((0, _)) => return Err(AttemptFault::BeforeSend),
+        Err((_, ReadError::Timeout)) => return Err(AttemptFault::HeadTimeout),
+        Err(_) => return Err(AttemptFault::AfterSend),
+    };
+    let request_sent = sent == bytes.len();
+    for _ in 0..=FOREIGN_RESPONSES_MAX {
+        let head = read_head(&mut conn, wait, caller)?;
+        let metadata = adapter::answers::decode(&head);
+        (wait.on_metadata)(&metadata);
+        let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
+        let mut body = BodyReader::new(framing);
+        let is_own = metadata.request_id.as_deref().is_none_or(|id| id == request.metadata.id);
+        if is_own {
+            return Ok(ServerResponse { head, metadata, conn, body, request_sent });
+        }
+        // A second response to an earlier request; the response to this one follows it.
+        log::warn!(
+            "event=foreign_answer request={} server={}",
+            request.metadata.id,
+            attempt_headers.server
+        );
+        while next_piece(&mut conn, &mut body, deadline, caller)?.is_some() {}
+    }
+    Err(AttemptFault::Foreign)
+}
+
+impl ServerResponse {
+    /// Returns the next piece of the body as soon as it arrives; `None` at the end that its framing announces.
+    ///
+    /// # Errors
+    ///
+    /// The body was cut or stalled, its framing is invalid, or the caller disconnected.
+    pub fn next_piece(
+        &mut self,
+        deadline: Instant,
+        caller: Option<&Conn>,
+    ) -> Result<Option<Vec<u8>>, AttemptFault> {
+        next_piece(&mut self.conn, &mut self.body, deadline, caller)
+    }
+
+    /// Reads the body to its end.
+    ///
+    /// # Errors
+    ///
+    /// As [`ServerResponse::next_piece`]; a body of over 32 MiB is `Garbage`.
+    pub fn read_body(
+        &mut self,
+        deadline: Instant,
+        caller: Option<&Conn>,
+    ) -> Result<Vec<u8>, AttemptFault> {
+        let mut body = Vec::new();
+        while let Some(piece) = self.next_piece(deadline, caller)? {
+            body.extend_from_slice(&piece);
+            if body.len() > BODY_BYTES_MAX {
+                return Err(AttemptFault::Garbage);
+            }
+        }
+        Ok(body)
+    }
+
+    /// Returns the connection, if it may carry another request.
+    pub fn into_reusable(self) -> Option<Conn> {
+        let is_clean = self.body.is_done() && self.conn.buffered().is_empty();
+        (is_clean && self.request_sent && self.head.keep_alive()).then_some(self.conn)
+    }
+}
+
+fn read_head(
+    conn: &mut Conn,
+    wait: &HeadWait<'_>,
+    caller: Option<&Conn>,
+) -> Result<ResponseHead, AttemptFault> {
+    let mut deadline = wait.deadline;
+    loop {
+        match ResponseHead::take_buffered(conn, HEAD_BYTES_MAX) {
+            Ok(Some(head)) => return Ok(head),
+            Ok(None) => {}
+            Err(_) => return Err(AttemptFault::Garbage),
+        }
+        match conn.fill_until(deadline, caller) {
+            Ok(()) => {}
+            Err(ReadError::Timeout) => {
+                deadline = (wait.extend)().ok_or(AttemptFault::HeadTimeout)?
+            }
+            Err(ReadError::Cancelled) => return Err(AttemptFault::CallerGone),
+            Err(_) => return Err(AttemptFault::AfterSend),
+        }
+    }
+}
+
+fn next_piece(
+    conn: &mut Conn,
+    body: &mut BodyReader,
+    deadline: Instant,
+    caller: Option<&Conn>,
+) -> Result<Option<Vec<u8>>, AttemptFault> {
+    body.next_with(conn, |conn| conn.fill_until(deadline, caller)).map_err(body_fault)
+}
+
+fn body_fault(fault: ReadError) -> AttemptFault {
+    match fault {
+        ReadError::Timeout => AttemptFault::StalledBody,
+        ReadError::Cancelled => AttemptFault::CallerGone,
+        ReadError::Closed | ReadError::Io(_) => AttemptFault::CutBody,
+        ReadError::Protocol(_) | ReadError::TooLarge => AttemptFault::Garbage,
+    }
+}
+
+fn request_bytes(request: &Request, attempt_headers: &AttemptHeaders<'_>) -> Vec<u8> {
+    let headers = adapter::headers::encode_request(&request.headers, attempt_headers);
+    let mut buf = Vec::with_capacity(1024 + request.body.len());
+    buf.extend_from_slice(request.method.as_str().as_bytes());
+    buf.push(b' ');
+    buf.extend_from_slice(request.target.as_bytes());
+    buf.extend_from_slice(b" HTTP/1.1\r\n");
+    write_headers(&mut buf, &headers);
+    let has_no_body =
+        matches!(request.method, Method::GET | Method::HEAD) && request.body.is_empty();
+    if !has_no_body {
+        write_header(&mut buf, "content-length", request.body.len().to_string().as_bytes());
+    }
+    buf.extend_from_slice(b"\r\n");
+    buf.extend_from_slice(&request.body);
+    buf
+}
--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -5,7 +5,7 @@
 use crate::{
     instance::{homes::engines, knowledge::snapshot::Snapshot, shared::Shared},
     names::Tag,
-    zone::{hand_over::ContextMove, home::Event, rendezvous::ChatKey, shard::ShardId},
+    zone::{context_moves::ContextMove, home::Event, rendezvous::ChatKey, shard::ShardId},
 };
 
 /// Most chats moved for one shard at once; with the period of the moving, 100 a second.
@@ -33,8 +33,10 @@
             scope.spawn(move || {
                 let taken = engines::take_over(shared, target, source, chats);
                 let event = match taken {
-                    true => Event::Moved(chats.iter().map(|chat| (*chat, *from, *to)).collect()),
-                    false => Event::KeepsContexts(*from),
+                    true => {
+                        Event::ContextsMoved(chats.iter().map(|chat| (*chat, *from, *to)).collect())
+                    }
+                    false => Event::ContextsNotMoved(*from),
                 };
                 shared.homes.tell(shard, vec![event]);
             });
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     clock::Clock,
-    contract::permit::{Held, PermitId, Reply},
+    contract::permit::{AnnouncedPermit, PermitId, Reply},
     instance::knowledge::snapshot::Snapshot,
     link::wire::{
         Announcement, Hello, NumberedReply, ReplyWire, ShardBatch, ShardChatLocations, wire_number,
@@ -16,8 +16,8 @@
     names::Tag,
     utils::sync::lock,
     zone::{
-        hand_over::ContextMove,
-        home::{Action, Event, Home, HomeTerms, ShardLoad},
+        context_moves::ContextMove,
+        home::{Action, Event, Home, HomeSettings, ShardLoad},
         rendezvous::ChatKey,
         shard::{Shard, ShardId},
     },
@@ -117,17 +117,18 @@
                 let full = |number: u32| hello.permit(number).number;
                 let held = held
                     .into_iter()
-                    .map(|h| Held { number: full(wire_number(h.number)), ..h })
+                    .map(|h| AnnouncedPermit { number: full(wire_number(h.number)), ..h })
                     .collect();
                 let pending = pending.into_iter().map(full).collect();
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
             }
             if let Some(held) = batch.held {
-                actions.extend(home.handle(now, Event::Count(hello.from, held as usize)));
+                actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
             for ask in batch.requests {
                 let terms = snapshot.team_terms(ask.team);
-                actions.extend(home.handle(now, Event::Ask(ask.into_request(hello), terms)));
+                actions
+                    .extend(home.handle(now, Event::PermitRequest(ask.into_request(hello), terms)));
             }
         }
         Some(self.carry_out(actions, Some(hello.from)))
@@ -174,7 +175,7 @@
             };
             let Some(terms) = self.terms(id, snapshot) else { continue };
             let mut home = lock(&slot.home);
-            let mut actions = home.handle(now, Event::Terms(terms));
+            let mut actions = home.handle(now, Event::Settings(terms));
             actions.extend(home.handle(now, Event::Engines(shard.engines.clone())));
             drop(home);
             self.carry_out(actions, None);
@@ -236,9 +237,9 @@
             let Some(to) = snapshot.shard(id).and_then(&replica_of) else { continue };
             let mut home = lock(&slot.home);
             if lock(&slot.replica).replace(to) != Some(to) {
-                home.memory_mut().tell_all();
+                home.chat_locations_mut().mark_all_unreplicated();
             }
-            let locations = home.memory_mut().take_untold(most);
+            let locations = home.chat_locations_mut().take_unreplicated(most);
             if !locations.is_empty() {
                 told.push((to, ShardChatLocations { shard: id, locations }));
             }
@@ -251,7 +252,7 @@
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
-        lock(&slot.home).handle(now, Event::Remember(memory.locations));
+        lock(&slot.home).handle(now, Event::ReplicatedChats(memory.locations));
     }
 
     fn all_slots(&self) -> Vec<(ShardId, Arc<Slot>)> {
@@ -272,7 +273,7 @@
             is_home: home.is_home(),
             bound: home.bound(now),
             queued: home.queued(),
-            remembered: home.remembered(),
+            remembered: home.chat_count(),
             engines: home
                 .engines()
                 .map(|e| EngineStatus {
@@ -313,13 +314,13 @@
         Some(Arc::clone(slots.entry(id).or_insert(slot)))
     }
 
-    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeTerms> {
+    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeSettings> {
         let service = &snapshot.service_by_tag(id.service)?.service;
-        Some(HomeTerms {
+        Some(HomeSettings {
             load_bound: service.load_bound,
-            queue: service.queue as usize,
-            remembered: self.remembered,
-            patience: service.patience.0,
+            queue_max: service.queue as usize,
+            chats_max: self.remembered,
+            affinity_wait: service.patience.0,
         })
     }
 
@@ -328,7 +329,7 @@
         let mut answer = BatchAnswer::default();
         for action in actions {
             match action {
-                Action::WantAnnouncement(_) => answer.request_announcement = true,
+                Action::RequestAnnouncement(_) => answer.request_announcement = true,
                 Action::Reply(id, reply) if Some(id.entry) == at_hand => {
                     let reply = ReplyWire::new(reply);
                     answer.replies.push(NumberedReply { number: wire_number(id.number), reply });
--- a/src/link/wire.rs
+++ b/src/link/wire.rs
@@ -9,7 +9,7 @@
 use crate::{
     configs::fleet::chunks::Digest,
     contract::{
-        permit::{Ask, Held, PermitId, RefuseReason, Release, Reply},
+        permit::{AnnouncedPermit, PermitId, PermitRequest, RefuseReason, Release, Reply},
         revision::Head,
     },
     names::Tag,
@@ -79,12 +79,12 @@
 
 impl PermitRequestWire {
     /// Encodes a permit request.
-    pub fn new(request: &Ask) -> PermitRequestWire {
+    pub fn new(request: &PermitRequest) -> PermitRequestWire {
         PermitRequestWire {
             number: wire_number(request.id.number),
             chat: request.chat,
             team: request.team,
-            left_ms: millis(request.left),
+            left_ms: millis(request.time_left),
             hint: request.hint.map_or(0, |tag| tag.0),
             avoid: request.avoid.clone(),
             may_spill: request.may_spill,
@@ -92,12 +92,12 @@
     }
 
     /// Decodes the permit request, which the instance of `hello` has sent.
-    pub fn into_request(self, hello: &Hello) -> Ask {
-        Ask {
+    pub fn into_request(self, hello: &Hello) -> PermitRequest {
+        PermitRequest {
             id: hello.permit(self.number),
             chat: self.chat,
             team: self.team,
-            left: Duration::from_millis(u64::from(self.left_ms)),
+            time_left: Duration::from_millis(u64::from(self.left_ms)),
             hint: (self.hint != 0).then_some(Tag(self.hint)),
             avoid: self.avoid,
             may_spill: self.may_spill,
@@ -152,7 +152,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Permits held.
-    pub held: Vec<Held>,
+    pub held: Vec<AnnouncedPermit>,
     /// Pending permit requests, whose grants the entry may not have received yet.
     pub pending: Vec<u32>,
 }
--- a/standins/src/measure/decisions.rs
+++ b/standins/src/measure/decisions.rs
@@ -3,11 +3,11 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    contract::permit::{Ask, PermitId, Release, ReleaseKind, TeamTerms},
+    contract::permit::{PermitId, PermitRequest, Release, ReleaseKind, TeamPolicy},
     names::Tag,
     zone::{
         engine::EngineSpec,
-        home::{Event, Home, HomeTerms, WARM_UP},
+        home::{Event, Home, HomeSettings, WARM_UP},
         rendezvous::ChatKey,
     },
 };
@@ -38,11 +38,11 @@
         let specs = (1..=engines)
             .map(|n| EngineSpec { tag: Tag(n), weight: 1.0, capacity: 16, leaving: false })
             .collect();
-        let terms = HomeTerms {
+        let terms = HomeSettings {
             load_bound: 1.25,
-            queue: 1000,
-            remembered: 4 * chats as usize,
-            patience: Duration::from_millis(700),
+            queue_max: 1000,
+            chats_max: 4 * chats as usize,
+            affinity_wait: Duration::from_millis(700),
         };
         let start = Instant::now();
         let home = Home::new(terms, specs, start);
@@ -74,16 +74,16 @@
     fn ask(&mut self, chat: u64) {
         self.number += 1;
         let number = self.number;
-        let ask = Ask {
+        let ask = PermitRequest {
             id: PermitId { entry: self.entry_of(number), number },
             chat: ChatKey(chat.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             team: Tag((number % u64::from(self.teams)) as u32),
-            left: Duration::from_secs(30),
+            time_left: Duration::from_secs(30),
             hint: None,
             avoid: Vec::new(),
             may_spill: false,
         };
-        self.home.handle(self.now, Event::Ask(ask, TeamTerms::default()));
+        self.home.handle(self.now, Event::PermitRequest(ask, TeamPolicy::default()));
         self.held.push(number);
     }
 
@@ -122,10 +122,10 @@
 pub fn measure() -> Vec<Figure> {
     let (p50, p99) = decision_micros(32, 30_000, 10, 8);
     let before = resident_mib(std::process::id());
-    let mut memory = cartvane::zone::memory::ChatMemory::new(4_000_000);
+    let mut memory = cartvane::zone::chat_locations::ChatLocations::new(4_000_000);
     for chat in 0..1_000_000_u64 {
         memory.put(ChatKey(chat.wrapping_mul(0x9e37_79b9_7f4a_7c15)), Tag(chat as u32 % 32));
-        memory.take_untold(1);
+        memory.take_unreplicated(1);
     }
     let grown = (resident_mib(std::process::id()) - before) * 1024.0 * 1024.0;
     vec![
