--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -8,8 +8,8 @@
 use crate::{
     adapter,
     link::{
-        answer::{AnswerNote, send_whole},
         http1::Conn,
+        response::{ResponseOptions, send_response},
     },
     routing::LoadReport,
 };
@@ -68,10 +68,17 @@
         if let Some(after) = self.retry_after {
             headers.insert("retry-after", adapter::answers::retry_after(after));
         }
-        let note = AnswerNote::plain(keep_alive);
+        let note = ResponseOptions::plain(keep_alive);
         let body = self.reason.as_bytes();
-        let sent =
-            send_whole(conn, CALLER_WRITE_TIMEOUT, self.status, &headers, &note, body, head_only);
+        let sent = send_response(
+            conn,
+            CALLER_WRITE_TIMEOUT,
+            self.status,
+            &headers,
+            &note,
+            body,
+            head_only,
+        );
         sent.is_ok() && keep_alive
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -15,8 +15,8 @@
     adapter,
     contract::outcome::{AttemptFault, Outcome},
     link::{
-        answer::{AnswerBody, AnswerNote, AnswerWriter},
         http1::Conn,
+        response::{ResponseFraming, ResponseOptions, ResponseWriter},
     },
     routing::{EventSplitter, ResponseObservation, RouteKind},
 };
@@ -80,14 +80,15 @@
     forwarding.note_running();
     forwarding.note_first_byte();
     let keep_alive = forwarding.keep_alive() && !request.http10;
-    let note = AnswerNote::plain(keep_alive);
-    let framing = if request.http10 { AnswerBody::UntilClose } else { AnswerBody::Chunked };
+    let note = ResponseOptions::plain(keep_alive);
+    let framing =
+        if request.http10 { ResponseFraming::UntilClose } else { ResponseFraming::Chunked };
     let code = status.as_u16();
     let completed = |keep_alive, reason| {
         Some(Completion { status: code, outcome: Outcome::Run, keep_alive, reason })
     };
     let started =
-        AnswerWriter::start(conn, CALLER_WRITE_TIMEOUT, status, &headers, &note, framing, &first);
+        ResponseWriter::start(conn, CALLER_WRITE_TIMEOUT, status, &headers, &note, framing, &first);
     let Ok(mut writer) = started else { return completed(false, "caller left") };
     let mut interval = PieceInterval::new(forwarding.gateway.clock.now());
     loop {
@@ -95,7 +96,7 @@
             SourceRead::Events(events) => {
                 forwarding.note_running();
                 interval.count_piece();
-                if writer.piece(&events).is_err() {
+                if writer.write(&events).is_err() {
                     return completed(false, "caller left");
                 }
             }
@@ -106,7 +107,7 @@
                     .note_version(picked, interval.observation(forwarding.gateway.clock.now()));
                 let OpenResponse { response, picked, .. } = source.open;
                 forwarding.keep_connection(&picked.server.id, response);
-                let sent = writer.end().is_ok();
+                let sent = writer.finish().is_ok();
                 return completed(sent && keep_alive, "answered");
             }
             SourceRead::Fault(AttemptFault::CallerGone) => return completed(false, "caller left"),
@@ -122,7 +123,7 @@
                     }
                     None => {
                         // No further bytes are sent, so that the response does not look complete.
-                        writer.cut(&[]);
+                        writer.abort(&[]);
                         return completed(false, "stream broke");
                     }
                 }
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -23,9 +23,9 @@
         shared::{DrainState, Shared},
     },
     link::{
-        backend::BackendLinks,
-        peer::PeerLinks,
-        traffic::{Purpose, Traffic},
+        backend::BackendPool,
+        peer::PeerClient,
+        traffic::{Purpose, TrafficCounter},
     },
     metrics::Metrics,
     platform::{Platform, embedded::Embedded, http::HttpPlatform},
@@ -34,7 +34,7 @@
 };
 
 /// Opens the platform that the settings name; `traffic` is told the bytes of every exchange.
-pub(super) fn open_platform(settings: &Settings, traffic: &Traffic) -> Platform {
+pub(super) fn open_platform(settings: &Settings, traffic: &TrafficCounter) -> Platform {
     match settings.platform {
         PlatformSettings::Embedded => Embedded::new().platform(),
         PlatformSettings::Http { table, objects, members } => {
@@ -43,8 +43,8 @@
             let traffic = traffic.clone();
             HttpPlatform { table, objects, members, timeout, credential }.connect(
                 move |sent, received| {
-                    traffic.sent(Purpose::Platform, sent);
-                    traffic.received(Purpose::Platform, received);
+                    traffic.count_sent(Purpose::Platform, sent);
+                    traffic.count_received(Purpose::Platform, received);
                 },
             )
         }
@@ -65,7 +65,7 @@
     let incarnation = u32::try_from(clock.wall_millis() / 1000).unwrap_or(u32::MAX);
     let credential = settings.credentials.peers[0].clone();
     let peers =
-        PeerLinks::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
+        PeerClient::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
     let own = Candidate { id: settings.id.clone(), tag, zone: settings.zone.clone() };
     let waker = Arc::clone(waker);
     // The desk and the homes speak to each other through the instance, which holds both.
@@ -85,7 +85,7 @@
     let shared = Arc::new(Shared {
         tag,
         incarnation,
-        backends: BackendLinks::new(clock.clone(), settings.timeouts.connect.0),
+        backends: BackendPool::new(clock.clone(), settings.timeouts.connect.0),
         claims: Claims::new(platform.table.clone(), clock.clone()),
         settings,
         clock,
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -18,9 +18,9 @@
         shared::Shared,
     },
     link::{
-        answer::{AnswerNote, OwnHeaders, send_refusal},
-        caller::linger,
-        http1::{BodyFraming, BodyReader, Conn, HeadFault, ReadFault, RequestHead},
+        http1::{BodyFraming, BodyReader, Conn, HeadError, ReadError, RequestHead},
+        listener::lingering_close,
+        response::{ResponseOptions, RouterHeaders, send_refusal},
     },
     utils::usage::UsageGuard,
 };
@@ -37,12 +37,12 @@
         match RequestHead::read(&mut conn, shared.settings.limits.head.bytes(), until) {
             Ok(head) => {
                 if !serve_request(shared, &mut conn, head, id) {
-                    return linger(&mut conn);
+                    return lingering_close(&mut conn);
                 }
             }
             Err(fault) => {
                 refuse_head(shared, &mut conn, &fault, id);
-                return linger(&mut conn);
+                return lingering_close(&mut conn);
             }
         }
     }
@@ -61,9 +61,9 @@
     let _ = send_refusal(&mut conn, REFUSAL_TIME, &refusal, &note, false);
 }
 
-fn note(request_id: String, keep_alive: bool) -> AnswerNote {
-    let own = OwnHeaders { request_id, outcome: Outcome::NotRun, placement: None };
-    AnswerNote { own: Some(own), keep_alive }
+fn note(request_id: String, keep_alive: bool) -> ResponseOptions {
+    let own = RouterHeaders { request_id, outcome: Outcome::NotRun, placement: None };
+    ResponseOptions { router_headers: Some(own), keep_alive }
 }
 
 /// Waits for the first byte of a request; false when the connection is to end.
@@ -79,9 +79,9 @@
     conn.fill(until, &mut || !idle_ends()).is_ok()
 }
 
-fn refuse_head(shared: &Shared, conn: &mut Conn, fault: &HeadFault, id: String) {
+fn refuse_head(shared: &Shared, conn: &mut Conn, fault: &HeadError, id: String) {
     let refusal = match fault {
-        HeadFault::Read(ReadFault::Timeout) => Refusal::not_run(
+        HeadError::Read(ReadError::Timeout) => Refusal::not_run(
             408,
             "request too slow",
             format!(
@@ -89,7 +89,7 @@
                 shared.settings.timeouts.head
             ),
         ),
-        HeadFault::TooLarge => Refusal::not_run(
+        HeadError::TooLarge => Refusal::not_run(
             431,
             "head too large",
             format!(
@@ -97,9 +97,11 @@
                 shared.settings.limits.head
             ),
         ),
-        HeadFault::Bad(what) => Refusal::not_run(400, "bad request", *what),
-        HeadFault::Coding => Refusal::not_run(501, "unknown transfer coding", fault.to_string()),
-        HeadFault::Read(_) => return,
+        HeadError::Invalid(what) => Refusal::not_run(400, "bad request", *what),
+        HeadError::UnsupportedCoding => {
+            Refusal::not_run(501, "unknown transfer coding", fault.to_string())
+        }
+        HeadError::Read(_) => return,
     };
     refuse(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
 }
@@ -218,7 +220,7 @@
     now: Instant,
 ) -> Result<Taken<'s>, NotTaken> {
     let framing = head.framing().map_err(|fault| {
-        let status = if matches!(fault, HeadFault::Coding) { 501 } else { 400 };
+        let status = if matches!(fault, HeadError::UnsupportedCoding) { 501 } else { 400 };
         NotTaken::unread(Refusal::not_run(status, "bad request", fault.to_string()))
     })?;
     let bodiless = framing == BodyFraming::Length(0);
@@ -238,7 +240,7 @@
             "CONNECT and TRACE are not passed on",
         )));
     }
-    let team = head.bearer().and_then(|key| snapshot.team_of_key(key)).cloned();
+    let team = head.bearer_token().and_then(|key| snapshot.team_of_key(key)).cloned();
     let Some(team) = team else {
         return Err(not_taken(Refusal::not_run(
             401,
@@ -301,8 +303,8 @@
     let until = shared.clock.now() + shared.settings.timeouts.body.0;
     let mut reader = BodyReader::new(framing);
     reader.read_all(conn, limits.body.bytes(), until).map_err(|fault| match fault {
-        ReadFault::TooLarge => too_large(),
-        ReadFault::Timeout => Refusal::not_run(
+        ReadError::TooLarge => too_large(),
+        ReadError::Timeout => Refusal::not_run(
             408,
             "request too slow",
             format!(
--- a/src/link/http1/mod.rs
+++ b/src/link/http1/mod.rs
@@ -1,11 +1,11 @@
-//! HTTP/1.1 on std sockets: heads by `httparse`, framing of bodies, exact time-outs.
+//! HTTP/1.1 on sockets of the standard library: heads parsed by `httparse`, framing of bodies, exact timeouts.
 //!
-//! Why the library servers do not serve callers is measured in docs/DESIGN.md, "Callers' side".
+//! For the measurements behind this choice over HTTP server libraries, see docs/DESIGN.md, "Callers' side".
 
 pub mod body;
 pub mod conn;
 pub mod head;
 
 pub use body::{BodyFraming, BodyReader, ChunkWriter};
-pub use conn::{Conn, ReadFault};
-pub use head::{HeadFault, RequestHead, ResponseHead};
+pub use conn::{Conn, ReadError};
+pub use head::{HeadError, RequestHead, ResponseHead};
--- a/tests/suite/silent_links.rs
+++ b/tests/suite/silent_links.rs
@@ -6,8 +6,8 @@
     clock::Clock,
     gateway::GatewayHandle,
     link::{
-        peer::PeerLinks,
-        traffic::{Purpose, Traffic},
+        peer::PeerClient,
+        traffic::{Purpose, TrafficCounter},
     },
 };
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
     let instance = GatewayHandle::spawn(settings, &Clock::system()).expect("an instance");
     let link = MutableLink::spawn(instance.peers()).expect("a link");
     let timeout = Duration::from_millis(300);
-    let links = PeerLinks::new(Clock::system(), None, timeout, Traffic::new(|_, _, _| {}));
+    let links = PeerClient::new(Clock::system(), None, timeout, TrafficCounter::new(|_, _, _| {}));
     // The path is unknown, so a 404 shows that the other instance was reached.
     let reached = || {
         let reply = links.call::<Empty>(Purpose::Loads, link.address(), "/unknown", &Empty {});
