--- a/src/instance/knowledge/apply.rs
+++ b/src/instance/knowledge/apply.rs
@@ -21,7 +21,7 @@
         },
         shared::Shared,
     },
-    platform::{Expect, Operation, PlatformFault, Row, TransactReply, Write},
+    platform::{Expect, Operation, PlatformError, Row, TransactReply, Write},
     units::Revision,
 };
 
@@ -72,8 +72,8 @@
     Unknown(String),
 }
 
-impl From<PlatformFault> for ApplyFault {
-    fn from(fault: PlatformFault) -> ApplyFault {
+impl From<PlatformError> for ApplyFault {
+    fn from(fault: PlatformError) -> ApplyFault {
         ApplyFault::Store(fault.to_string())
     }
 }
@@ -241,8 +241,8 @@
 
 /// The reply was lost: the row for the revision tells whether this apply wrote it, also when yet
 /// another one has followed.
-fn read_back(shared: &Shared, head: &Head, fault: &PlatformFault) -> Result<bool, ApplyFault> {
-    let unknown = |e: PlatformFault| ApplyFault::Unknown(e.to_string());
+fn read_back(shared: &Shared, head: &Head, fault: &PlatformError) -> Result<bool, ApplyFault> {
+    let unknown = |e: PlatformError| ApplyFault::Unknown(e.to_string());
     let audit = shared.platform.table.get(&audit_key(head.at, &head.apply)).map_err(unknown)?;
     if audit.is_some() {
         return Ok(true);
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/knowledge/config.rs
@@ -16,7 +16,7 @@
         traffic::Purpose,
         wire::{FETCH, FetchReply, FetchRequest},
     },
-    platform::PlatformFault,
+    platform::PlatformError,
     utils::sync::lock,
 };
 
@@ -58,7 +58,7 @@
 pub enum SyncFault {
     /// Neither the store nor a peer has told a head.
     #[error("no head was learned: {0}; the instance is ready once the store or a peer answers")]
-    NoHead(PlatformFault),
+    NoHead(PlatformError),
     /// An object is nowhere to be had.
     #[error("object {0} is at no peer and not in the store; it is looked for again")]
     Missing(Digest),
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -23,7 +23,7 @@
     },
     link::{traffic::Purpose, wire::DRAIN},
     names::InstanceId,
-    platform::PlatformFault,
+    platform::PlatformError,
     units::Revision,
     utils::{secret::any_matches, sync::lock},
 };
@@ -57,7 +57,7 @@
     Response::json(&Problem { detail: detail.into(), apply: None }).with_status_code(status)
 }
 
-fn store_out(fault: &PlatformFault) -> Response {
+fn store_out(fault: &PlatformError) -> Response {
     problem(503, fault.to_string())
 }
 
@@ -213,7 +213,7 @@
 }
 
 /// Returns the text of a revision.
-fn source_of(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformFault> {
+fn source_of(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformError> {
     let Some(row) = shared.platform.table.get(&revision_key(revision))? else { return Ok(None) };
     let Ok(row) = serde_json::from_slice::<RevisionRow>(&row.value) else { return Ok(None) };
     let bytes = shared.platform.objects.get(&object_key(&row.source))?;
--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -13,7 +13,7 @@
         claim::{Claim, ClaimState, ClaimVerdict, StoredAnswer, judge},
         outcome::Refusal,
     },
-    platform::{Expect, Operation, PlatformFault, Row, Table, TransactReply, Write},
+    platform::{Expect, Operation, PlatformError, Row, Table, TransactReply, Write},
     utils::sync::lock,
 };
 
@@ -28,7 +28,7 @@
 enum Written {
     Yes,
     Conflict(Option<Row>),
-    Fault(PlatformFault),
+    Fault(PlatformError),
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
     }
 
     /// The own write failed or its reply was lost; in the second case the row tells.
-    fn after_fault(&self, key: &str, own: &Claim, fault: &PlatformFault) -> Begun {
+    fn after_fault(&self, key: &str, own: &Claim, fault: &PlatformError) -> Begun {
         if !fault.may_have_taken_effect() {
             return Begun::Refuse(table_out(fault));
         }
@@ -124,7 +124,7 @@
 
     fn judge_row(&self, key: &str, own: &Claim, row: Option<Row>, may_renew: bool) -> Begun {
         let changing = || {
-            Begun::Refuse(table_out(&PlatformFault::Unavailable(
+            Begun::Refuse(table_out(&PlatformError::Unavailable(
                 "the claim is changing".to_owned(),
             )))
         };
@@ -231,7 +231,7 @@
                 Ok(TransactReply::Conflict { key, row }) => {
                     let Some(at) = group.iter().position(|p| p.operation.key == key) else {
                         let fault =
-                            PlatformFault::Reply(format!("conflict on {key}, which was not asked"));
+                            PlatformError::Reply(format!("conflict on {key}, which was not asked"));
                         group.drain(..).for_each(|p| settle(&p, Written::Fault(fault.clone())));
                         return;
                     };
@@ -274,7 +274,7 @@
     pending.slot.1.notify_all();
 }
 
-fn table_out(fault: &PlatformFault) -> Refusal {
+fn table_out(fault: &PlatformError) -> Refusal {
     let detail = format!(
         "the claim of the Idempotency-Key could not be kept ({fault}); send it again with the same key"
     );
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -6,7 +6,7 @@
 use ureq::{Agent, Body, config::AutoHeaderValue};
 
 use super::{
-    Members, MembersPage, Objects, Platform, PlatformFault, Row, Table, TransactReply, Transaction,
+    Members, MembersPage, Objects, Platform, PlatformError, Row, Table, TransactReply, Transaction,
 };
 use crate::utils::secret::Secret;
 
@@ -83,7 +83,7 @@
 }
 
 impl Client {
-    fn get(&self, address: SocketAddr, path: &str) -> Result<Reply, PlatformFault> {
+    fn get(&self, address: SocketAddr, path: &str) -> Result<Reply, PlatformError> {
         let mut request = self.agent.get(format!("http://{address}{path}"));
         if let Some(credential) = &self.credential {
             request = request.header("authorization", format!("Bearer {}", credential.expose()));
@@ -97,7 +97,7 @@
         address: SocketAddr,
         path: &str,
         body: &[u8],
-    ) -> Result<Reply, PlatformFault> {
+    ) -> Result<Reply, PlatformError> {
         let url = format!("http://{address}{path}");
         let mut request = if put { self.agent.put(url) } else { self.agent.post(url) };
         if let Some(credential) = &self.credential {
@@ -111,7 +111,7 @@
         path: &str,
         sent: usize,
         result: Result<Response<Body>, ureq::Error>,
-    ) -> Result<Reply, PlatformFault> {
+    ) -> Result<Reply, PlatformError> {
         let credential = self
             .credential
             .as_ref()
@@ -133,7 +133,7 @@
         (self.count)(head + credential + sent, REQUEST_LINE + head_back + body.len());
         let status = response.status().as_u16();
         if matches!(status, 429 | 503) {
-            return Err(PlatformFault::Unavailable(format!("status {status}")));
+            return Err(PlatformError::Unavailable(format!("status {status}")));
         }
         Ok(Reply { status, body })
     }
@@ -142,14 +142,14 @@
         &self,
         at: SocketAddr,
         transaction: &Transaction,
-    ) -> Result<TransactReply, PlatformFault> {
+    ) -> Result<TransactReply, PlatformError> {
         let body = serde_json::to_vec(transaction)
-            .map_err(|e| PlatformFault::Unavailable(e.to_string()))?;
+            .map_err(|e| PlatformError::Unavailable(e.to_string()))?;
         let reply = self.send(false, at, "/table/transact", &body)?;
         parse(&reply)
     }
 
-    fn row(&self, at: SocketAddr, key: &str) -> Result<Option<Row>, PlatformFault> {
+    fn row(&self, at: SocketAddr, key: &str) -> Result<Option<Row>, PlatformError> {
         let reply = self.get(at, &format!("/table/rows/{key}"))?;
         if reply.status == 404 { Ok(None) } else { parse(&reply).map(Some) }
     }
@@ -160,17 +160,17 @@
         prefix: &str,
         after: &str,
         most: usize,
-    ) -> Result<Vec<Row>, PlatformFault> {
+    ) -> Result<Vec<Row>, PlatformError> {
         let path = format!("/table/rows?prefix={prefix}&after={after}&most={most}");
         parse(&self.get(at, &path)?)
     }
 
-    fn put_object(&self, at: SocketAddr, key: &str, bytes: &[u8]) -> Result<(), PlatformFault> {
+    fn put_object(&self, at: SocketAddr, key: &str, bytes: &[u8]) -> Result<(), PlatformError> {
         let reply = self.send(true, at, &format!("/objects/{key}"), bytes)?;
         expect_done(&reply)
     }
 
-    fn get_object(&self, at: SocketAddr, key: &str) -> Result<Option<Vec<u8>>, PlatformFault> {
+    fn get_object(&self, at: SocketAddr, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
         let reply = self.get(at, &format!("/objects/{key}"))?;
         if reply.status == 404 {
             return Ok(None);
@@ -179,24 +179,24 @@
         Ok(Some(reply.body))
     }
 
-    fn members(&self, at: SocketAddr, version: u64) -> Result<MembersPage, PlatformFault> {
+    fn members(&self, at: SocketAddr, version: u64) -> Result<MembersPage, PlatformError> {
         parse(&self.get(at, &format!("/members?since={version}"))?)
     }
 }
 
-fn expect_done(reply: &Reply) -> Result<(), PlatformFault> {
+fn expect_done(reply: &Reply) -> Result<(), PlatformError> {
     match reply.status {
         200..=299 => Ok(()),
-        status => Err(PlatformFault::Reply(format!("status {status}"))),
+        status => Err(PlatformError::Reply(format!("status {status}"))),
     }
 }
 
-fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, PlatformFault> {
+fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, PlatformError> {
     expect_done(reply)?;
-    serde_json::from_slice(&reply.body).map_err(|e| PlatformFault::Reply(e.to_string()))
+    serde_json::from_slice(&reply.body).map_err(|e| PlatformError::Reply(e.to_string()))
 }
 
-fn fault(e: ureq::Error) -> PlatformFault {
+fn fault(e: ureq::Error) -> PlatformError {
     let refused = match &e {
         ureq::Error::Io(e) => e.kind() == std::io::ErrorKind::ConnectionRefused,
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
@@ -204,8 +204,8 @@
         _ => false,
     };
     if refused {
-        PlatformFault::Unavailable(e.to_string())
+        PlatformError::Unavailable(e.to_string())
     } else {
-        PlatformFault::ReplyLost(e.to_string())
+        PlatformError::ReplyLost(e.to_string())
     }
 }
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::PlatformFault;
+use super::PlatformError;
 use crate::names::ZoneId;
 
 /// What a member is.
@@ -53,7 +53,7 @@
     pub changed: Vec<Member>,
 }
 
-type Since = dyn Fn(u64) -> Result<MembersPage, PlatformFault> + Send + Sync;
+type Since = dyn Fn(u64) -> Result<MembersPage, PlatformError> + Send + Sync;
 
 /// The membership list.
 #[derive(Clone)]
@@ -64,7 +64,7 @@
 impl Members {
     /// Returns a list made of a closure.
     pub fn new(
-        since: impl Fn(u64) -> Result<MembersPage, PlatformFault> + Send + Sync + 'static,
+        since: impl Fn(u64) -> Result<MembersPage, PlatformError> + Send + Sync + 'static,
     ) -> Members {
         Members { since: Arc::new(since) }
     }
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// The platform does not answer.
-    pub fn since(&self, version: u64) -> Result<MembersPage, PlatformFault> {
+    pub fn since(&self, version: u64) -> Result<MembersPage, PlatformError> {
         (self.since)(version)
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -14,7 +14,7 @@
 
 /// Why the platform did not do what was asked.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum PlatformFault {
+pub enum PlatformError {
     /// The platform said no, or was not reached: nothing took effect.
     #[error("the platform is not available ({0}); try again when it is")]
     Unavailable(String),
@@ -26,10 +26,10 @@
     Reply(String),
 }
 
-impl PlatformFault {
+impl PlatformError {
     /// Returns whether what was asked may have taken effect.
     pub fn may_have_taken_effect(&self) -> bool {
-        !matches!(self, PlatformFault::Unavailable(_))
+        !matches!(self, PlatformError::Unavailable(_))
     }
 }
 
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use super::PlatformFault;
+use super::PlatformError;
 
-type Put = dyn Fn(&str, &[u8]) -> Result<(), PlatformFault> + Send + Sync;
-type Get = dyn Fn(&str) -> Result<Option<Vec<u8>>, PlatformFault> + Send + Sync;
+type Put = dyn Fn(&str, &[u8]) -> Result<(), PlatformError> + Send + Sync;
+type Get = dyn Fn(&str) -> Result<Option<Vec<u8>>, PlatformError> + Send + Sync;
 
 /// The object store.
 #[derive(Clone)]
@@ -17,8 +17,8 @@
 impl Objects {
     /// Returns a store made of two closures.
     pub fn new(
-        put: impl Fn(&str, &[u8]) -> Result<(), PlatformFault> + Send + Sync + 'static,
-        get: impl Fn(&str) -> Result<Option<Vec<u8>>, PlatformFault> + Send + Sync + 'static,
+        put: impl Fn(&str, &[u8]) -> Result<(), PlatformError> + Send + Sync + 'static,
+        get: impl Fn(&str) -> Result<Option<Vec<u8>>, PlatformError> + Send + Sync + 'static,
     ) -> Objects {
         Objects { put: Arc::new(put), get: Arc::new(get) }
     }
@@ -28,7 +28,7 @@
     /// # Errors
     ///
     /// [`PlatformFault::ReplyLost`] when it may be stored; storing it again does no harm.
-    pub fn put(&self, key: &str, bytes: &[u8]) -> Result<(), PlatformFault> {
+    pub fn put(&self, key: &str, bytes: &[u8]) -> Result<(), PlatformError> {
         (self.put)(key, bytes)
     }
 
@@ -37,7 +37,7 @@
     /// # Errors
     ///
     /// The platform does not answer.
-    pub fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformFault> {
+    pub fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
         (self.get)(key)
     }
 }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::PlatformFault;
+use super::PlatformError;
 
 /// A row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,9 +88,9 @@
     },
 }
 
-type Transact = dyn Fn(&Transaction) -> Result<TransactReply, PlatformFault> + Send + Sync;
-type Get = dyn Fn(&str) -> Result<Option<Row>, PlatformFault> + Send + Sync;
-type Scan = dyn Fn(&str, &str, usize) -> Result<Vec<Row>, PlatformFault> + Send + Sync;
+type Transact = dyn Fn(&Transaction) -> Result<TransactReply, PlatformError> + Send + Sync;
+type Get = dyn Fn(&str) -> Result<Option<Row>, PlatformError> + Send + Sync;
+type Scan = dyn Fn(&str, &str, usize) -> Result<Vec<Row>, PlatformError> + Send + Sync;
 
 /// The transactional table.
 #[derive(Clone)]
@@ -103,9 +103,9 @@
 impl Table {
     /// Returns a table made of three closures.
     pub fn new(
-        transact: impl Fn(&Transaction) -> Result<TransactReply, PlatformFault> + Send + Sync + 'static,
-        get: impl Fn(&str) -> Result<Option<Row>, PlatformFault> + Send + Sync + 'static,
-        scan: impl Fn(&str, &str, usize) -> Result<Vec<Row>, PlatformFault> + Send + Sync + 'static,
+        transact: impl Fn(&Transaction) -> Result<TransactReply, PlatformError> + Send + Sync + 'static,
+        get: impl Fn(&str) -> Result<Option<Row>, PlatformError> + Send + Sync + 'static,
+        scan: impl Fn(&str, &str, usize) -> Result<Vec<Row>, PlatformError> + Send + Sync + 'static,
     ) -> Table {
         Table { transact: Arc::new(transact), get: Arc::new(get), scan: Arc::new(scan) }
     }
@@ -115,7 +115,7 @@
     /// # Errors
     ///
     /// [`PlatformFault::ReplyLost`] when it may have taken effect, else nothing did.
-    pub fn transact(&self, operations: Vec<Operation>) -> Result<TransactReply, PlatformFault> {
+    pub fn transact(&self, operations: Vec<Operation>) -> Result<TransactReply, PlatformError> {
         (self.transact)(&Transaction { operations })
     }
 
@@ -124,7 +124,7 @@
     /// # Errors
     ///
     /// The platform does not answer.
-    pub fn get(&self, key: &str) -> Result<Option<Row>, PlatformFault> {
+    pub fn get(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         (self.get)(key)
     }
 
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// The platform does not answer.
-    pub fn scan(&self, prefix: &str, after: &str, most: usize) -> Result<Vec<Row>, PlatformFault> {
+    pub fn scan(&self, prefix: &str, after: &str, most: usize) -> Result<Vec<Row>, PlatformError> {
         (self.scan)(prefix, after, most)
     }
 }
