--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -9,7 +9,7 @@
 use crate::{
     adapter::{
         calls::HELD_TABLE,
-        store::{Change, StoreFault, StoreRow},
+        store::{Change, StoreError, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
     routing::{
@@ -52,7 +52,7 @@
 }
 
 /// Brings table and verdicts in line.
-fn keep(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreFault> {
+fn keep(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreError> {
     let crash_suspects = &gateway.crash_suspects;
     let known = crash_suspects.verdict_updates(gateway.clock.now());
     if sync.is_idle(&known) {
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-fn write(gateway: &Gateway, plan: &HeldTablePlan) -> Result<(), StoreFault> {
+fn write(gateway: &Gateway, plan: &HeldTablePlan) -> Result<(), StoreError> {
     if plan.write.is_empty() && plan.remove.is_empty() {
         return Ok(());
     }
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -6,7 +6,7 @@
 use crate::{
     adapter::{
         calls::INSTANCE_TABLE,
-        store::{Change, StoreFault, StoreRow},
+        store::{Change, StoreError, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
     routing::{InstanceInfo, StoreEra, StoreVersion, startup::STARTUP_POLL_INTERVAL},
@@ -103,7 +103,7 @@
     }
 }
 
-fn announce(gateway: &Gateway) -> Result<StoreVersion, StoreFault> {
+fn announce(gateway: &Gateway) -> Result<StoreVersion, StoreError> {
     let own = lock(&gateway.peers.candidates).own().clone();
     let change = Change::Put { key: own.node.as_str(), value: &encode(&own) };
     gateway.store.change(INSTANCE_TABLE, &[change])
@@ -135,7 +135,7 @@
 }
 
 /// Reads the table, and adds its instances to the known ones.
-fn read_table(gateway: &Gateway) -> Result<(), StoreFault> {
+fn read_table(gateway: &Gateway) -> Result<(), StoreError> {
     let rows = gateway.store.rows(INSTANCE_TABLE)?;
     let parse = |row: StoreRow| match decode::<InstanceInfo>(&row.value) {
         Ok(instance) => Some(instance),
@@ -151,7 +151,7 @@
 }
 
 /// Reads the table and, if `remove` is set, removes the rows of instances that no longer report.
-fn prune_table(gateway: &Gateway, remove: bool) -> Result<(), StoreFault> {
+fn prune_table(gateway: &Gateway, remove: bool) -> Result<(), StoreError> {
     read_table(gateway)?;
     if !remove {
         return Ok(());
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -11,7 +11,7 @@
     adapter::{
         calls::{INTENT_KEY, INTENT_TABLE},
         intent, orders,
-        store::{StoreFault, StoreRow, StoreRows},
+        store::{StoreError, StoreRow, StoreRows},
     },
     routing::{
         Confirmation, OrdersSnapshot, PackedChange, StoreVersion, WatchStep,
@@ -49,13 +49,13 @@
 }
 
 /// Runs a step that reads the store, and reports its result to the watch.
-fn run_store_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreFault>) {
+fn run_store_step(gateway: &Gateway, step: impl FnOnce() -> Result<(), StoreError>) {
     let began = gateway.clock.now();
     match step() {
         Ok(()) => {
             gateway.cluster_state.with_watch(|watch| watch.store_read(gateway.clock.now()));
         }
-        Err(StoreFault::HistoryGone) => {
+        Err(StoreError::HistoryExpired) => {
             // The next step reads the whole intent.
             log::info!("event=history_gone table={INTENT_TABLE}");
             gateway.cluster_state.with_watch(|watch| watch.history_expired());
@@ -92,7 +92,7 @@
 /// # Errors
 ///
 /// The store cannot be read.
-fn read(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
+fn read(gateway: &Arc<Gateway>) -> Result<(), StoreError> {
     let at = gateway.clock.now();
     let rows = gateway.store.rows(INTENT_TABLE)?;
     let snapshot = OrdersSnapshot::from_changes(rows.version, orders::decode(&rows.rows));
@@ -106,7 +106,7 @@
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn read_changes(gateway: &Arc<Gateway>) -> Result<(), StoreFault> {
+pub fn read_changes(gateway: &Arc<Gateway>) -> Result<(), StoreError> {
     match gateway.cluster_state.with_watch(|watch| watch.confirmed()) {
         Some(confirmed) => poll_changes(gateway, confirmed.store, Duration::ZERO),
         None => read(gateway),
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn read_orders(gateway: &Gateway) -> Result<(), StoreFault> {
+pub fn read_orders(gateway: &Gateway) -> Result<(), StoreError> {
     let Some(confirmed) = gateway.cluster_state.with_watch(|watch| watch.confirmed()) else {
         // Without an intent, this instance serves no requests yet.
         return Ok(());
@@ -135,7 +135,7 @@
     gateway: &Arc<Gateway>,
     after: StoreVersion,
     wait: Duration,
-) -> Result<(), StoreFault> {
+) -> Result<(), StoreError> {
     let began = gateway.clock.now();
     let rows = gateway.store.changes(INTENT_TABLE, after, wait)?;
     // A reply without changes arrives when the wait is over: nothing had changed until then.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -57,7 +57,7 @@
     skipped_log::SkippedLog,
 };
 use crate::{
-    adapter::store::{Store, StoreFault},
+    adapter::store::{Store, StoreError},
     clock::Clock,
     metrics::Metrics,
     names::ServiceName,
@@ -283,7 +283,7 @@
     }
 
     /// Notes a failed call to the store. Only the first of consecutive failures is logged.
-    pub fn store_failed(&self, what: &str, fault: &StoreFault) {
+    pub fn store_failed(&self, what: &str, fault: &StoreError) {
         let mut lost = lock(&self.store_lost);
         if !*lost {
             *lost = true;
--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -8,7 +8,7 @@
     adapter::{
         calls::{ROLLOUT_TABLE, STATUS_TABLE},
         orders,
-        store::{Condition, Put, StoreFault, StoreRow},
+        store::{Condition, Put, StoreError, StoreRow},
     },
     configs::fleet::chunks::{decode, encode},
     names::{IdError, ServiceName},
@@ -60,7 +60,7 @@
 /// Does what is wanted, by another instance where the store turns this one away.
 pub fn perform(gateway: &Gateway, request: &RolloutTableRequest) -> RolloutTableReply {
     match perform_here(gateway, request) {
-        Err(fault @ StoreFault::NotDone(_)) => {
+        Err(fault @ StoreError::Unavailable(_)) => {
             gateway.store_failed("rollouts", &fault);
             let helped = gateway.peers.forward_rollout_request(gateway.clock.now(), request);
             helped.unwrap_or_else(|| RolloutTableReply::Failed(fault.to_string()))
@@ -79,7 +79,7 @@
 fn perform_here(
     gateway: &Gateway,
     request: &RolloutTableRequest,
-) -> Result<RolloutTableReply, StoreFault> {
+) -> Result<RolloutTableReply, StoreError> {
     match request {
         RolloutTableRequest::Read => {
             let read = gateway.store.rows(ROLLOUT_TABLE)?;
@@ -88,13 +88,13 @@
         }
         RolloutTableRequest::Write(row) => match write(gateway, row) {
             Ok(version) => Ok(RolloutTableReply::Written(version)),
-            Err(StoreFault::Conflict) => Ok(RolloutTableReply::Conflict),
+            Err(StoreError::Conflict) => Ok(RolloutTableReply::Conflict),
             Err(fault) => Err(fault),
         },
     }
 }
 
-fn write(gateway: &Gateway, row: &RecordRow) -> Result<u64, StoreFault> {
+fn write(gateway: &Gateway, row: &RecordRow) -> Result<u64, StoreError> {
     let key = row.service.as_str();
     let condition = Condition { table: ROLLOUT_TABLE, key, version: row.version };
     let status_key = orders::status_key(&row.service);
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -11,7 +11,7 @@
     start,
 };
 use crate::{
-    adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreFault},
+    adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreError},
     routing::{
         BackendServer, RosterRole, RosterStep, RosterWatch, StoreEra, roster::RosterChange,
         startup::STARTUP_POLL_INTERVAL,
@@ -60,7 +60,7 @@
 }
 
 /// Reads the list, and logs that the updates have stopped if the aggregator should have sent them.
-fn read_and_log(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreFault> {
+fn read_and_log(gateway: &Gateway, role: &RosterRole) -> Result<(), StoreError> {
     if !role.reader
         && let Some(age) = gateway.cluster_state.servers_age(gateway.clock.now())
     {
@@ -74,12 +74,12 @@
 /// # Errors
 ///
 /// The store cannot be read.
-pub fn read(gateway: &Gateway) -> Result<(), StoreFault> {
+pub fn read(gateway: &Gateway) -> Result<(), StoreError> {
     let as_of = gateway.clock.now();
     let mut cache = lock(&gateway.server_list_cache);
     let list = match cache.as_mut().filter(|list| list.can_read_changes(as_of)) {
         Some(cached) => match read_changes(gateway, cached) {
-            Err(StoreFault::HistoryGone) => cache.insert(read_whole_list(gateway, as_of)?),
+            Err(StoreError::HistoryExpired) => cache.insert(read_whole_list(gateway, as_of)?),
             result => result.map(|()| cached)?,
         },
         None => cache.insert(read_whole_list(gateway, as_of)?),
@@ -119,7 +119,7 @@
     }
 }
 
-fn read_whole_list(gateway: &Gateway, at: Instant) -> Result<ServerListCache, StoreFault> {
+fn read_whole_list(gateway: &Gateway, at: Instant) -> Result<ServerListCache, StoreError> {
     let rows = gateway.store.rows(SERVER_TABLE)?;
     let mut list = ServerListCache::new(at, rows.version);
     list.apply_rows(rows);
@@ -127,7 +127,7 @@
 }
 
 /// Applies what has changed in the list since the last read. The changes may come in several replies.
-fn read_changes(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreFault> {
+fn read_changes(gateway: &Gateway, list: &mut ServerListCache) -> Result<(), StoreError> {
     for _ in 0..CHANGE_REPLIES_MAX {
         let rows = gateway.store.changes(SERVER_TABLE, list.version, Duration::ZERO)?;
         let is_last = rows.rows.len() < PAGE_ROWS;
--- a/tests/suite/store.rs
+++ b/tests/suite/store.rs
@@ -7,7 +7,7 @@
 };
 
 use cartvane::{
-    adapter::store::{Change, Condition, Put, Store, StoreFault},
+    adapter::store::{Change, Condition, Put, Store, StoreError},
     clock::Clock,
     metrics::Metrics,
     routing::{CallKind, StoreRates, StoreShare, StoreVersion},
@@ -22,21 +22,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Came {
     Done,
-    NotDone,
+    Unavailable,
     ReplyLost,
     Conflict,
-    HistoryGone,
+    HistoryExpired,
     NotUnderstood,
 }
 
-fn came<T>(result: Result<T, StoreFault>) -> Came {
+fn came<T>(result: Result<T, StoreError>) -> Came {
     match result {
         Ok(_) => Came::Done,
-        Err(StoreFault::NotDone(_)) => Came::NotDone,
-        Err(StoreFault::ReplyLost(_)) => Came::ReplyLost,
-        Err(StoreFault::Conflict) => Came::Conflict,
-        Err(StoreFault::HistoryGone) => Came::HistoryGone,
-        Err(StoreFault::Reply(_)) => Came::NotUnderstood,
+        Err(StoreError::Unavailable(_)) => Came::Unavailable,
+        Err(StoreError::ReplyLost(_)) => Came::ReplyLost,
+        Err(StoreError::Conflict) => Came::Conflict,
+        Err(StoreError::HistoryExpired) => Came::HistoryExpired,
+        Err(StoreError::Reply(_)) => Came::NotUnderstood,
     }
 }
 
@@ -53,8 +53,8 @@
     // (mode, reading rows, waiting for changes, changing, whether the change is made)
     let table = [
         (StoreMode::Up, Came::Done, Came::Done, Came::Done, true),
-        (StoreMode::Busy, Came::NotDone, Came::NotDone, Came::NotDone, false),
-        (StoreMode::TooMany, Came::NotDone, Came::NotDone, Came::NotDone, false),
+        (StoreMode::Busy, Came::Unavailable, Came::Unavailable, Came::Unavailable, false),
+        (StoreMode::TooMany, Came::Unavailable, Came::Unavailable, Came::Unavailable, false),
         (StoreMode::Reset, Came::ReplyLost, Came::ReplyLost, Came::ReplyLost, false),
         (StoreMode::Silent, Came::ReplyLost, Came::ReplyLost, Came::ReplyLost, false),
         (StoreMode::LosesReplies, Came::ReplyLost, Came::ReplyLost, Came::ReplyLost, true),
@@ -80,9 +80,12 @@
     let address = nobody.local_addr().expect("an address");
     drop(nobody);
     let store = client(address);
-    assert_eq!(came(store.rows(TABLE)), Came::NotDone);
-    assert_eq!(came(store.changes(TABLE, StoreVersion::default(), Duration::ZERO)), Came::NotDone);
-    assert_eq!(came(store.change(TABLE, &put("a"))), Came::NotDone);
+    assert_eq!(came(store.rows(TABLE)), Came::Unavailable);
+    assert_eq!(
+        came(store.changes(TABLE, StoreVersion::default(), Duration::ZERO)),
+        Came::Unavailable
+    );
+    assert_eq!(came(store.change(TABLE, &put("a"))), Came::Unavailable);
 }
 
 #[test]
@@ -108,7 +111,7 @@
     let seen: Vec<_> = changes.rows.iter().map(|row| (row.key.as_str(), row.removed)).collect();
     assert_eq!(seen, [("new", false), ("z", true)]);
     standin.forget_history();
-    assert_eq!(came(store.changes(TABLE, version, Duration::ZERO)), Came::HistoryGone);
+    assert_eq!(came(store.changes(TABLE, version, Duration::ZERO)), Came::HistoryExpired);
 }
 
 #[test]
