--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -230,8 +230,9 @@
                 }
                 Ok(TransactReply::Conflict { key, row }) => {
                     let Some(at) = group.iter().position(|p| p.operation.key == key) else {
-                        let fault =
-                            PlatformError::Reply(format!("conflict on {key}, which was not asked"));
+                        let fault = PlatformError::InvalidReply(format!(
+                            "conflict on {key}, which was not asked"
+                        ));
                         group.drain(..).for_each(|p| settle(&p, Written::Fault(fault.clone())));
                         return;
                     };
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -187,13 +187,13 @@
 fn expect_done(reply: &Reply) -> Result<(), PlatformError> {
     match reply.status {
         200..=299 => Ok(()),
-        status => Err(PlatformError::Reply(format!("status {status}"))),
+        status => Err(PlatformError::InvalidReply(format!("status {status}"))),
     }
 }
 
 fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, PlatformError> {
     expect_done(reply)?;
-    serde_json::from_slice(&reply.body).map_err(|e| PlatformError::Reply(e.to_string()))
+    serde_json::from_slice(&reply.body).map_err(|e| PlatformError::InvalidReply(e.to_string()))
 }
 
 fn fault(e: ureq::Error) -> PlatformError {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -23,7 +23,7 @@
     ReplyLost(String),
     /// The reply cannot be read.
     #[error("the platform's reply cannot be read ({0}); check its version and address")]
-    Reply(String),
+    InvalidReply(String),
 }
 
 impl PlatformError {
--- a/tests/suite/store.rs
+++ b/tests/suite/store.rs
@@ -36,7 +36,7 @@
         Err(StoreError::ReplyLost(_)) => Came::ReplyLost,
         Err(StoreError::Conflict) => Came::Conflict,
         Err(StoreError::HistoryExpired) => Came::HistoryExpired,
-        Err(StoreError::Reply(_)) => Came::NotUnderstood,
+        Err(StoreError::InvalidReply(_)) => Came::NotUnderstood,
     }
 }
 
