--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -73,7 +73,7 @@
     let request_whole = sent == bytes.len();
     for _ in 0..=FOREIGN_MAX {
         let head = read_head(&mut conn, wait, caller)?;
-        let words = adapter::answers::decode(&head);
+        let words = adapter::responses::decode(&head);
         (wait.heard)(&words);
         let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
         let mut body = BodyReader::new(framing);
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -8,8 +8,8 @@
 use super::Gateway;
 use crate::{
     adapter::{
-        calls::HELD_TABLE,
         store::{Change, StoreError, StoreRow},
+        tables::HELD_TABLE,
     },
     configs::fleet::chunks::{decode, encode},
     routing::{
--- a/src/gateway/instance_table.rs
+++ b/src/gateway/instance_table.rs
@@ -5,8 +5,8 @@
 use super::{Gateway, peers};
 use crate::{
     adapter::{
-        calls::INSTANCE_TABLE,
         store::{Change, StoreError, StoreRow},
+        tables::INSTANCE_TABLE,
     },
     configs::fleet::chunks::{decode, encode},
     routing::{InstanceInfo, StoreEra, StoreVersion, startup::STARTUP_POLL_INTERVAL},
--- a/src/gateway/intent_reader.rs
+++ b/src/gateway/intent_reader.rs
@@ -9,9 +9,9 @@
 use super::{Gateway, intent_relay, peers, rollout_controller, start};
 use crate::{
     adapter::{
-        calls::{INTENT_KEY, INTENT_TABLE},
         intent, orders,
         store::{StoreError, StoreRow, StoreRows},
+        tables::{INTENT_KEY, INTENT_TABLE},
     },
     routing::{
         Confirmation, OrdersSnapshot, PackedChange, StoreVersion, WatchStep,
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -65,7 +65,7 @@
         let mut headers = HeaderMap::new();
         headers.insert("content-type", HeaderValue::from_static("text/plain"));
         if let Some(after) = self.retry_after {
-            headers.insert("retry-after", adapter::answers::retry_after(after));
+            headers.insert("retry-after", adapter::responses::retry_after(after));
         }
         let note = AnswerNote::plain(keep_alive);
         let body = self.reason.as_bytes();
--- a/src/gateway/rollout_table.rs
+++ b/src/gateway/rollout_table.rs
@@ -6,9 +6,9 @@
 use super::Gateway;
 use crate::{
     adapter::{
-        calls::{ROLLOUT_TABLE, STATUS_TABLE},
         orders,
         store::{Condition, Put, StoreError, StoreRow},
+        tables::{ROLLOUT_TABLE, STATUS_TABLE},
     },
     configs::fleet::chunks::{decode, encode},
     names::{IdError, ServiceName},
--- a/src/gateway/roster_reader.rs
+++ b/src/gateway/roster_reader.rs
@@ -11,7 +11,7 @@
     start,
 };
 use crate::{
-    adapter::{calls::SERVER_TABLE, servers::SkippedEntry, store::StoreError},
+    adapter::{servers::SkippedEntry, store::StoreError, tables::SERVER_TABLE},
     routing::{
         BackendServer, RosterRole, RosterStep, RosterWatch, StoreEra, roster::RosterChange,
         startup::STARTUP_POLL_INTERVAL,
--- a/tests/suite/notices.rs
+++ b/tests/suite/notices.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use cartvane::{
-    adapter::answers::decode,
+    adapter::responses::decode,
     link::http1::ResponseHead,
     routing::{BackendServer, Incarnation, Notice, PickError, PickRequest, Picker},
 };
