--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -396,7 +396,7 @@
         drop(flight);
         let whole = WholeAnswer {
             status: answer.head.status,
-            headers: adapter::responses::passed_on(&answer.head),
+            headers: adapter::responses::forwarded_headers(&answer.head),
             body,
         };
         self.keep_connection(&picked.server.id, answer);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -56,7 +56,7 @@
 pub fn pass(forwarding: &mut Forwarding<'_>, conn: &mut Conn, opened: Opened<'_>) -> Option<Done> {
     let mut splitter = EventSplitter::after(forwarding.request.asked.last_event.clone());
     let status = opened.answer.head.status;
-    let headers = adapter::responses::passed_on(&opened.answer.head);
+    let headers = adapter::responses::forwarded_headers(&opened.answer.head);
     let mut source = Source::new(opened);
     let first = match next_events(forwarding, &mut source, &mut splitter, conn) {
         Brought::Events(events) => events,
