--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -28,7 +28,7 @@
         traffic::{Purpose, Traffic},
     },
     metrics::Metrics,
-    platform::{Platform, embedded::Embedded, http::HttpPlatform},
+    platform::{Platform, embedded::EmbeddedPlatform, http::HttpPlatform},
     utils::usage::Usage,
     zone::homes::Candidate,
 };
@@ -36,7 +36,7 @@
 /// Opens the platform that the settings name; `traffic` is told the bytes of every exchange.
 pub(super) fn open_platform(settings: &Settings, traffic: &Traffic) -> Platform {
     match settings.platform {
-        PlatformSettings::Embedded => Embedded::new().platform(),
+        PlatformSettings::Embedded => EmbeddedPlatform::new().platform(),
         PlatformSettings::Http { table, objects, members } => {
             let timeout = settings.timeouts.platform.0;
             let credential = settings.credentials.platform.clone();
--- a/src/platform/embedded.rs
+++ b/src/platform/embedded.rs
@@ -7,14 +7,14 @@
 };
 
 use super::{
-    Expect, Member, Members, MembersPage, Objects, Operation, Platform, Row, Table, TransactReply,
-    Transaction, Write,
+    Expect, Member, MemberChanges, Members, Objects, Operation, Platform, Row, Table,
+    TransactReply, Transaction, Write,
 };
 use crate::utils::sync::lock;
 
 /// Data of the platform's services in memory.
 #[derive(Debug, Default)]
-pub struct Embedded {
+pub struct EmbeddedPlatform {
     rows: Mutex<BTreeMap<String, Row>>,
     objects: Mutex<HashMap<String, Vec<u8>>>,
     members: Mutex<MemberLog>,
@@ -26,9 +26,9 @@
     members: BTreeMap<String, (u64, Member)>,
 }
 
-impl Embedded {
+impl EmbeddedPlatform {
     /// Returns an empty platform.
-    pub fn new() -> Arc<Embedded> {
+    pub fn new() -> Arc<EmbeddedPlatform> {
         Arc::default()
     }
 
@@ -108,10 +108,10 @@
     }
 
     /// Returns the members that changed after `version`.
-    pub fn members_since(&self, version: u64) -> MembersPage {
+    pub fn members_since(&self, version: u64) -> MemberChanges {
         let log = lock(&self.members);
         let changed = log.members.values().filter(|(at, _)| *at > version);
-        MembersPage { version: log.version, changed: changed.map(|(_, m)| m.clone()).collect() }
+        MemberChanges { version: log.version, changed: changed.map(|(_, m)| m.clone()).collect() }
     }
 }
 
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -6,7 +6,8 @@
 use ureq::{Agent, Body, config::AutoHeaderValue};
 
 use super::{
-    Members, MembersPage, Objects, Platform, PlatformError, Row, Table, TransactReply, Transaction,
+    MemberChanges, Members, Objects, Platform, PlatformError, Row, Table, TransactReply,
+    Transaction,
 };
 use crate::utils::secret::Secret;
 
@@ -179,7 +180,7 @@
         Ok(Some(reply.body))
     }
 
-    fn members(&self, at: SocketAddr, version: u64) -> Result<MembersPage, PlatformError> {
+    fn members(&self, at: SocketAddr, version: u64) -> Result<MemberChanges, PlatformError> {
         parse(&self.get(at, &format!("/members?since={version}"))?)
     }
 }
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -46,14 +46,14 @@
 
 /// What changed in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct MembersPage {
+pub struct MemberChanges {
     /// Version of the list after these changes; only grows.
     pub version: u64,
     /// Members that changed since the version asked for.
     pub changed: Vec<Member>,
 }
 
-type Since = dyn Fn(u64) -> Result<MembersPage, PlatformError> + Send + Sync;
+type Since = dyn Fn(u64) -> Result<MemberChanges, PlatformError> + Send + Sync;
 
 /// The membership list.
 #[derive(Clone)]
@@ -64,7 +64,7 @@
 impl Members {
     /// Returns a list made of a closure.
     pub fn new(
-        since: impl Fn(u64) -> Result<MembersPage, PlatformError> + Send + Sync + 'static,
+        since: impl Fn(u64) -> Result<MemberChanges, PlatformError> + Send + Sync + 'static,
     ) -> Members {
         Members { since: Arc::new(since) }
     }
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// The platform does not answer.
-    pub fn since(&self, version: u64) -> Result<MembersPage, PlatformError> {
+    pub fn since(&self, version: u64) -> Result<MemberChanges, PlatformError> {
         (self.since)(version)
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -8,7 +8,7 @@
 pub mod objects;
 pub mod table;
 
-pub use members::{Member, MemberKind, MemberState, Members, MembersPage};
+pub use members::{Member, MemberChanges, MemberKind, MemberState, Members};
 pub use objects::Objects;
 pub use table::{Expect, Operation, Row, Table, TransactReply, Transaction, Write};
 
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -15,7 +15,7 @@
 use cartvane::{
     contract::token_bucket::TokenBucket,
     link::caller::Listener,
-    platform::{Member, MembersPage, Transaction, embedded::Embedded},
+    platform::{Member, MemberChanges, Transaction, embedded::EmbeddedPlatform},
     units::Rate,
     utils::sync::lock,
 };
@@ -39,7 +39,7 @@
 }
 
 struct State {
-    data: Arc<Embedded>,
+    data: Arc<EmbeddedPlatform>,
     faults: Mutex<PlatformFaults>,
     writes: Mutex<Option<TokenBucket>>,
     list: Mutex<Vec<(Instant, Member)>>,
@@ -62,7 +62,7 @@
     /// The address cannot be listened on.
     pub fn spawn(address: SocketAddr) -> io::Result<PlatformServer> {
         let state = Arc::new(State {
-            data: Embedded::new(),
+            data: EmbeddedPlatform::new(),
             faults: Mutex::default(),
             writes: Mutex::default(),
             list: Mutex::default(),
@@ -102,7 +102,7 @@
     }
 
     /// Returns the data.
-    pub fn data(&self) -> &Arc<Embedded> {
+    pub fn data(&self) -> &Arc<EmbeddedPlatform> {
         &self.state.data
     }
 
@@ -186,7 +186,7 @@
     }
 }
 
-fn members(state: &State, received: &Received) -> MembersPage {
+fn members(state: &State, received: &Received) -> MemberChanges {
     let lag = *lock(&state.lag);
     let mut list = lock(&state.list);
     // Entries that are old enough become visible, in their order.
