--- a/src/contract/membership.rs
+++ b/src/contract/membership.rs
@@ -157,7 +157,7 @@
         if tag == self.own.tag {
             return;
         }
-        if member.state == MemberState::Gone {
+        if member.state == MemberState::Removed {
             self.peers.swap_remove(&tag);
             return;
         }
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -25,8 +25,9 @@
     Live,
     /// Leaving: it takes nothing new.
     Leaving,
-    /// Gone.
-    Gone,
+    /// Removed from the list.
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// An entry of the list.
--- a/standins/src/load/scenario.rs
+++ b/standins/src/load/scenario.rs
@@ -161,7 +161,7 @@
 }
 
 fn replace_router(fleet: &mut Fleet, at: usize, id: &str) -> anyhow::Result<()> {
-    fleet.list_router(at, MemberState::Gone)?;
+    fleet.list_router(at, MemberState::Removed)?;
     fleet.routers[at].kill();
     fleet.replace_router(at, id)
 }
