--- a/src/platform/embedded.rs
+++ b/src/platform/embedded.rs
@@ -1,4 +1,4 @@
-//! The platform in memory: for a lone instance, and under the platform's stand-in.
+//! The platform's services in memory, for a single instance and for the platform's stand-in.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,7 +12,7 @@
 };
 use crate::utils::sync::lock;
 
-/// Data of the platform's services in memory.
+/// Data of the platform's services, kept in memory.
 #[derive(Debug, Default)]
 pub struct EmbeddedPlatform {
     rows: Mutex<BTreeMap<String, Row>>,
@@ -32,12 +32,12 @@
         Arc::default()
     }
 
-    /// Returns the services that work on this data.
+    /// Returns services that operate on this data.
     pub fn platform(self: &Arc<Self>) -> Platform {
         let [a, b, c, d, e, f] = std::array::from_fn(|_| Arc::clone(self));
         Platform {
             table: Table::new(
-                move |t| Ok(a.transact(t)),
+                move |transaction| Ok(a.transact(transaction)),
                 move |key| Ok(b.get(key)),
                 move |prefix, after, most| Ok(c.scan(prefix, after, most)),
             ),
@@ -57,12 +57,12 @@
         let mut rows = lock(&self.rows);
         for Operation { key, expect, .. } in &transaction.operations {
             let row = rows.get(key);
-            let holds = match expect {
+            let is_met = match expect {
                 Expect::Any => true,
                 Expect::Absent => row.is_none(),
-                Expect::Version(version) => row.is_some_and(|r| r.version == *version),
+                Expect::Version(version) => row.is_some_and(|row| row.version == *version),
             };
-            if !holds {
+            if !is_met {
                 return TransactReply::Conflict { key: key.clone(), row: row.cloned() };
             }
         }
@@ -77,7 +77,7 @@
         lock(&self.rows).get(key).cloned()
     }
 
-    /// Reads rows by prefix.
+    /// Reads up to `most` rows whose keys start with `prefix` and follow `after`, ordered by key.
     pub fn scan(&self, prefix: &str, after: &str, most: usize) -> Vec<Row> {
         let rows = lock(&self.rows);
         let from = if after < prefix { Bound::Included(prefix) } else { Bound::Excluded(after) };
@@ -85,7 +85,7 @@
         range
             .take_while(|(key, _)| key.starts_with(prefix))
             .take(most)
-            .map(|(_, r)| r.clone())
+            .map(|(_, row)| row.clone())
             .collect()
     }
 
@@ -99,7 +99,7 @@
         lock(&self.objects).get(key).cloned()
     }
 
-    /// Enters a member or replaces its entry.
+    /// Adds a member to the list or replaces its entry.
     pub fn set_member(&self, member: Member) {
         let mut log = lock(&self.members);
         log.version += 1;
@@ -110,8 +110,11 @@
     /// Returns the members that changed after `version`.
     pub fn members_since(&self, version: u64) -> MemberChanges {
         let log = lock(&self.members);
-        let changed = log.members.values().filter(|(at, _)| *at > version);
-        MemberChanges { version: log.version, changed: changed.map(|(_, m)| m.clone()).collect() }
+        let changed = log.members.values().filter(|(changed_at, _)| *changed_at > version);
+        MemberChanges {
+            version: log.version,
+            changed: changed.map(|(_, member)| member.clone()).collect(),
+        }
     }
 }
 
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP, by `ureq`.
+//! The platform's services over HTTP, with `ureq`.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,43 +11,44 @@
 };
 use crate::utils::secret::Secret;
 
-/// Largest reply read, in bytes.
-const REPLY_MAX: u64 = 64 << 20;
+/// Maximum size of a reply's body.
+const REPLY_MAX_BYTES: u64 = 64 << 20;
 
-/// Bytes of a request line and status line beside the path: `PUT  HTTP/1.1` and its like.
-const REQUEST_LINE: usize = 15;
+/// Approximate length of a request line without the path (`PUT  HTTP/1.1`), or of a status line.
+const START_LINE_BYTES: usize = 15;
 
-/// Where the services are and how they are reached.
+/// Addresses of the platform's services, and how to connect to them.
 pub struct HttpPlatform {
-    /// The table.
+    /// Address of the table.
     pub table: SocketAddr,
-    /// The object store.
+    /// Address of the object store.
     pub objects: SocketAddr,
-    /// The membership list.
+    /// Address of the membership list.
     pub members: SocketAddr,
-    /// Most time for one exchange.
+    /// Timeout for a whole call.
     pub timeout: Duration,
-    /// Credential shown.
+    /// Credential sent as a bearer token.
     pub credential: Option<Secret>,
 }
 
 struct Client {
     agent: Agent,
     credential: Option<Secret>,
-    count: Box<dyn Fn(usize, usize) + Send + Sync>,
+    record_bytes: Box<dyn Fn(usize, usize) + Send + Sync>,
 }
 
-/// A reply: status and body.
 struct Reply {
     status: u16,
     body: Vec<u8>,
 }
 
 impl HttpPlatform {
-    /// Returns the services; `count` is told the bytes sent and received of every exchange.
-    pub fn connect(self, count: impl Fn(usize, usize) + Send + Sync + 'static) -> Platform {
+    /// Returns clients of the services. `record_bytes` is called for every call with the approximate number of bytes
+    /// sent and received.
+    pub fn connect(self, record_bytes: impl Fn(usize, usize) + Send + Sync + 'static) -> Platform {
         let agent = agent(self.timeout);
-        let client = Client { agent, credential: self.credential, count: Box::new(count) };
+        let client =
+            Client { agent, credential: self.credential, record_bytes: Box::new(record_bytes) };
         let clients: [Arc<Client>; 6] = {
             let client = Arc::new(client);
             std::array::from_fn(|_| Arc::clone(&client))
@@ -69,7 +70,8 @@
     }
 }
 
-/// Returns an agent that sends each request once: no redirects, no proxy, no added headers.
+/// Returns an HTTP client that sends each request once: it follows no redirects, uses no proxy and adds no optional
+/// headers.
 pub fn agent(timeout: Duration) -> Agent {
     Agent::config_builder()
         .timeout_global(Some(timeout))
@@ -117,21 +119,31 @@
             .credential
             .as_ref()
             .map_or(0, |c| "authorization: Bearer \r\n".len() + c.expose().len());
-        let head = REQUEST_LINE
+        let head = START_LINE_BYTES
             + path.len()
             + "host: 127.0.0.1:00000\r\ncontent-length: 000\r\n\r\n".len();
         let mut response = match result {
             Ok(response) => response,
-            Err(e) => {
-                (self.count)(head + credential + sent, 0);
-                return Err(fault(e));
+            Err(error) => {
+                (self.record_bytes)(head + credential + sent, 0);
+                return Err(platform_error(error));
             }
         };
-        let head_back: usize =
-            response.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-        let body =
-            response.body_mut().with_config().limit(REPLY_MAX).read_to_vec().map_err(fault)?;
-        (self.count)(head + credential + sent, REQUEST_LINE + head_back + body.len());
+        let response_headers: usize = response
+            .headers()
+            .iter()
+            .map(|(name, value)| name.as_str().len() + value.len() + 4)
+            .sum();
+        let body = response
+            .body_mut()
+            .with_config()
+            .limit(REPLY_MAX_BYTES)
+            .read_to_vec()
+            .map_err(platform_error)?;
+        (self.record_bytes)(
+            head + credential + sent,
+            START_LINE_BYTES + response_headers + body.len(),
+        );
         let status = response.status().as_u16();
         if matches!(status, 429 | 503) {
             return Err(PlatformError::Unavailable(format!("status {status}")));
@@ -168,7 +180,7 @@
 
     fn put_object(&self, at: SocketAddr, key: &str, bytes: &[u8]) -> Result<(), PlatformError> {
         let reply = self.send(true, at, &format!("/objects/{key}"), bytes)?;
-        expect_done(&reply)
+        check_status(&reply)
     }
 
     fn get_object(&self, at: SocketAddr, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
@@ -176,7 +188,7 @@
         if reply.status == 404 {
             return Ok(None);
         }
-        expect_done(&reply)?;
+        check_status(&reply)?;
         Ok(Some(reply.body))
     }
 
@@ -185,7 +197,7 @@
     }
 }
 
-fn expect_done(reply: &Reply) -> Result<(), PlatformError> {
+fn check_status(reply: &Reply) -> Result<(), PlatformError> {
     match reply.status {
         200..=299 => Ok(()),
         status => Err(PlatformError::InvalidReply(format!("status {status}"))),
@@ -193,20 +205,22 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, PlatformError> {
-    expect_done(reply)?;
+    check_status(reply)?;
     serde_json::from_slice(&reply.body).map_err(|e| PlatformError::InvalidReply(e.to_string()))
 }
 
-fn fault(e: ureq::Error) -> PlatformError {
-    let refused = match &e {
-        ureq::Error::Io(e) => e.kind() == std::io::ErrorKind::ConnectionRefused,
+fn platform_error(error: ureq::Error) -> PlatformError {
+    let not_sent = match &error {
+        ureq::Error::Io(error) => error.kind() == std::io::ErrorKind::ConnectionRefused,
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
-        ureq::Error::Timeout(t) => matches!(t, ureq::Timeout::Connect | ureq::Timeout::Resolve),
+        ureq::Error::Timeout(timeout) => {
+            matches!(timeout, ureq::Timeout::Connect | ureq::Timeout::Resolve)
+        }
         _ => false,
     };
-    if refused {
-        PlatformError::Unavailable(e.to_string())
+    if not_sent {
+        PlatformError::Unavailable(error.to_string())
     } else {
-        PlatformError::ReplyLost(e.to_string())
+        PlatformError::ReplyLost(error.to_string())
     }
 }
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -1,4 +1,4 @@
-//! The membership list: which instances and backend servers are live or leaving, with a lag.
+//! The membership list of instances and backend servers, live or leaving. It lags behind their actual state.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,7 +7,7 @@
 use super::PlatformError;
 use crate::names::ZoneId;
 
-/// What a member is.
+/// Kind of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberKind {
@@ -17,13 +17,13 @@
     BackendServer,
 }
 
-/// How a member is.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Live.
+    /// Running.
     Live,
-    /// Leaving: it takes nothing new.
+    /// Shutting down: accepts no new requests.
     Leaving,
     /// Removed from the list.
     #[serde(rename = "gone")]
@@ -35,22 +35,22 @@
 pub struct Member {
     /// Id of the instance or backend server.
     pub id: String,
-    /// What it is.
+    /// Kind of the member.
     pub kind: MemberKind,
-    /// Where other instances reach it.
+    /// Address at which other instances reach the member.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: ZoneId,
-    /// How it is.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// What changed in the list.
+/// Changes of the membership list.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MemberChanges {
-    /// Version of the list after these changes; only grows.
+    /// Version of the list after these changes; versions only grow.
     pub version: u64,
-    /// Members that changed since the version asked for.
+    /// Members that changed since the requested version.
     pub changed: Vec<Member>,
 }
 
@@ -63,18 +63,18 @@
 }
 
 impl Members {
-    /// Returns a list made of a closure.
+    /// Returns a list whose changes come from the closure.
     pub fn new(
         since: impl Fn(u64) -> Result<MemberChanges, PlatformError> + Send + Sync + 'static,
     ) -> Members {
         Members { since: Arc::new(since) }
     }
 
-    /// Returns what changed after `version`.
+    /// Returns the changes after `version`.
     ///
     /// # Errors
     ///
-    /// The platform does not answer.
+    /// The platform is unavailable, or its reply is lost or invalid.
     pub fn since(&self, version: u64) -> Result<MemberChanges, PlatformError> {
         (self.since)(version)
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's services as plain structs of closures, with an HTTP and an embedded form.
+//! The platform's services as structs of closures, implemented over HTTP and in memory.
 //!
-//! What the HTTP form expects of the platform is written in docs/CONTRACTS.md.
+//! docs/CONTRACTS.md specifies what the HTTP implementation expects of the platform.
 
 pub mod embedded;
 pub mod http;
@@ -12,28 +12,28 @@
 pub use objects::Objects;
 pub use table::{Expect, Operation, Row, Table, TransactReply, Transaction, Write};
 
-/// Why the platform did not do what was asked.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// The platform said no, or was not reached: nothing took effect.
+    /// The platform rejected the call or could not be reached: nothing took effect.
     #[error("the platform is not available ({0}); try again when it is")]
     Unavailable(String),
-    /// No reply came: it may have taken effect.
+    /// No complete reply arrived: the call may have taken effect.
     #[error("the platform's reply was lost ({0}); read back what took effect")]
     ReplyLost(String),
-    /// The reply cannot be read.
+    /// The reply cannot be decoded, or has an unexpected status.
     #[error("the platform's reply cannot be read ({0}); check its version and address")]
     InvalidReply(String),
 }
 
 impl PlatformError {
-    /// Returns whether what was asked may have taken effect.
+    /// Returns whether the call may have taken effect.
     pub fn may_have_taken_effect(&self) -> bool {
         !matches!(self, PlatformError::Unavailable(_))
     }
 }
 
-/// The platform's three services.
+/// Clients of the platform's services.
 #[derive(Clone)]
 pub struct Platform {
     /// The transactional table.
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object store: whole objects by key.
+//! The object store, which stores and returns whole objects by key.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 }
 
 impl Objects {
-    /// Returns a store made of two closures.
+    /// Returns an object store whose operations call the closures.
     pub fn new(
         put: impl Fn(&str, &[u8]) -> Result<(), PlatformError> + Send + Sync + 'static,
         get: impl Fn(&str) -> Result<Option<Vec<u8>>, PlatformError> + Send + Sync + 'static,
@@ -23,20 +23,21 @@
         Objects { put: Arc::new(put), get: Arc::new(get) }
     }
 
-    /// Stores an object, replacing what was there.
+    /// Stores an object, replacing an earlier one with the same key.
     ///
     /// # Errors
     ///
-    /// [`PlatformFault::ReplyLost`] when it may be stored; storing it again does no harm.
+    /// The object may have been stored if [`PlatformError::may_have_taken_effect`] returns true. It is safe to store it
+    /// again.
     pub fn put(&self, key: &str, bytes: &[u8]) -> Result<(), PlatformError> {
         (self.put)(key, bytes)
     }
 
-    /// Reads an object; `None` when it is not there.
+    /// Reads an object; `None` if there is no object with this key.
     ///
     /// # Errors
     ///
-    /// The platform does not answer.
+    /// The platform is unavailable, or its reply is lost or invalid.
     pub fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
         (self.get)(key)
     }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table: rows with versions, conditional writes of several rows at once.
+//! The transactional table, whose rows have versions. A transaction writes several rows under conditions.
 
 use std::sync::Arc;
 
@@ -11,65 +11,65 @@
 pub struct Row {
     /// Key.
     pub key: String,
-    /// Content.
+    /// Value.
     #[serde(with = "base64_text")]
     pub value: Vec<u8>,
-    /// Number of writes the row has seen; 1 after the first.
+    /// Number of writes to the row; 1 after the first.
     pub version: u64,
 }
 
-/// What a row must be for a transaction to take effect.
+/// Condition on a row under which a transaction takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Expect {
-    /// Anything.
+    /// No condition.
     Any,
-    /// Not there.
+    /// The row does not exist.
     Absent,
-    /// There, with this version.
+    /// The row exists and has this version.
     Version(u64),
 }
 
-/// What becomes of a row.
+/// Effect of a transaction on a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Write {
-    /// Gets this content.
+    /// Sets the value.
     #[serde(with = "base64_text")]
     Put(Vec<u8>),
-    /// Goes away.
+    /// Deletes the row.
     Delete,
-    /// Stays.
+    /// Leaves the row unchanged.
     Keep,
 }
 
-/// One row's part of a transaction.
+/// Part of a transaction that concerns one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operation {
     /// Key of the row.
     pub key: String,
-    /// Condition.
+    /// Condition on the row.
     pub expect: Expect,
-    /// Effect.
+    /// Effect on the row.
     pub write: Write,
 }
 
 impl Operation {
-    /// Returns the operation that creates a row which must not be there.
+    /// Returns an operation that creates a row, on condition that it does not exist.
     pub fn create(key: impl Into<String>, value: Vec<u8>) -> Operation {
         Operation { key: key.into(), expect: Expect::Absent, write: Write::Put(value) }
     }
 
-    /// Returns the operation that replaces a row of a known version.
+    /// Returns an operation that replaces a row's value, on condition that the row has `version`.
     pub fn replace(key: impl Into<String>, version: u64, value: Vec<u8>) -> Operation {
         Operation { key: key.into(), expect: Expect::Version(version), write: Write::Put(value) }
     }
 }
 
-/// Operations that take effect together or not at all.
+/// Operations of which either all or none take effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// The operations, each on a row of its own.
+    /// The operations, each on a different row.
     pub operations: Vec<Operation>,
 }
 
@@ -77,13 +77,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TransactReply {
-    /// All took effect.
+    /// All operations took effect.
     Committed,
-    /// None took effect: a condition did not hold.
+    /// No operation took effect because a condition was not met.
     Conflict {
-        /// Key of the first row whose condition did not hold.
+        /// Key of the first row whose condition was not met.
         key: String,
-        /// That row, if it is there.
+        /// That row, if it exists.
         row: Option<Row>,
     },
 }
@@ -101,7 +101,7 @@
 }
 
 impl Table {
-    /// Returns a table made of three closures.
+    /// Returns a table whose operations call the closures.
     pub fn new(
         transact: impl Fn(&Transaction) -> Result<TransactReply, PlatformError> + Send + Sync + 'static,
         get: impl Fn(&str) -> Result<Option<Row>, PlatformError> + Send + Sync + 'static,
@@ -114,25 +114,25 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformFault::ReplyLost`] when it may have taken effect, else nothing did.
+    /// The transaction may have taken effect if [`PlatformError::may_have_taken_effect`] returns true.
     pub fn transact(&self, operations: Vec<Operation>) -> Result<TransactReply, PlatformError> {
         (self.transact)(&Transaction { operations })
     }
 
-    /// Reads a row.
+    /// Reads a row; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// The platform does not answer.
+    /// The platform is unavailable, or its reply is lost or invalid.
     pub fn get(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         (self.get)(key)
     }
 
-    /// Reads up to `most` rows whose keys start with `prefix` and follow `after`, by key.
+    /// Reads up to `most` rows whose keys start with `prefix` and follow `after`, ordered by key.
     ///
     /// # Errors
     ///
-    /// The platform does not answer.
+    /// The platform is unavailable, or its reply is lost or invalid.
     pub fn scan(&self, prefix: &str, after: &str, most: usize) -> Result<Vec<Row>, PlatformError> {
         (self.scan)(prefix, after, most)
     }
