--- a/tests/suite/platform.rs
+++ b/tests/suite/platform.rs
@@ -1,4 +1,4 @@
-//! What the adapter decodes, and what it makes of bad input.
+//! Decoding of the platform's formats by the adapter, with valid and with invalid input.
 
 use std::time::Duration;
 
@@ -34,30 +34,30 @@
 
 #[test]
 fn settings_are_decoded_and_unknown_fields_ignored() {
-    let decoded = decode(&boot()).expect("good settings");
+    let decoded = decode(&boot()).expect("valid settings");
     assert_eq!(decoded.node.as_str(), "edge-north-1");
     assert_eq!(decoded.addresses.peers.port(), 3);
     assert_eq!(decoded.bounds.grace, Duration::from_secs(8));
     assert!((decoded.cores - 0.5).abs() < 1e-6);
     assert_eq!(decoded.body_bytes, 65 << 20, "a quarter of 260 MB");
     assert_eq!(decoded.roster_period(), Duration::from_millis(400));
-    assert!(!decoded.first_start, "what is not said is not assumed");
+    assert!(!decoded.first_start, "bootstrap is false by default");
     let mut first = boot();
     first["bootstrap"] = true.into();
-    assert!(decode(&first).expect("good settings").first_start);
+    assert!(decode(&first).expect("valid settings").first_start);
 }
 
 #[test]
-fn bad_settings_are_refused_with_the_place() {
+fn invalid_settings_are_rejected_with_the_field() {
     let without = |pointer: &str, name: &str| {
         let mut boot = boot();
-        let parent = boot.pointer_mut(pointer).expect("a place");
+        let parent = boot.pointer_mut(pointer).expect("a field");
         parent.as_object_mut().expect("an object").remove(name);
         boot
     };
     let with = |pointer: &str, value: Value| {
         let mut boot = boot();
-        *boot.pointer_mut(pointer).expect("a place") = value;
+        *boot.pointer_mut(pointer).expect("a field") = value;
         boot
     };
     let cases = [
@@ -72,9 +72,9 @@
         (with("/limits/max_fds", json!("many")), "line"),
         (with("/limits/memory_mb", json!(-1)), "memory_mb"),
     ];
-    for (boot, told) in cases {
-        let fault = decode(&boot).expect_err(told);
-        assert!(fault.contains(told), "{fault:?} does not tell of {told:?}");
+    for (boot, expected) in cases {
+        let error = decode(&boot).expect_err(expected);
+        assert!(error.contains(expected), "{error:?} does not contain {expected:?}");
     }
     for text in [&b""[..], b"\xff\xfe", b"[[[[", b"{\"node_name\":"] {
         assert!(settings::decode(text, "boot.json").is_err());
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_intent_is_decoded_and_what_is_odd_in_it_left_out() {
+fn an_intent_is_decoded_without_its_invalid_parts() {
     let text = json!({
         "version": 7,
         "routes": [
@@ -106,8 +106,8 @@
     });
     let text = text.to_string();
     let Ok(decoded) = intent::decode(text.as_bytes()) else {
-        // A team without a name is no reason to refuse the whole.
-        panic!("the intent is refused");
+        // A team with an empty name must not invalidate the whole intent.
+        panic!("the intent is rejected");
     };
     assert_eq!((decoded.version, decoded.routes.len(), decoded.services.len()), (7, 2, 2));
     let route = decoded.routes.find("h.example", "/a/x").expect("a route");
@@ -124,25 +124,25 @@
 }
 
 #[test]
-fn entries_of_servers_are_decoded_and_odd_ones_left_out() {
+fn server_entries_are_decoded_and_invalid_ones_skipped() {
     let row = |key: &str, value: Value| StoreRow {
         key: key.to_owned(),
         value: value.to_string().into_bytes(),
         version: 1,
         removed: false,
     };
-    let good = json!({
+    let valid = json!({
         "service": "llm", "address": "10.0.0.1:80", "zone": "z", "state": "draining",
         "version": "v1", "slots": 8, "cold_remaining_ms": 0, "seq": 4, "later": {"of": ["now"]}
     });
-    let mut born = good.clone();
-    born["born"] = 1_764_720_000_000_u64.into();
+    let mut with_start_time = valid.clone();
+    with_start_time["born"] = 1_764_720_000_000_u64.into();
     let rows = [
-        row("a", good.clone()),
-        row("", good.clone()),
+        row("a", valid.clone()),
+        row("", valid.clone()),
         row("b", json!({"service": "llm"})),
-        StoreRow { removed: true, ..row("c", good) },
-        row("d", born),
+        StoreRow { removed: true, ..row("c", valid) },
+        row("d", with_start_time),
     ];
     let entries = servers::decode_all(&rows);
     let list = &entries.servers;
@@ -154,18 +154,18 @@
 }
 
 #[test]
-fn prompts_are_decoded_as_far_as_they_go() {
-    let shared = |text: &str| prompt::affinity(&prompt::decode(text));
-    assert_eq!(shared("5c1e07a2:800,91bd3f06:410,e4402b7d:250"), Some(0x91bd_3f06));
-    assert_eq!(shared("5c1e07a2:800"), Some(0x5c1e_07a2));
-    assert_eq!(shared(""), None);
-    assert_eq!(shared("zz:1,5:2"), None);
-    assert_eq!(shared("5:1,6:x,7:1"), Some(5));
+fn prompts_are_decoded_up_to_the_first_invalid_part() {
+    let affinity = |text: &str| prompt::affinity(&prompt::decode(text));
+    assert_eq!(affinity("5c1e07a2:800,91bd3f06:410,e4402b7d:250"), Some(0x91bd_3f06));
+    assert_eq!(affinity("5c1e07a2:800"), Some(0x5c1e_07a2));
+    assert_eq!(affinity(""), None);
+    assert_eq!(affinity("zz:1,5:2"), None);
+    assert_eq!(affinity("5:1,6:x,7:1"), Some(5));
     assert!(prompt::decode(&"1:1,".repeat(1000)).len() < 100);
 }
 
 #[test]
-fn a_server_gets_the_callers_headers_and_ours() {
+fn a_server_gets_the_callers_headers_and_those_of_the_router() {
     let head = RequestHead::parse(
         b"POST /a HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Model: m\r\nX-Token-Count: 5,6\r\n\
           X-Prefix-Hash: 1:2\r\nAuthorization: Bearer k\r\nKv-From: 1.1.1.1:1/x\r\n\
@@ -197,7 +197,7 @@
     assert_eq!(text("x-model"), "m");
     assert_eq!(text("x-token-count"), "5,6");
     assert_eq!(text("x-prefix-hash"), "1:2");
-    for gone in ["authorization", "kv-from", "transfer-encoding", "content-length"] {
-        assert_eq!(text(gone), "", "{gone}");
+    for removed in ["authorization", "kv-from", "transfer-encoding", "content-length"] {
+        assert_eq!(text(removed), "", "{removed}");
     }
 }
--- a/tests/suite/store.rs
+++ b/tests/suite/store.rs
@@ -1,4 +1,5 @@
-//! Each call of the platform's store, met by each fault: what the client makes of it.
+//! The client of the platform's store: its result for each call under each fault of the store, paging, transactions,
+//! and rate limits.
 
 use std::{
     net::SocketAddr,
@@ -18,25 +19,25 @@
 
 const TABLE: &str = "things";
 
-/// What a call came to.
+/// Result of a call, without details.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Came {
+enum Outcome {
     Done,
     Unavailable,
     ReplyLost,
     Conflict,
     HistoryExpired,
-    NotUnderstood,
+    InvalidReply,
 }
 
-fn came<T>(result: Result<T, StoreError>) -> Came {
+fn outcome<T>(result: Result<T, StoreError>) -> Outcome {
     match result {
-        Ok(_) => Came::Done,
-        Err(StoreError::Unavailable(_)) => Came::Unavailable,
-        Err(StoreError::ReplyLost(_)) => Came::ReplyLost,
-        Err(StoreError::Conflict) => Came::Conflict,
-        Err(StoreError::HistoryExpired) => Came::HistoryExpired,
-        Err(StoreError::InvalidReply(_)) => Came::NotUnderstood,
+        Ok(_) => Outcome::Done,
+        Err(StoreError::Unavailable(_)) => Outcome::Unavailable,
+        Err(StoreError::ReplyLost(_)) => Outcome::ReplyLost,
+        Err(StoreError::Conflict) => Outcome::Conflict,
+        Err(StoreError::HistoryExpired) => Outcome::HistoryExpired,
+        Err(StoreError::InvalidReply(_)) => Outcome::InvalidReply,
     }
 }
 
@@ -49,47 +50,63 @@
 }
 
 #[test]
-fn every_fault_of_the_store_is_told_apart_for_every_call() {
-    // (mode, reading rows, waiting for changes, changing, whether the change is made)
+fn each_fault_of_the_store_gives_its_error_for_each_call() {
+    // (mode, outcome of `rows`, of `changes` and of `change`, whether the change takes effect)
     let table = [
-        (StoreMode::Up, Came::Done, Came::Done, Came::Done, true),
-        (StoreMode::Busy, Came::Unavailable, Came::Unavailable, Came::Unavailable, false),
-        (StoreMode::TooMany, Came::Unavailable, Came::Unavailable, Came::Unavailable, false),
-        (StoreMode::Reset, Came::ReplyLost, Came::ReplyLost, Came::ReplyLost, false),
-        (StoreMode::Silent, Came::ReplyLost, Came::ReplyLost, Came::ReplyLost, false),
-        (StoreMode::LosesReplies, Came::ReplyLost, Came::ReplyLost, Came::ReplyLost, true),
-        (StoreMode::Garbage, Came::NotUnderstood, Came::NotUnderstood, Came::NotUnderstood, false),
-        (StoreMode::Slow(50), Came::Done, Came::Done, Came::Done, true),
+        (StoreMode::Up, Outcome::Done, Outcome::Done, Outcome::Done, true),
+        (StoreMode::Busy, Outcome::Unavailable, Outcome::Unavailable, Outcome::Unavailable, false),
+        (
+            StoreMode::TooMany,
+            Outcome::Unavailable,
+            Outcome::Unavailable,
+            Outcome::Unavailable,
+            false,
+        ),
+        (StoreMode::Reset, Outcome::ReplyLost, Outcome::ReplyLost, Outcome::ReplyLost, false),
+        (StoreMode::Silent, Outcome::ReplyLost, Outcome::ReplyLost, Outcome::ReplyLost, false),
+        (StoreMode::LosesReplies, Outcome::ReplyLost, Outcome::ReplyLost, Outcome::ReplyLost, true),
+        (
+            StoreMode::Garbage,
+            Outcome::InvalidReply,
+            Outcome::InvalidReply,
+            Outcome::InvalidReply,
+            false,
+        ),
+        (StoreMode::Slow(50), Outcome::Done, Outcome::Done, Outcome::Done, true),
     ];
-    for (mode, rows, changes, change, made) in table {
+    for (mode, rows, changes, change, takes_effect) in table {
         let standin = StoreStandIn::spawn().expect("a store");
         standin.put(TABLE, "a", &json!(1));
         let store = client(standin.address());
         standin.set_mode(mode);
-        assert_eq!(came(store.rows(TABLE)), rows, "rows, {mode:?}");
+        assert_eq!(outcome(store.rows(TABLE)), rows, "rows, {mode:?}");
         let waited = store.changes(TABLE, StoreVersion::default(), Duration::from_millis(20));
-        assert_eq!(came(waited), changes, "changes, {mode:?}");
-        assert_eq!(came(store.change(TABLE, &put("b"))), change, "change, {mode:?}");
-        assert_eq!(standin.keys(TABLE).contains(&"b".to_owned()), made, "made, {mode:?}");
+        assert_eq!(outcome(waited), changes, "changes, {mode:?}");
+        assert_eq!(outcome(store.change(TABLE, &put("b"))), change, "change, {mode:?}");
+        assert_eq!(
+            standin.keys(TABLE).contains(&"b".to_owned()),
+            takes_effect,
+            "takes effect, {mode:?}"
+        );
     }
 }
 
 #[test]
-fn a_store_that_is_not_reached_has_done_nothing() {
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = nobody.local_addr().expect("an address");
-    drop(nobody);
+fn a_store_that_refuses_connections_is_unavailable() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    drop(listener);
     let store = client(address);
-    assert_eq!(came(store.rows(TABLE)), Came::Unavailable);
+    assert_eq!(outcome(store.rows(TABLE)), Outcome::Unavailable);
     assert_eq!(
-        came(store.changes(TABLE, StoreVersion::default(), Duration::ZERO)),
-        Came::Unavailable
+        outcome(store.changes(TABLE, StoreVersion::default(), Duration::ZERO)),
+        Outcome::Unavailable
     );
-    assert_eq!(came(store.change(TABLE, &put("a"))), Came::Unavailable);
+    assert_eq!(outcome(store.change(TABLE, &put("a"))), Outcome::Unavailable);
 }
 
 #[test]
-fn rows_are_read_page_by_page_and_changes_follow_on() {
+fn rows_are_read_in_pages_and_changes_after_their_version() {
     let standin = StoreStandIn::spawn().expect("a store");
     let keys = ["a", "a b", "a%b", "a/b", "\u{e9}t\u{e9}", "z"];
     keys.iter().for_each(|key| standin.put(TABLE, key, &json!(key)));
@@ -102,35 +119,35 @@
         read.sort_unstable();
         let mut all = keys.to_vec();
         all.sort_unstable();
-        assert_eq!(read, all, "pages of {page}");
+        assert_eq!(read, all, "pages of {page} rows");
     }
     let version = store.rows(TABLE).expect("rows").version;
     standin.put(TABLE, "new", &json!(2));
     standin.remove(TABLE, "z");
     let changes = store.changes(TABLE, version, Duration::from_secs(1)).expect("changes");
-    let seen: Vec<_> = changes.rows.iter().map(|row| (row.key.as_str(), row.removed)).collect();
-    assert_eq!(seen, [("new", false), ("z", true)]);
+    let changed: Vec<_> = changes.rows.iter().map(|row| (row.key.as_str(), row.removed)).collect();
+    assert_eq!(changed, [("new", false), ("z", true)]);
     standin.forget_history();
-    assert_eq!(came(store.changes(TABLE, version, Duration::ZERO)), Came::HistoryExpired);
+    assert_eq!(outcome(store.changes(TABLE, version, Duration::ZERO)), Outcome::HistoryExpired);
 }
 
 #[test]
-fn a_change_is_made_as_a_whole_and_every_call_waits_for_its_turn() {
+fn a_change_is_atomic_and_every_call_is_throttled() {
     let standin = StoreStandIn::spawn().expect("a store");
-    let asked: Arc<Mutex<Vec<CallKind>>> = Arc::default();
-    let noted = Arc::clone(&asked);
-    let pace = move |kind| noted.lock().expect("the calls").push(kind);
+    let calls: Arc<Mutex<Vec<CallKind>>> = Arc::default();
+    let recorded = Arc::clone(&calls);
+    let throttle = move |kind| recorded.lock().expect("the calls").push(kind);
     let metrics = Metrics::new().expect("metrics");
-    let store = Store::new(standin.address(), Clock::system(), metrics, pace);
+    let store = Store::new(standin.address(), Clock::system(), metrics, throttle);
     standin.put(TABLE, "old", &json!(1));
     let both = [Change::Put { key: "new", value: b"" }, Change::Remove { key: "old" }];
-    store.change(TABLE, &both).expect("made");
+    store.change(TABLE, &both).expect("a version");
     assert_eq!(standin.keys(TABLE), ["new"]);
     standin.put(TABLE, "more", &json!(1));
     standin.set_page(1);
     store.rows(TABLE).expect("rows");
-    let asked = asked.lock().expect("the calls").clone();
-    assert_eq!(asked, [CallKind::Write, CallKind::Read, CallKind::Read], "one for each page");
+    let calls = calls.lock().expect("the calls").clone();
+    assert_eq!(calls, [CallKind::Write, CallKind::Read, CallKind::Read], "one read per page");
 }
 
 #[test]
@@ -140,21 +157,24 @@
     for instances in [1, 8, 80, 360] {
         let mut share = StoreShare::new(rates, start);
         share.set_instances(instances);
-        let taken = |kind: CallKind, share: &mut StoreShare| {
+        let admitted = |kind: CallKind, share: &mut StoreShare| {
             let times = (0..10_000).map(|ms| start + Duration::from_millis(ms));
             times.filter(|&now| share.take(now, kind).is_ok()).count()
         };
-        let reads = taken(CallKind::Read, &mut share);
-        let writes = taken(CallKind::Write, &mut share);
-        assert!(reads >= 40 && writes >= 40, "{instances}: each can read its knowledge");
-        // A full bucket at the start, then ten seconds.
-        assert!(reads * instances <= 11 * 2000, "{instances}: {reads} reads");
-        assert!(instances > 80 || writes * instances <= 11 * 400, "{instances}: {writes} writes");
+        let reads = admitted(CallKind::Read, &mut share);
+        let writes = admitted(CallKind::Write, &mut share);
+        assert!(reads >= 40 && writes >= 40, "{instances} instances: each can read what it needs");
+        // The bucket is full at the start and is refilled for ten seconds.
+        assert!(reads * instances <= 11 * 2000, "{instances} instances: {reads} reads each");
+        assert!(
+            instances > 80 || writes * instances <= 11 * 400,
+            "{instances} instances: {writes} writes each"
+        );
     }
 }
 
 #[test]
-fn a_row_that_has_changed_meanwhile_is_not_overwritten() {
+fn a_conditional_write_does_not_overwrite_a_changed_row() {
     let store = StoreStandIn::spawn().expect("a store");
     let client = client(store.address());
     let write = |version, value: &str| {
@@ -165,10 +185,10 @@
         ];
         client.put_if(&condition, &puts)
     };
-    let first = write(0, "1").expect("there is no row yet").counter;
-    assert_eq!(came(write(0, "2")), Came::Conflict);
+    let first = write(0, "1").expect("the row does not exist yet").counter;
+    assert_eq!(outcome(write(0, "2")), Outcome::Conflict);
     assert_eq!(store.value("others", "b"), Some(json!(1)), "all or nothing");
-    assert_eq!(came(write(first, "3")), Came::Done);
-    assert_eq!(came(write(first, "4")), Came::Conflict);
+    assert_eq!(outcome(write(first, "3")), Outcome::Done);
+    assert_eq!(outcome(write(first, "4")), Outcome::Conflict);
     assert_eq!(store.value("others", "b"), Some(json!(3)));
 }
