--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,16 +4,16 @@
 //! `stream` forwards events. `intent_reader`, `roster_reader` and `peers` keep `cluster_state` up to date. By
 //! `instance_table`, instances discover each other.
 
+pub mod attempts;
 pub mod cluster_state;
 pub mod cold_permits;
 pub mod connection;
 pub mod crash_suspects;
 pub mod drain;
-pub mod exchange;
-pub mod flight;
 pub mod forward;
 pub mod handle;
 pub mod held_table;
+pub mod in_flight;
 pub mod instance_table;
 pub mod intent_reader;
 pub mod intent_relay;
@@ -23,21 +23,21 @@
 pub mod notices;
 pub mod peer_server;
 pub mod peers;
-pub mod reply;
+pub mod pick_error;
 pub mod request;
+pub mod response;
 pub mod rollout_controller;
 pub mod rollout_table;
 pub mod rollouts;
 pub mod roster_reader;
+pub mod server_call;
 pub mod server_conns;
 pub mod server_list_cache;
 pub mod settings;
-pub mod silence;
 pub mod skipped_log;
-pub mod start;
+pub mod stall_timer;
+pub mod startup;
 pub mod stream;
-pub mod tries;
-pub mod unpicked;
 
 use std::{
     collections::HashSet,
@@ -52,7 +52,7 @@
 pub use self::handle::GatewayHandle;
 use self::{
     cluster_state::ClusterState, cold_permits::ColdPermits, crash_suspects::CrashSuspects,
-    drain::Drain, flight::Flight, peers::Peers, request::Request, rollouts::Rollouts,
+    drain::Drain, in_flight::InFlightGuard, peers::Peers, request::Request, rollouts::Rollouts,
     server_conns::ServerConns, server_list_cache::ServerListCache, settings::GatewaySettings,
     skipped_log::SkippedLog,
 };
@@ -102,7 +102,7 @@
     /// Requests in flight and bytes of their bodies.
     pub usage: Usage,
     /// Start of this process, unless all instances start for the first time.
-    restarted: Option<Instant>,
+    restarted_at: Option<Instant>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
     store_share: Arc<Mutex<StoreShare>>,
     store_lost: Mutex<bool>,
@@ -135,7 +135,7 @@
             drain: Drain::open().context("cannot create a pipe")?,
             store_read_requested: Signal::default(),
             usage: Usage::default(),
-            restarted: (!settings.first_start).then(|| clock.now()),
+            restarted_at: (!settings.first_start).then(|| clock.now()),
             budgets: Mutex::default(),
             store_lost: Mutex::default(),
             skipped_log: Mutex::default(),
@@ -177,12 +177,12 @@
         &self,
         now: Instant,
         wanted: &PickRequest<'_>,
-    ) -> Result<(Picked, Flight<'_>), PickError> {
+    ) -> Result<(Picked, InFlightGuard<'_>), PickError> {
         let mut picker = lock(&self.picker);
         let picked = picker.pick(now, wanted)?;
         let server = picked.server.id.clone();
         picker.start_request(now, &server);
-        Ok((picked, Flight { gateway: self, server }))
+        Ok((picked, InFlightGuard { gateway: self, server }))
     }
 
     /// Returns whether the budget of `service` has a retry left beyond `reserve`.
@@ -222,7 +222,7 @@
         budgets: &'b mut IndexMap<ServiceName, RetryBudget>,
         service: &ServiceName,
     ) -> &'b mut RetryBudget {
-        budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(self.restarted))
+        budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(self.restarted_at))
     }
 
     /// Returns the maximum number of connections that a server of `service` accepts from all instances together.
@@ -254,21 +254,21 @@
     /// evacuated do, and roll-outs start or stop. Returns whether anything has changed.
     pub fn refresh_orders(&self) -> bool {
         let now = self.clock.now();
-        let (zones, former, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
-            let former = lock(&self.picker).set_evacuated(orders.zones.clone());
-            (orders.zones, former, self.rollouts.set_orders(self, &orders.rollouts))
+        let (zones, previous, rollouts_changed) = self.cluster_state.apply_orders(now, |orders| {
+            let previous = lock(&self.picker).set_evacuated(orders.zones.clone());
+            (orders.zones, previous, self.rollouts.set_orders(self, &orders.rollouts))
         });
-        for zone in zones.difference(&former) {
+        for zone in zones.difference(&previous) {
             log::warn!("event=zone_evacuated zone={zone}");
         }
-        for zone in former.difference(&zones) {
+        for zone in previous.difference(&zones) {
             log::warn!("event=zone_taken_back zone={zone}");
-            let lasts =
+            let duration =
                 |service: &ServiceName| self.cold_terms(service).map(|terms| terms.duration);
-            self.cluster_state.assume_cold(now, zone, lasts);
+            self.cluster_state.assume_cold(now, zone, duration);
             self.servers_changed();
         }
-        zones != former || rollouts_changed
+        zones != previous || rollouts_changed
     }
 
     /// Removes a server whose address now belongs to another one.
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -8,14 +8,14 @@
 
 use crate::{
     clock::Clock,
-    contract::permit::{Held, PermitId, Reply},
+    contract::permit::{AnnouncedPermit, PermitId, Reply},
     instance::knowledge::snapshot::Snapshot,
     link::wire::{Announcement, Hello, Memory, NumberedReply, ReplyWire, ShardBatch, short},
     names::Tag,
     utils::sync::lock,
     zone::{
-        hand_over::ContextMove,
-        home::{Action, Event, Home, HomeTerms, ShardLoad},
+        context_moves::ContextMove,
+        home::{Action, Event, Home, HomeSettings, ShardLoad},
         rendezvous::ChatKey,
         shard::{Shard, ShardId},
     },
@@ -113,17 +113,19 @@
             }
             if let Some(Announcement { held, pending }) = batch.announce {
                 let full = |number: u32| hello.permit(number).number;
-                let held =
-                    held.into_iter().map(|h| Held { number: full(short(h.number)), ..h }).collect();
+                let held = held
+                    .into_iter()
+                    .map(|h| AnnouncedPermit { number: full(short(h.number)), ..h })
+                    .collect();
                 let pending = pending.into_iter().map(full).collect();
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
             }
             if let Some(held) = batch.held {
-                actions.extend(home.handle(now, Event::Count(hello.from, held as usize)));
+                actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
             for ask in batch.asks {
                 let terms = snapshot.team_terms(ask.team);
-                actions.extend(home.handle(now, Event::Ask(ask.into_ask(hello), terms)));
+                actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), terms)));
             }
         }
         Some(self.carry_out(actions, Some(hello.from)))
@@ -170,7 +172,7 @@
             };
             let Some(terms) = self.terms(id, snapshot) else { continue };
             let mut home = lock(&slot.home);
-            let mut actions = home.handle(now, Event::Terms(terms));
+            let mut actions = home.handle(now, Event::Settings(terms));
             actions.extend(home.handle(now, Event::Engines(shard.engines.clone())));
             drop(home);
             self.carry_out(actions, None);
@@ -232,9 +234,9 @@
             let Some(to) = snapshot.shard(id).and_then(&replica_of) else { continue };
             let mut home = lock(&slot.home);
             if lock(&slot.replica).replace(to) != Some(to) {
-                home.memory_mut().tell_all();
+                home.chat_locations_mut().mark_all_unreplicated();
             }
-            let places = home.memory_mut().take_untold(most);
+            let places = home.chat_locations_mut().take_unreplicated(most);
             if !places.is_empty() {
                 told.push((to, Memory { shard: id, places }));
             }
@@ -247,7 +249,7 @@
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
-        lock(&slot.home).handle(now, Event::Remember(memory.places));
+        lock(&slot.home).handle(now, Event::ReplicatedChats(memory.places));
     }
 
     fn all_slots(&self) -> Vec<(ShardId, Arc<Slot>)> {
@@ -268,7 +270,7 @@
             is_home: home.is_home(),
             bound: home.bound(now),
             queued: home.queued(),
-            remembered: home.remembered(),
+            remembered: home.chat_count(),
             engines: home
                 .engines()
                 .map(|e| EngineStatus {
@@ -309,13 +311,13 @@
         Some(Arc::clone(slots.entry(id).or_insert(slot)))
     }
 
-    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeTerms> {
+    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeSettings> {
         let service = &snapshot.service_by_tag(id.service)?.service;
-        Some(HomeTerms {
+        Some(HomeSettings {
             load_bound: service.load_bound,
-            queue: service.queue as usize,
-            remembered: self.remembered,
-            patience: service.patience.0,
+            queue_max: service.queue as usize,
+            chats_max: self.remembered,
+            affinity_wait: service.patience.0,
         })
     }
 
@@ -324,7 +326,7 @@
         let mut answer = BatchAnswer::default();
         for action in actions {
             match action {
-                Action::WantAnnouncement(_) => answer.want_announcement = true,
+                Action::RequestAnnouncement(_) => answer.want_announcement = true,
                 Action::Reply(id, reply) if Some(id.entry) == at_hand => {
                     let reply = ReplyWire::of(reply);
                     answer.replies.push(NumberedReply { number: short(id.number), reply });
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -83,7 +83,7 @@
     end.sender.cut();
     let Some(hello) = entry else { return };
     if shared.home_links.remove_entry(hello.from, &end) {
-        shared.homes.each(|_| vec![Event::EntryCut(hello.from)]);
+        shared.homes.each(|_| vec![Event::EntryDisconnected(hello.from)]);
     }
 }
 
@@ -136,7 +136,7 @@
         // A home whose process has ended refuses at once; permits then move without waiting for
         // the next ask to find out.
         if open(&shared, home).is_none() {
-            lock(&shared.membership).failed(shared.clock.now(), home);
+            lock(&shared.membership).note_failure(shared.clock.now(), home);
         }
     }
 }
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/place.rs
@@ -6,7 +6,7 @@
     configs::fleet::{Service, service::Placement},
     contract::{
         outcome::Refusal,
-        permit::{Ask, RefuseReason, ReleaseKind, Reply},
+        permit::{PermitRequest, RefuseReason, ReleaseKind, Reply},
     },
     instance::{
         knowledge::snapshot::ServiceView,
@@ -107,7 +107,10 @@
         Place::Permit(permit) => shared.desk.release(permit, kind, load),
         Place::Alone(engine) => {
             let now = shared.clock.now();
-            lock(&shared.baselines).entry(service.id.clone()).or_default().ended(now, engine, load);
+            lock(&shared.baselines)
+                .entry(service.id.clone())
+                .or_default()
+                .finish_request(now, engine, load);
         }
     }
 }
@@ -130,7 +133,7 @@
             view.service.id.as_str(),
         )
     })?;
-    baseline.started(engine);
+    baseline.start_request(engine);
     Ok(Place::Alone(engine))
 }
 
@@ -155,15 +158,15 @@
         let id = self.shared.desk.next_id();
         loop {
             let now = self.shared.clock.now();
-            let left = self.request.deadline.saturating_duration_since(now);
-            if left.is_zero() {
+            let time_left = self.request.deadline.saturating_duration_since(now);
+            if time_left.is_zero() {
                 return Err(AskEnd::Deadline);
             }
-            let ask = Ask {
+            let ask = PermitRequest {
                 id,
                 chat: self.chat,
                 team: self.team,
-                left,
+                time_left,
                 hint: self.hint,
                 avoid: self.avoid.to_vec(),
                 may_spill,
@@ -174,7 +177,7 @@
                 return end;
             }
             self.lost += 1;
-            lock(&self.shared.membership).failed(now, home);
+            lock(&self.shared.membership).note_failure(now, home);
         }
     }
 }
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock::Clock,
     configs::settings::Settings,
-    contract::{membership::Membership, retry::RetryBudget, revision::InForce},
+    contract::{membership::Membership, retry::RetryBudget, revision::ActiveRevision},
     instance::{
         homes::{links::HomeLinks, order_state::Orders, shards::HomeShards, table::HomeTable},
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
@@ -57,7 +57,7 @@
     /// The file in force, ready for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
     /// Which file is in force.
-    pub in_force: Mutex<InForce>,
+    pub in_force: Mutex<ActiveRevision>,
     /// Objects of the file in force and the one before.
     pub objects: ObjectCache,
     /// Which instance is the home of which shard.
@@ -153,7 +153,12 @@
     /// Takes in a greeting: its sender is alive, and may know a newer revision.
     pub fn greeted(&self, hello: &Hello) {
         let now = self.clock.now();
-        lock(&self.membership).heard(now, hello.from, u64::from(hello.incarnation), hello.leaving);
+        lock(&self.membership).note_contact(
+            now,
+            hello.from,
+            u64::from(hello.incarnation),
+            hello.leaving,
+        );
         if hello.revision > self.revision() {
             (self.wake_sync)();
         }
