--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -411,10 +411,10 @@
                 return self.respond_failed_unless_retry(conn);
             }
         };
-        drop(flight);
-        let whole = WholeAnswer {
-            status: answer.head.status,
-            headers: adapter::responses::forwarded_headers(&answer.head),
+        drop(in_flight);
+        let buffered = BufferedResponse {
+            status: response.head.status,
+            headers: adapter::responses::forwarded_headers(&response.head),
             body,
         };
         self.keep_connection(&picked.server.id, response);
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Brings table and verdicts in line.
-fn keep(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreError> {
+/// Makes table and verdicts agree.
+fn reconcile(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreError> {
     let crash_suspects = &gateway.crash_suspects;
     let known = crash_suspects.verdict_updates(gateway.clock.now());
     if sync.is_idle(&known) {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -52,13 +52,16 @@
     Fault(AttemptFault),
 }
 
-/// Passes an opened stream on; `None` where it failed before its first event and may be tried
-/// again.
-pub fn pass(forwarding: &mut Forwarding<'_>, conn: &mut Conn, opened: Opened<'_>) -> Option<Done> {
-    let mut splitter = EventSplitter::after(forwarding.request.asked.last_event.clone());
-    let status = opened.answer.head.status;
-    let headers = adapter::responses::forwarded_headers(&opened.answer.head);
-    let mut source = Source::new(opened);
+/// Relays a stream to the caller; `None` if it failed before its first event and another attempt is allowed.
+pub fn relay(
+    forwarding: &mut Forwarding<'_>,
+    conn: &mut Conn,
+    open: OpenResponse<'_>,
+) -> Option<Completion> {
+    let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event_id.clone());
+    let status = open.response.head.status;
+    let headers = adapter::responses::forwarded_headers(&open.response.head);
+    let mut source = Source::new(open);
     let first = match next_events(forwarding, &mut source, &mut splitter, conn) {
         SourceRead::Events(events) => events,
         SourceRead::End => Vec::new(),
--- a/tests/suite/state_machines.rs
+++ b/tests/suite/state_machines.rs
@@ -135,7 +135,7 @@
     assert_eq!(home_names(&view, now), ["a", "b"], "the same address, a new process");
     view.apply_list(2, vec![member("b", 9, MemberState::Live)]);
     assert_eq!(view.peer(id("b").tag()).expect("known").address.port(), 9);
-    view.listed(3, vec![member("b", 9, MemberState::Removed)]);
+    view.apply_list(3, vec![member("b", 9, MemberState::Removed)]);
     assert_eq!(home_names(&view, now), ["a"]);
     view.leave();
     assert_eq!(home_names(&view, now), ["a"], "the last one stays its own home");
