--- a/tests/suite/platform.rs
+++ b/tests/suite/platform.rs
@@ -172,10 +172,10 @@
           Transfer-Encoding: chunked\r\nX-Tenant: forged\r\nX-Tenant: twice\r\n\r\n",
     )
     .expect("a head");
-    let asked = headers::decode_request(&head).expect("a request");
-    assert_eq!((asked.id.as_str(), asked.key.as_deref()), ("r", Some("k")));
+    let metadata = headers::decode_request(&head).expect("a request");
+    assert_eq!((metadata.id.as_str(), metadata.key.as_deref()), ("r", Some("k")));
     let (server, team) = ("s".parse().expect("an id"), "crew".parse().expect("a name"));
-    let outgoing = AttemptHeaders {
+    let attempt_headers = AttemptHeaders {
         time_left: Duration::from_millis(1234),
         server: &server,
         team: Some(&team),
@@ -183,7 +183,7 @@
         last_event_id: Some("4"),
         prompt_holder: Some(([10, 0, 0, 9], 80).into()),
     };
-    let sent = headers::encode_request(&head.headers, &outgoing);
+    let sent = headers::encode_request(&head.headers, &attempt_headers);
     let text = |name: &str| {
         let values: Vec<_> = sent.get_all(name).iter().map(|v| v.to_str().unwrap_or("")).collect();
         values.join("|")
