--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -414,7 +414,7 @@
         drop(in_flight);
         let buffered = BufferedResponse {
             status: response.head.status,
-            headers: adapter::answers::passed_on(&response.head),
+            headers: adapter::responses::forwarded_headers(&response.head),
             body,
         };
         self.keep_connection(&picked.server.id, response);
--- a/src/gateway/held_table.rs
+++ b/src/gateway/held_table.rs
@@ -7,8 +7,8 @@
 use super::Gateway;
 use crate::{
     adapter::{
-        calls::HELD_TABLE,
-        store::{Change, StoreFault, StoreRow},
+        store::{Change, StoreError, StoreRow},
+        tables::HELD_TABLE,
     },
     configs::fleet::chunks::{decode, encode},
     routing::{
@@ -51,7 +51,7 @@
 }
 
 /// Makes table and verdicts agree.
-fn reconcile(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreFault> {
+fn reconcile(gateway: &Gateway, sync: &mut HeldTableSync) -> Result<(), StoreError> {
     let crash_suspects = &gateway.crash_suspects;
     let known = crash_suspects.verdict_updates(gateway.clock.now());
     if sync.is_idle(&known) {
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-fn write(gateway: &Gateway, plan: &HeldTablePlan) -> Result<(), StoreFault> {
+fn write(gateway: &Gateway, plan: &HeldTablePlan) -> Result<(), StoreError> {
     if plan.write.is_empty() && plan.remove.is_empty() {
         return Ok(());
     }
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -66,7 +66,7 @@
         let mut headers = HeaderMap::new();
         headers.insert("content-type", HeaderValue::from_static("text/plain"));
         if let Some(after) = self.retry_after {
-            headers.insert("retry-after", adapter::answers::retry_after(after));
+            headers.insert("retry-after", adapter::responses::retry_after(after));
         }
         let note = ResponseOptions::plain(keep_alive);
         let body = self.reason.as_bytes();
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -74,7 +74,7 @@
     let request_sent = sent == bytes.len();
     for _ in 0..=FOREIGN_RESPONSES_MAX {
         let head = read_head(&mut conn, wait, caller)?;
-        let metadata = adapter::answers::decode(&head);
+        let metadata = adapter::responses::decode(&head);
         (wait.on_metadata)(&metadata);
         let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
         let mut body = BodyReader::new(framing);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -60,7 +60,7 @@
 ) -> Option<Completion> {
     let mut splitter = EventSplitter::after(forwarding.request.metadata.last_event_id.clone());
     let status = open.response.head.status;
-    let headers = adapter::answers::passed_on(&open.response.head);
+    let headers = adapter::responses::forwarded_headers(&open.response.head);
     let mut source = Source::new(open);
     let first = match next_events(forwarding, &mut source, &mut splitter, conn) {
         SourceRead::Events(events) => events,
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -1,13 +1,13 @@
-//! The membership list: which instances and backend servers are live or leaving, with a lag.
+//! The membership list of instances and backend servers, live or leaving. It lags behind their actual state.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-use super::PlatformFault;
+use super::PlatformError;
 use crate::names::ZoneId;
 
-/// What a member is.
+/// Kind of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberKind {
@@ -17,16 +17,17 @@
     BackendServer,
 }
 
-/// How a member is.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Live.
+    /// Running.
     Live,
-    /// Leaving: it takes nothing new.
+    /// Shutting down: accepts no new requests.
     Leaving,
-    /// Gone.
-    Gone,
+    /// Removed from the list.
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 /// An entry of the list.
@@ -34,26 +35,26 @@
 pub struct Member {
     /// Id of the instance or backend server.
     pub id: String,
-    /// What it is.
+    /// Kind of the member.
     pub kind: MemberKind,
-    /// Where other instances reach it.
+    /// Address at which other instances reach the member.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: ZoneId,
-    /// How it is.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// What changed in the list.
+/// Changes of the membership list.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct MembersPage {
-    /// Version of the list after these changes; only grows.
+pub struct MemberChanges {
+    /// Version of the list after these changes; versions only grow.
     pub version: u64,
-    /// Members that changed since the version asked for.
+    /// Members that changed since the requested version.
     pub changed: Vec<Member>,
 }
 
-type Since = dyn Fn(u64) -> Result<MembersPage, PlatformFault> + Send + Sync;
+type Since = dyn Fn(u64) -> Result<MemberChanges, PlatformError> + Send + Sync;
 
 /// The membership list.
 #[derive(Clone)]
@@ -62,19 +63,19 @@
 }
 
 impl Members {
-    /// Returns a list made of a closure.
+    /// Returns a list whose changes come from the closure.
     pub fn new(
-        since: impl Fn(u64) -> Result<MembersPage, PlatformFault> + Send + Sync + 'static,
+        since: impl Fn(u64) -> Result<MemberChanges, PlatformError> + Send + Sync + 'static,
     ) -> Members {
         Members { since: Arc::new(since) }
     }
 
-    /// Returns what changed after `version`.
+    /// Returns the changes after `version`.
     ///
     /// # Errors
     ///
-    /// The platform does not answer.
-    pub fn since(&self, version: u64) -> Result<MembersPage, PlatformFault> {
+    /// The platform is unavailable, or its reply is lost or invalid.
+    pub fn since(&self, version: u64) -> Result<MemberChanges, PlatformError> {
         (self.since)(version)
     }
 }
--- a/tests/suite/state_machines.rs
+++ b/tests/suite/state_machines.rs
@@ -147,7 +147,7 @@
     );
     view.apply_list(2, vec![member("b", 9, MemberState::Live)]);
     assert_eq!(view.peer(id("b").tag()).expect("a peer").address.port(), 9);
-    view.apply_list(3, vec![member("b", 9, MemberState::Gone)]);
+    view.apply_list(3, vec![member("b", 9, MemberState::Removed)]);
     assert_eq!(home_names(&view, now), ["a"]);
     view.leave();
     assert_eq!(
