--- a/src/contract/lease.rs
+++ b/src/contract/lease.rs
@@ -31,7 +31,7 @@
 /// What an instance does next to acquire or renew the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Write this row over the version given, or create it if that is `None`.
+    /// Write this row if the stored one still has the version given or, with `None`, if there is still no row.
     Write(LeaseRow, Option<u64>),
     /// Another instance holds the lease; read the row again later.
     Wait,
--- a/src/contract/membership.rs
+++ b/src/contract/membership.rs
@@ -80,8 +80,8 @@
 
     /// Returns whether it is suspected of being down.
     pub fn is_suspect(&self, now: Instant) -> bool {
-        let pending = |until: Option<Instant>| until.is_some_and(|until| now < until);
-        self.down || pending(self.backoff_until) || pending(self.reported_suspect_until)
+        let is_future = |until: Option<Instant>| until.is_some_and(|until| now < until);
+        self.down || is_future(self.backoff_until) || is_future(self.reported_suspect_until)
     }
 
     /// Returns whether a heartbeat may be sent to it.
--- a/src/contract/orders.rs
+++ b/src/contract/orders.rs
@@ -118,7 +118,7 @@
         &mut self,
         now: Instant,
         engines: &[(Tag, Observation)],
-        terms: RolloutLimits,
+        limits: RolloutLimits,
     ) -> Vec<Tag> {
         let mut progress = Progress::default();
         let mut due = Vec::new();
@@ -148,8 +148,8 @@
         }
         progress.due = due.len() + already_loading.len();
         self.progress = progress;
-        let serving_min = (terms.min_serving * engines.len() as f64).floor() as usize;
-        let headroom = terms.loads_at_once.saturating_sub(progress.loading);
+        let serving_min = (limits.min_serving * engines.len() as f64).floor() as usize;
+        let headroom = limits.loads_at_once.saturating_sub(progress.loading);
         due.truncate(headroom.min(serving.saturating_sub(serving_min)));
         already_loading.extend(due);
         already_loading
--- a/src/contract/outcome.rs
+++ b/src/contract/outcome.rs
@@ -1,4 +1,4 @@
-//! Classifies failed attempts: whether the request ran, whether it may be retried, and how the caller is told.
+//! Classifies failed attempts: whether the request ran, whether it may be retried, and what the caller is told.
 
 use std::{fmt, time::Duration};
 
--- a/src/contract/permit.rs
+++ b/src/contract/permit.rs
@@ -68,7 +68,7 @@
     Leaving,
 }
 
-/// Returns a permit to its home.
+/// Message that returns a permit to its home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// Number of the permit.
--- a/src/contract/revision.rs
+++ b/src/contract/revision.rs
@@ -22,7 +22,7 @@
     pub at: u64,
 }
 
-/// The configuration that an instance has installed, and the newest that it has heard of.
+/// The head that an instance has installed, and the newest head that it has received.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveRevision {
     installed: Option<Head>,
@@ -32,7 +32,7 @@
 impl ActiveRevision {
     /// Notes a head received from the store or a peer; an older one changes nothing.
     ///
-    /// Returns the head to fetch, if one newer than the installed one is known.
+    /// Returns the head to fetch, if one newer than the installed one has been received.
     pub fn note_head(&mut self, head: Head) -> Option<&Head> {
         let newer =
             |other: &Option<Head>| other.as_ref().is_none_or(|o| o.revision < head.revision);
@@ -42,7 +42,7 @@
         self.pending()
     }
 
-    /// Returns the head to fetch, if one newer than the installed one is known.
+    /// Returns the head to fetch, if one newer than the installed one has been received.
     pub fn pending(&self) -> Option<&Head> {
         let newest = self.newest.as_ref()?;
         let installed = self.installed.as_ref().map_or(Revision::default(), |h| h.revision);
--- a/src/zone/baseline.rs
+++ b/src/zone/baseline.rs
@@ -1,4 +1,4 @@
-//! Placements to compare permits with: each entry chooses engines alone, from its own observations.
+//! Baseline placements for measurements: each entry chooses engines alone, from its own observations.
 
 use std::{
     collections::HashMap,
--- a/src/zone/home.rs
+++ b/src/zone/home.rs
@@ -1,9 +1,9 @@
 //! The home of one shard: grants permits and enforces the load bound.
 //!
-//! A state machine without I/O: `handle(now, event)` returns the actions for the shell to carry out. The home knows
-//! every request in flight on its engines, so no engine is granted more than `ceil(bound x mean)` requests. The mean is
-//! taken over the service and counts the arriving request (consistent hashing with bounded loads, Mirrokni, Thorup and
-//! Zadimoghaddam, 2018).
+//! A state machine without I/O: `handle(now, event)` returns the actions to carry out. The home knows every request in
+//! flight on its engines, so no engine is granted more than `ceil(bound x mean)` requests. The mean is taken over the
+//! service and counts the arriving request (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam,
+//! 2018).
 
 use std::{
     collections::HashMap,
--- a/src/zone/home_event.rs
+++ b/src/zone/home_event.rs
@@ -61,7 +61,7 @@
     Tick,
 }
 
-/// An action that a home returns for the shell to carry out.
+/// An action that a home returns, to be carried out by the instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Reply to a permit request.
