--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -18,8 +18,8 @@
     adapter,
     contract::outcome::{AttemptFault, Outcome},
     link::{
-        answer::{AnswerNote, send_whole},
         http1::Conn,
+        response::{ResponseOptions, send_response},
     },
     routing::{Incarnation, PickRequest, Picked, ResponseObservation, ResponseTimes, RouteKind},
     utils::sync::lock,
@@ -414,7 +414,7 @@
         drop(in_flight);
         let buffered = BufferedResponse {
             status: response.head.status,
-            headers: adapter::answers::passed_on(&response.head),
+            headers: adapter::responses::forwarded_headers(&response.head),
             body,
         };
         self.keep_connection(&picked.server.id, response);
@@ -482,10 +482,10 @@
     ) -> Completion {
         self.note_first_byte();
         let keep_alive = self.keep_alive();
-        let note = AnswerNote::plain(keep_alive);
+        let note = ResponseOptions::plain(keep_alive);
         let head_only = self.request.method == Method::HEAD;
         let (headers, body) = (&response.headers, &response.body);
-        let sent = send_whole(
+        let sent = send_response(
             conn,
             CALLER_WRITE_TIMEOUT,
             response.status,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -28,8 +28,8 @@
 use crate::{
     clock::Clock,
     link::{
-        peer::PeerLinks,
-        traffic::{Purpose, Traffic},
+        peer::PeerClient,
+        traffic::{Purpose, TrafficCounter},
     },
     routing::{
         Aggregate, Candidates, Confirmation, Crowded, FallbackReader, FleetBudget, FleetPosition,
@@ -72,10 +72,10 @@
 
 /// Connections to the other instances, and what they have reported.
 pub struct Peers {
-    pub(super) traffic: Traffic,
-    links: PeerLinks,
+    pub(super) traffic: TrafficCounter,
+    links: PeerClient,
     /// Separate connections, so that permits do not wait for exchanges.
-    permit_links: PeerLinks,
+    permit_links: PeerClient,
     /// Known instances, in the order in which they become the aggregator.
     pub(super) candidates: Mutex<Candidates>,
     /// Requests in flight, as the instances reported them to this one.
@@ -96,7 +96,7 @@
 
 impl Peers {
     /// Creates the state of an instance that knows no other one yet.
-    pub fn new(settings: &GatewaySettings, clock: &Clock, traffic: &Traffic) -> Peers {
+    pub fn new(settings: &GatewaySettings, clock: &Clock, traffic: &TrafficCounter) -> Peers {
         let own = InstanceInfo {
             node: settings.node.clone(),
             address: settings.addresses.peers,
@@ -109,8 +109,8 @@
             budget: Mutex::new(FleetBudget::new(run, settings.bounds.retries.window)),
             run,
             traffic: traffic.clone(),
-            permit_links: PeerLinks::new(clock.clone(), None, PERMIT_TIMEOUT, traffic.clone()),
-            links: PeerLinks::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
+            permit_links: PeerClient::new(clock.clone(), None, PERMIT_TIMEOUT, traffic.clone()),
+            links: PeerClient::new(clock.clone(), None, EXCHANGE_TIMEOUT, traffic.clone()),
             candidates: Mutex::new(Candidates::new(own)),
             aggregate: Mutex::default(),
             joined: AtomicBool::new(false),
--- a/src/gateway/server_call.rs
+++ b/src/gateway/server_call.rs
@@ -12,7 +12,7 @@
     adapter,
     contract::outcome::AttemptFault,
     link::http1::{
-        BodyReader, Conn, ReadFault, ResponseHead,
+        BodyReader, Conn, ReadError, ResponseHead,
         head::{write_header, write_headers},
     },
 };
@@ -64,17 +64,17 @@
 ) -> Result<ServerResponse, AttemptFault> {
     let deadline = wait.deadline;
     let bytes = request_bytes(request, attempt_headers);
-    let sent = match conn.send_until_answered(&bytes, deadline, caller) {
+    let sent = match conn.send_until_response(&bytes, deadline, caller) {
         Ok(sent) => sent,
-        Err((_, ReadFault::GivenUp)) => return Err(AttemptFault::CallerGone),
+        Err((_, ReadError::Cancelled)) => return Err(AttemptFault::CallerGone),
         Err((0, _)) => return Err(AttemptFault::BeforeSend),
-        Err((_, ReadFault::Timeout)) => return Err(AttemptFault::HeadTimeout),
+        Err((_, ReadError::Timeout)) => return Err(AttemptFault::HeadTimeout),
         Err(_) => return Err(AttemptFault::AfterSend),
     };
     let request_sent = sent == bytes.len();
     for _ in 0..=FOREIGN_RESPONSES_MAX {
         let head = read_head(&mut conn, wait, caller)?;
-        let metadata = adapter::answers::decode(&head);
+        let metadata = adapter::responses::decode(&head);
         (wait.on_metadata)(&metadata);
         let framing = head.framing(&request.method).map_err(|_| AttemptFault::Garbage)?;
         let mut body = BodyReader::new(framing);
@@ -146,12 +146,12 @@
             Ok(None) => {}
             Err(_) => return Err(AttemptFault::Garbage),
         }
-        match conn.fill_beside(deadline, caller) {
+        match conn.fill_until(deadline, caller) {
             Ok(()) => {}
-            Err(ReadFault::Timeout) => {
+            Err(ReadError::Timeout) => {
                 deadline = (wait.extend)().ok_or(AttemptFault::HeadTimeout)?
             }
-            Err(ReadFault::GivenUp) => return Err(AttemptFault::CallerGone),
+            Err(ReadError::Cancelled) => return Err(AttemptFault::CallerGone),
             Err(_) => return Err(AttemptFault::AfterSend),
         }
     }
@@ -163,15 +163,15 @@
     deadline: Instant,
     caller: Option<&Conn>,
 ) -> Result<Option<Vec<u8>>, AttemptFault> {
-    body.next_by(conn, |conn| conn.fill_beside(deadline, caller)).map_err(body_fault)
+    body.next_with(conn, |conn| conn.fill_until(deadline, caller)).map_err(body_fault)
 }
 
-fn body_fault(fault: ReadFault) -> AttemptFault {
+fn body_fault(fault: ReadError) -> AttemptFault {
     match fault {
-        ReadFault::Timeout => AttemptFault::StalledBody,
-        ReadFault::GivenUp => AttemptFault::CallerGone,
-        ReadFault::Closed | ReadFault::Io(_) => AttemptFault::CutBody,
-        ReadFault::Protocol(_) | ReadFault::TooLarge => AttemptFault::Garbage,
+        ReadError::Timeout => AttemptFault::StalledBody,
+        ReadError::Cancelled => AttemptFault::CallerGone,
+        ReadError::Closed | ReadError::Io(_) => AttemptFault::CutBody,
+        ReadError::Protocol(_) | ReadError::TooLarge => AttemptFault::Garbage,
     }
 }
 
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/knowledge/config.rs
@@ -14,9 +14,9 @@
     },
     link::{
         traffic::Purpose,
-        wire::{FETCH, FetchReply, FetchRequest},
+        wire::{FETCH_PATH, FetchReply, FetchRequest},
     },
-    platform::PlatformFault,
+    platform::PlatformError,
     utils::sync::lock,
 };
 
@@ -58,7 +58,7 @@
 pub enum SyncFault {
     /// Neither the store nor a peer has told a head.
     #[error("no head was learned: {0}; the instance is ready once the store or a peer answers")]
-    NoHead(PlatformFault),
+    NoHead(PlatformError),
     /// An object is nowhere to be had.
     #[error("object {0} is at no peer and not in the store; it is looked for again")]
     Missing(Digest),
@@ -114,8 +114,12 @@
 
 fn heads_of_peers(shared: &Shared) -> Vec<Head> {
     let ask = |address| {
-        let reply =
-            shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &FetchRequest::Head);
+        let reply = shared.peers.call::<FetchReply>(
+            Purpose::Config,
+            address,
+            FETCH_PATH,
+            &FetchRequest::Head,
+        );
         match reply {
             Ok(FetchReply::Head(head)) => head,
             _ => None,
@@ -171,7 +175,7 @@
     }
     for address in peer_addresses(shared, PEERS_ASKED) {
         let request = FetchRequest::Object(*name);
-        let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &request);
+        let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH_PATH, &request);
         if let Ok(FetchReply::Object(Some(bytes))) = reply
             && shared.objects.put(*name, bytes.to_vec())
         {
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -21,9 +21,9 @@
         },
         shared::Shared,
     },
-    link::{traffic::Purpose, wire::DRAIN},
+    link::{traffic::Purpose, wire::DRAIN_PATH},
     names::InstanceId,
-    platform::PlatformFault,
+    platform::PlatformError,
     units::Revision,
     utils::{secret::any_matches, sync::lock},
 };
@@ -57,7 +57,7 @@
     Response::json(&Problem { detail: detail.into(), apply: None }).with_status_code(status)
 }
 
-fn store_unavailable(error: &PlatformFault) -> Response {
+fn store_unavailable(error: &PlatformError) -> Response {
     problem(503, error.to_string())
 }
 
@@ -214,7 +214,7 @@
 }
 
 /// Returns the text of a revision's file; `None` if the store does not have it or its digest does not match.
-fn load_source(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformFault> {
+fn load_source(shared: &Shared, revision: Revision) -> Result<Option<String>, PlatformError> {
     let Some(row) = shared.platform.table.get(&revision_key(revision))? else { return Ok(None) };
     let Ok(row) = serde_json::from_slice::<RevisionRow>(&row.value) else { return Ok(None) };
     let bytes = shared.platform.objects.get(&object_key(&row.source))?;
@@ -283,7 +283,7 @@
         let Some(address) = lock(&shared.membership).peer(id.tag()).map(|p| p.address) else {
             return problem(404, unknown_target(&target));
         };
-        if let Err(error) = shared.peers.call::<()>(Purpose::Operators, address, DRAIN, &()) {
+        if let Err(error) = shared.peers.call::<()>(Purpose::Operators, address, DRAIN_PATH, &()) {
             return problem(503, error.to_string());
         }
     }
--- a/src/instance/requests/claims.rs
+++ b/src/instance/requests/claims.rs
@@ -13,7 +13,7 @@
         claim::{Claim, ClaimState, ClaimVerdict, StoredResponse, decide},
         outcome::Refusal,
     },
-    platform::{Expect, Operation, PlatformFault, Row, Table, TransactReply, Write},
+    platform::{Expect, Operation, PlatformError, Row, Table, TransactReply, Write},
     utils::sync::lock,
 };
 
@@ -28,7 +28,7 @@
 enum WriteResult {
     Committed,
     Conflict(Option<Row>),
-    Failed(PlatformFault),
+    Failed(PlatformError),
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
     }
 
     /// Decides after a failed write. If only its reply was lost, the row shows whether the write took effect.
-    fn resolve_failed_write(&self, key: &str, own: &Claim, error: &PlatformFault) -> ClaimDecision {
+    fn resolve_failed_write(&self, key: &str, own: &Claim, error: &PlatformError) -> ClaimDecision {
         if !error.may_have_taken_effect() {
             return ClaimDecision::Refuse(claim_not_kept(error));
         }
@@ -130,7 +130,7 @@
         may_renew: bool,
     ) -> ClaimDecision {
         let claim_changing = || {
-            ClaimDecision::Refuse(claim_not_kept(&PlatformFault::Unavailable(
+            ClaimDecision::Refuse(claim_not_kept(&PlatformError::Unavailable(
                 "the claim is changing".to_owned(),
             )))
         };
@@ -242,8 +242,9 @@
                 }
                 Ok(TransactReply::Conflict { key, row }) => {
                     let Some(at) = group.iter().position(|p| p.operation.key == key) else {
-                        let error =
-                            PlatformFault::Reply(format!("conflict on {key}, which was not asked"));
+                        let error = PlatformError::InvalidReply(format!(
+                            "conflict on {key}, which was not asked"
+                        ));
                         group
                             .drain(..)
                             .for_each(|p| complete(&p, WriteResult::Failed(error.clone())));
@@ -293,7 +294,7 @@
     pending.slot.1.notify_all();
 }
 
-fn claim_not_kept(error: &PlatformFault) -> Refusal {
+fn claim_not_kept(error: &PlatformError) -> Refusal {
     let detail = format!(
         "the claim of the Idempotency-Key could not be kept ({error}); send it again with the same key"
     );
--- a/src/instance/requests/engine_report.rs
+++ b/src/instance/requests/engine_report.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     instance::requests::response_parts::{LOAD_HEADER, RESUMABLE_HEADER, STATE_HEADER},
-    link::backend::Answer,
+    link::backend::BackendResponse,
 };
 
 /// What an engine reports about itself in the headers of a response.
@@ -18,7 +18,7 @@
 
 impl EngineReport {
     /// Reads the report from a response.
-    pub(super) fn read(&mut self, response: &Answer) {
+    pub(super) fn read(&mut self, response: &BackendResponse) {
         self.load = response.head.header(LOAD_HEADER).and_then(|load| load.parse().ok());
         self.leaving = response.head.header(STATE_HEADER) == Some("leaving");
         self.resumable = response.head.header(RESUMABLE_HEADER).is_some();
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -7,7 +7,7 @@
 use crate::{
     configs::fleet::BackendServer,
     instance::{requests::response_parts::OFFSET_HEADER, shared::Shared},
-    link::backend::{Answer, Attempt},
+    link::backend::{Attempt, BackendResponse},
 };
 
 /// Time within which an engine must respond to a call.
@@ -19,7 +19,7 @@
     server: &BackendServer,
     id: &str,
     offset: u64,
-) -> Option<Answer> {
+) -> Option<BackendResponse> {
     let target = format!("/engine/streams/{id}?from={offset}");
     let response = call(shared, server, &Method::GET, &target, id)?;
     let resumed_at: Option<u64> = response.head.header(OFFSET_HEADER)?.parse().ok();
@@ -45,7 +45,7 @@
     method: &Method,
     target: &str,
     id: &str,
-) -> Option<Answer> {
+) -> Option<BackendResponse> {
     let deadline = shared.clock.now() + CALL_TIMEOUT;
     let headers = HeaderMap::new();
     let attempt = Attempt {
@@ -55,8 +55,8 @@
         headers: &headers,
         body: &[],
         id,
-        fresh: true,
-        until: deadline,
+        new_connection: true,
+        head_deadline: deadline,
     };
     let sent = shared.backends.send(&attempt, &mut || true);
     sent.inspect_err(|error| log::info!("engine call id={id} target={target} fault={error:?}")).ok()
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -18,9 +18,9 @@
         shared::Shared,
     },
     link::{
-        answer::{AnswerNote, OwnHeaders, send_refusal},
-        caller::linger,
-        http1::{BodyFraming, BodyReader, Conn, HeadFault, ReadFault, RequestHead},
+        http1::{BodyFraming, BodyReader, Conn, HeadError, ReadError, RequestHead},
+        listener::lingering_close,
+        response::{ResponseOptions, RouterHeaders, send_refusal},
     },
     utils::usage::UsageGuard,
 };
@@ -37,12 +37,12 @@
         match RequestHead::read(&mut conn, shared.settings.limits.head.bytes(), deadline) {
             Ok(head) => {
                 if !serve_request(shared, &mut conn, head, id) {
-                    return linger(&mut conn);
+                    return lingering_close(&mut conn);
                 }
             }
             Err(error) => {
                 reject_head(shared, &mut conn, &error, id);
-                return linger(&mut conn);
+                return lingering_close(&mut conn);
             }
         }
     }
@@ -61,9 +61,9 @@
     let _ = send_refusal(&mut conn, REJECTION_TIMEOUT, &refusal, &options, false);
 }
 
-fn response_options(request_id: String, keep_alive: bool) -> AnswerNote {
-    let own = OwnHeaders { request_id, outcome: Outcome::NotRun, placement: None };
-    AnswerNote { own: Some(own), keep_alive }
+fn response_options(request_id: String, keep_alive: bool) -> ResponseOptions {
+    let router_headers = RouterHeaders { request_id, outcome: Outcome::NotRun, placement: None };
+    ResponseOptions { router_headers: Some(router_headers), keep_alive }
 }
 
 /// Waits for the first byte of a request; returns false when the connection is to be closed.
@@ -79,9 +79,9 @@
     conn.fill(deadline, &mut || !drain_grace_over()).is_ok()
 }
 
-fn reject_head(shared: &Shared, conn: &mut Conn, error: &HeadFault, id: String) {
+fn reject_head(shared: &Shared, conn: &mut Conn, error: &HeadError, id: String) {
     let refusal = match error {
-        HeadFault::Read(ReadFault::Timeout) => Refusal::not_run(
+        HeadError::Read(ReadError::Timeout) => Refusal::not_run(
             408,
             "request too slow",
             format!(
@@ -89,7 +89,7 @@
                 shared.settings.timeouts.head
             ),
         ),
-        HeadFault::TooLarge => Refusal::not_run(
+        HeadError::TooLarge => Refusal::not_run(
             431,
             "head too large",
             format!(
@@ -97,9 +97,11 @@
                 shared.settings.limits.head
             ),
         ),
-        HeadFault::Bad(what) => Refusal::not_run(400, "bad request", *what),
-        HeadFault::Coding => Refusal::not_run(501, "unknown transfer coding", error.to_string()),
-        HeadFault::Read(_) => return,
+        HeadError::Invalid(what) => Refusal::not_run(400, "bad request", *what),
+        HeadError::UnsupportedCoding => {
+            Refusal::not_run(501, "unknown transfer coding", error.to_string())
+        }
+        HeadError::Read(_) => return,
     };
     reject(shared, conn, &refusal, id, "-", shared.clock.now(), false, false);
 }
@@ -220,7 +222,7 @@
     received_at: Instant,
 ) -> Result<AdmittedRequest<'s>, RejectedRequest> {
     let framing = head.framing().map_err(|error| {
-        let status = if matches!(error, HeadFault::Coding) { 501 } else { 400 };
+        let status = if matches!(error, HeadError::UnsupportedCoding) { 501 } else { 400 };
         RejectedRequest::body_unread(Refusal::not_run(status, "bad request", error.to_string()))
     })?;
     let has_no_body = framing == BodyFraming::Length(0);
@@ -240,7 +242,7 @@
             "CONNECT and TRACE are not passed on",
         )));
     }
-    let team = head.bearer().and_then(|key| snapshot.team_of_key(key)).cloned();
+    let team = head.bearer_token().and_then(|key| snapshot.team_of_key(key)).cloned();
     let Some(team) = team else {
         return Err(rejected(Refusal::not_run(
             401,
@@ -310,8 +312,8 @@
     let deadline = shared.clock.now() + shared.settings.timeouts.body.0;
     let mut reader = BodyReader::new(framing);
     reader.read_all(conn, limits.body.bytes(), deadline).map_err(|error| match error {
-        ReadFault::TooLarge => too_large(),
-        ReadFault::Timeout => Refusal::not_run(
+        ReadError::TooLarge => too_large(),
+        ReadError::Timeout => Refusal::not_run(
             408,
             "request too slow",
             format!(
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -31,9 +31,9 @@
         shared::Shared,
     },
     link::{
-        answer::{AnswerBody, AnswerNote, AnswerWriter, send_whole},
-        backend::{Answer, Attempt},
+        backend::{Attempt, BackendResponse},
         http1::{Conn, conn::ConnState},
+        response::{ResponseFraming, ResponseOptions, ResponseWriter, send_response},
     },
     names::{BackendId, Tag},
     utils::sync::lock,
@@ -97,7 +97,7 @@
     view: &'f ServiceView,
     team: Tag,
     request: &'f Request,
-    options: AnswerNote,
+    options: ResponseOptions,
     claim: Option<HeldClaim>,
 }
 
@@ -109,7 +109,7 @@
     view: &ServiceView,
     team: &Tag,
     request: &Request,
-    options: AnswerNote,
+    options: ResponseOptions,
 ) -> ForwardResult {
     let mut forwarder =
         RequestForwarder { shared, snapshot, view, team: *team, request, options, claim: None };
@@ -306,8 +306,8 @@
             headers: &headers,
             body: &request.body,
             id,
-            fresh: request.retry_safety == RetrySafety::AtMostOnce,
-            until: request.deadline,
+            new_connection: request.retry_safety == RetrySafety::AtMostOnce,
+            head_deadline: request.deadline,
         };
         let mut watch = CallerWatch::new(self.shared, request, self.claim.is_some());
         let sent = self.shared.backends.send(&attempt, &mut || watch.is_waiting(conn));
@@ -316,15 +316,15 @@
             Err(fault) => return AttemptResult::Failed(fault),
         };
         report.read(&response);
-        if let Some(own) = &mut self.options.own {
-            own.placement = chat.map(|chat| {
+        if let Some(router_headers) = &mut self.options.router_headers {
+            router_headers.placement = chat.map(|chat| {
                 placement_hint::encode(
                     &self.shared.settings.credentials.placement,
                     chat,
                     slot.engine(),
                 )
             });
-            own.outcome = Outcome::Run;
+            router_headers.outcome = Outcome::Run;
         }
         let fits_buffer = response.content_length().is_some_and(|length| length <= BUFFERED_MAX);
         if fits_buffer || request.method == Method::HEAD || request.http10 {
@@ -338,7 +338,7 @@
     fn send_buffered(
         &mut self,
         conn: &mut Conn,
-        mut response: Answer,
+        mut response: BackendResponse,
         watch: &mut CallerWatch<'_>,
     ) -> AttemptResult {
         let mut body = Vec::new();
@@ -358,7 +358,7 @@
         self.shared.backends.finish(response);
         let stall = self.shared.settings.timeouts.slow_reader.0;
         let head_only = self.request.method == Method::HEAD;
-        let sent = send_whole(conn, stall, status, &headers, &self.options, &body, head_only);
+        let sent = send_response(conn, stall, status, &headers, &self.options, &body, head_only);
         self.note_first_byte();
         let reusable = sent.is_ok();
         AttemptResult::Responded(SentResponse {
@@ -372,7 +372,7 @@
     fn send_streamed(
         &mut self,
         conn: &mut Conn,
-        mut response: Answer,
+        mut response: BackendResponse,
         server: &BackendServer,
         id: &str,
     ) -> AttemptResult {
@@ -381,11 +381,11 @@
         let events = is_event_stream(&headers);
         let resumable = response.head.header(RESUMABLE_HEADER).is_some();
         let stall = self.shared.settings.timeouts.slow_reader.0;
-        let framing = AnswerBody::Chunked;
+        let framing = ResponseFraming::Chunked;
         let mut stored_body = self.claim.as_ref().map(|_| Vec::new());
         let mut caller_connected = true;
         let started =
-            AnswerWriter::start(conn, stall, status, &headers, &self.options, framing, &[]);
+            ResponseWriter::start(conn, stall, status, &headers, &self.options, framing, &[]);
         let mut writer = match started {
             Ok(writer) => writer,
             Err(_) => return AttemptResult::Aborted(AttemptFault::CallerGone, status.as_u16()),
@@ -403,7 +403,7 @@
                     }
                     received += piece.len() as u64;
                     self.store_piece(&mut stored_body, &piece);
-                    caller_connected = caller_connected && writer.piece(&piece).is_ok();
+                    caller_connected = caller_connected && writer.write(&piece).is_ok();
                     if !caller_connected && self.claim.is_none() {
                         return AttemptResult::Aborted(AttemptFault::CallerGone, status.as_u16());
                     }
@@ -421,13 +421,13 @@
                     }
                     let event =
                         if events { error_event(fault, &self.request.id) } else { Vec::new() };
-                    writer.cut(&event);
+                    writer.abort(&event);
                     return AttemptResult::Aborted(fault, status.as_u16());
                 }
             }
         }
         self.store_response(status, &headers, stored_body.as_deref());
-        let sent = if caller_connected { writer.end().is_ok() } else { false };
+        let sent = if caller_connected { writer.finish().is_ok() } else { false };
         self.shared.backends.finish(response);
         AttemptResult::Responded(SentResponse {
             status: status.as_u16(),
--- a/src/instance/requests/permit_client.rs
+++ b/src/instance/requests/permit_client.rs
@@ -13,8 +13,8 @@
     clock::Clock,
     contract::permit::{AnnouncedPermit, PermitId, PermitRequest, Release, ReleaseKind, Reply},
     link::wire::{
-        Announcement, AskWire, HomeMessage, NumberedReply, ReleaseWire, ReplyWire, ShardBatch,
-        millis, short,
+        Announcement, HomeMessage, NumberedReply, PermitRequestWire, ReleaseWire, ReplyWire,
+        ShardBatch, millis, wire_number,
     },
     names::Tag,
     utils::sync::lock,
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 struct PendingRequest {
     shard: ShardId,
-    request: AskWire,
+    request: PermitRequestWire,
     slot: Arc<ReplySlot>,
 }
 
@@ -170,12 +170,12 @@
         let sent_at = self.clock.now();
         let slot =
             Arc::new(ReplySlot { state: Mutex::new(RequestState::Sent), changed: Condvar::new() });
-        let number = short(request.id.number);
-        let wire = AskWire::of(request);
+        let number = wire_number(request.id.number);
+        let wire = PermitRequestWire::new(request);
         let sent = self.send_batches(home, |_, link| {
             let pending = PendingRequest { shard, request: wire.clone(), slot: Arc::clone(&slot) };
             link.pending.insert(number, pending);
-            vec![ShardBatch { asks: vec![wire], ..ShardBatch::new(shard) }]
+            vec![ShardBatch { requests: vec![wire], ..ShardBatch::new(shard) }]
         });
         if !sent {
             self.note_home_lost(home);
@@ -244,13 +244,16 @@
         self.send_batches(home, |held, link| {
             link.pending.remove(&number);
             held.remove(&number);
-            vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
+            vec![ShardBatch {
+                releases: vec![ReleaseWire::new(&release)],
+                ..ShardBatch::new(shard)
+            }]
         });
     }
 
     /// Releases a permit.
     pub fn release(&self, permit: Permit, kind: ReleaseKind, load: Option<u32>) {
-        let number = short(permit.number);
+        let number = wire_number(permit.number);
         let Some((home, shard)) = lock(&self.state).held.get(&number).map(|h| (h.home, h.shard))
         else {
             return;
@@ -259,7 +262,10 @@
         // An unreachable home learns of the release from a later count, or drops the permits of an unresponsive entry.
         self.send_batches(home, |held, _| {
             held.remove(&number);
-            vec![ShardBatch { releases: vec![ReleaseWire::of(&release)], ..ShardBatch::new(shard) }]
+            vec![ShardBatch {
+                releases: vec![ReleaseWire::new(&release)],
+                ..ShardBatch::new(shard)
+            }]
         });
     }
 
@@ -286,7 +292,7 @@
         let mut state = lock(&self.state);
         let State { held, links, .. } = &mut *state;
         let link = links.entry(home).or_default();
-        link.announce.extend(message.want_announcement);
+        link.announce.extend(message.request_announcement);
         for NumberedReply { number, reply } in message.replies {
             // A withdrawn request has sent its release already.
             let Some(pending) = link.pending.get(&number) else { continue };
@@ -318,7 +324,7 @@
 
     /// Handles a late reply of a home on this instance.
     pub fn handle_own_reply(&self, id: PermitId, reply: Reply) {
-        let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
+        let reply = NumberedReply { number: wire_number(id.number), reply: ReplyWire::new(reply) };
         self.handle_message(
             self.own,
             HomeMessage { replies: vec![reply], ..HomeMessage::default() },
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -21,7 +21,7 @@
         knowledge::{objects::ObjectCache, snapshot::Snapshot},
         requests::{claims::Claims, permit_client::PermitClient},
     },
-    link::{backend::BackendLinks, peer::PeerLinks, traffic::Traffic, wire::Hello},
+    link::{backend::BackendPool, peer::PeerClient, traffic::TrafficCounter, wire::Hello},
     metrics::Metrics,
     names::{ServiceId, Tag},
     platform::Platform,
@@ -47,13 +47,13 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Counts control bytes into the metrics.
-    pub traffic: Traffic,
+    pub traffic: TrafficCounter,
     /// The platform.
     pub platform: Platform,
     /// Links to other instances.
-    pub peers: PeerLinks,
+    pub peers: PeerClient,
     /// Links to backend servers.
-    pub backends: BackendLinks,
+    pub backends: BackendPool,
     /// The file in force, ready for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
     /// Which file is in force.
--- a/src/link/call.rs
+++ b/src/link/call.rs
@@ -1,31 +1,31 @@
-//! One call over HTTP/1.1 on one connection, which has time for as long as it makes progress.
+//! A single HTTP/1.1 call on a connection, with timeouts for stalls rather than for the duration of the body.
 
 use std::time::{Duration, Instant};
 
 use http::{HeaderMap, Method, StatusCode};
 
-use super::http1::{BodyReader, Conn, ReadFault, ResponseHead};
+use super::http1::{BodyReader, Conn, ReadError, ResponseHead};
 
-/// Largest head of a reply, in bytes.
+/// Maximum size of a reply's head in bytes.
 const HEAD_MAX: usize = 8 << 10;
 
-/// Longest time for a whole message: 5.3 MB over the slowest link planned for (1.25 MB a second) take 4.2 s, and
-/// twice as long beside other traffic. What makes progress is not to be cut by it.
-pub const WHOLE_MESSAGE: Duration = Duration::from_secs(10);
+/// Timeout for a complete message: 5.3 MB take 4.2 s over the slowest supported link (1.25 MB/s) and twice as long with
+/// concurrent traffic. It is long enough not to abort a transfer that makes progress.
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long the parts of a call may take. A body has no time of its own: how long it takes depends on its
-/// length and the link, so a limit on the whole would cut every body beyond some length, each time anew.
+/// Timeouts of a call. The body has none of its own: its duration depends on its length and the link, so a fixed
+/// timeout would abort every body beyond some length, on every retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallTime {
-    /// From the call's end to the reply's head.
+pub struct CallTimeouts {
+    /// From the sent call to the reply's head.
     pub head: Duration,
-    /// Longest pause, of the reply's body or in the other side's taking of the call.
+    /// Maximum pause between bytes of the reply's body, or until the peer accepts more bytes of the call.
     pub stall: Duration,
-    /// For all together: what only trickles in is given up then.
-    pub whole: Duration,
+    /// For the complete call, so that a reply that trickles in is aborted.
+    pub total: Duration,
 }
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug)]
 pub struct CallReply {
     /// Status.
@@ -34,68 +34,76 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Vec<u8>,
-    /// Whether the connection may carry another call.
+    /// Whether the connection can be reused for another call.
     pub keep_alive: bool,
 }
 
-/// Why a call brought no reply.
+/// Error of a call.
 #[derive(Debug, thiserror::Error)]
-pub enum CallFault {
-    /// The connection ended before anything of a reply came, as a kept one does that the other side closed.
+pub enum CallError {
+    /// The call was not sent completely, or the connection was closed before the first byte of a reply, as it happens
+    /// on a pooled connection that the peer has closed.
     #[error("{0}, before anything of a reply came")]
-    Ended(String),
-    /// The other side said nothing in time.
+    Closed(String),
+    /// The peer sent no reply in time.
     #[error("nothing came for {0:?}")]
-    Silent(Duration),
-    /// The reply broke off.
+    Timeout(Duration),
+    /// The reply is truncated or invalid.
     #[error("{reason}, with {read} bytes of the body read")]
-    Cut {
-        /// What went wrong.
+    Truncated {
+        /// Text of the error.
         reason: String,
-        /// Bytes of the body that had come.
+        /// Number of bytes of the body received before.
         read: usize,
     },
 }
 
-/// Sends `message`, a whole request of the method `method`, and returns the reply with a body of at most
-/// `most` bytes.
+/// Sends `message`, a complete request with the method `method`, and returns the reply, whose body has at most
+/// `reply_max` bytes.
 ///
 /// # Errors
 ///
-/// See [`CallFault`]; the connection is of no more use then.
+/// See [`CallError`]. The connection cannot be used again then.
 pub fn call(
     conn: &mut Conn,
     method: &Method,
     message: &[u8],
-    time: &CallTime,
-    most: usize,
-) -> Result<CallReply, CallFault> {
-    let end = conn.clock().now() + time.whole;
-    conn.send(message, time.stall).map_err(|(_, e)| CallFault::Ended(e.to_string()))?;
-    let head = read_head(conn, time, end)?;
-    let cut = |reason: &dyn ToString, read| CallFault::Cut { reason: reason.to_string(), read };
-    let framing = head.framing(method).map_err(|e| cut(&e, 0))?;
+    timeouts: &CallTimeouts,
+    reply_max: usize,
+) -> Result<CallReply, CallError> {
+    let deadline = conn.clock().now() + timeouts.total;
+    conn.send(message, timeouts.stall).map_err(|(_, e)| CallError::Closed(e.to_string()))?;
+    let head = read_head(conn, timeouts, deadline)?;
+    let truncated =
+        |reason: &dyn ToString, read| CallError::Truncated { reason: reason.to_string(), read };
+    let framing = head.framing(method).map_err(|e| truncated(&e, 0))?;
     let mut reader = BodyReader::new(framing);
-    let body = reader.read_progressing(conn, most, time.stall, end);
-    let body = body.map_err(|(read, e)| cut(&e, read))?;
+    let body = reader.read_all_with_stall_limit(conn, reply_max, timeouts.stall, deadline);
+    let body = body.map_err(|(read, e)| truncated(&e, read))?;
     let keep_alive = head.keep_alive() && conn.buffered().is_empty();
     Ok(CallReply { status: head.status, headers: head.headers, body, keep_alive })
 }
 
-fn read_head(conn: &mut Conn, time: &CallTime, end: Instant) -> Result<ResponseHead, CallFault> {
-    let until = (conn.clock().now() + time.head).min(end);
+fn read_head(
+    conn: &mut Conn,
+    timeouts: &CallTimeouts,
+    deadline: Instant,
+) -> Result<ResponseHead, CallError> {
+    let head_deadline = (conn.clock().now() + timeouts.head).min(deadline);
     loop {
         match ResponseHead::take_buffered(conn, HEAD_MAX) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
-            Err(e) => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
+            Err(e) => return Err(CallError::Truncated { reason: e.to_string(), read: 0 }),
         }
-        let began = !conn.buffered().is_empty();
-        match conn.fill_beside(until, None) {
+        let has_begun = !conn.buffered().is_empty();
+        match conn.fill_until(head_deadline, None) {
             Ok(()) => {}
-            Err(ReadFault::Timeout) => return Err(CallFault::Silent(time.head)),
-            Err(e) if began => return Err(CallFault::Cut { reason: e.to_string(), read: 0 }),
-            Err(e) => return Err(CallFault::Ended(e.to_string())),
+            Err(ReadError::Timeout) => return Err(CallError::Timeout(timeouts.head)),
+            Err(e) if has_begun => {
+                return Err(CallError::Truncated { reason: e.to_string(), read: 0 });
+            }
+            Err(e) => return Err(CallError::Closed(e.to_string())),
         }
     }
 }
--- a/src/link/http1/head.rs
+++ b/src/link/http1/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Heads of HTTP/1.1 requests and responses.
 
 use std::time::Instant;
 
@@ -6,13 +6,13 @@
 
 use super::{
     body::BodyFraming,
-    conn::{Conn, ReadFault},
+    conn::{Conn, ReadError},
 };
 
-/// Most header lines of a head.
-const HEADERS_MAX: usize = 100;
+/// Maximum number of header lines in a head.
+const HEADER_LINES_MAX: usize = 100;
 
-/// Headers that belong to one connection and are never passed on (RFC 9110, 7.6.1).
+/// Headers of a single connection, which are never forwarded (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -25,102 +25,104 @@
     "upgrade",
 ];
 
-/// Why a head cannot be taken.
+/// Error of reading or parsing a head.
 #[derive(Debug, thiserror::Error)]
-pub enum HeadFault {
+pub enum HeadError {
     /// Reading failed.
     #[error(transparent)]
-    Read(#[from] ReadFault),
-    /// The head does not follow the protocol.
+    Read(#[from] ReadError),
+    /// The head violates the protocol.
     #[error("bad request: {0}")]
-    Bad(&'static str),
-    /// The head is larger than allowed.
+    Invalid(&'static str),
+    /// The head exceeds the size limit.
     #[error("the head is larger than allowed; send fewer or shorter headers")]
     TooLarge,
-    /// A transfer coding other than chunked.
+    /// The transfer coding is not chunked.
     #[error("only the transfer coding chunked is understood")]
-    Coding,
+    UnsupportedCoding,
 }
 
-/// A request's head.
+/// Head of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
     /// Method.
     pub method: Method,
-    /// Path and query as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Whether the sender speaks HTTP/1.0.
+    /// Whether the sender uses HTTP/1.0.
     pub http10: bool,
     /// Headers.
     pub headers: HeaderMap,
 }
 
-/// An answer's head.
+/// Head of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// Status.
     pub status: StatusCode,
-    /// Whether the sender speaks HTTP/1.0.
+    /// Whether the sender uses HTTP/1.0.
     pub http10: bool,
     /// Headers.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// Reads a request's head of at most `max` bytes before `until`.
+    /// Reads the head of a request, of at most `max` bytes, before `deadline`.
     ///
     /// # Errors
     ///
-    /// See [`HeadFault`]; a connection closed before its first byte is `Read(Closed)`.
-    pub fn read(conn: &mut Conn, max: usize, until: Instant) -> Result<RequestHead, HeadFault> {
+    /// See [`HeadError`]. If the connection is closed before the head is complete, the error is `Read(Closed)`.
+    pub fn read(conn: &mut Conn, max: usize, deadline: Instant) -> Result<RequestHead, HeadError> {
         skip_blank_lines(conn);
-        let length = wait_for_head(conn, max, |conn| conn.fill_beside(until, None))?;
+        let length = wait_for_head(conn, max, |conn| conn.fill_until(deadline, None))?;
         let head = RequestHead::parse(&conn.buffered()[..length])?;
         conn.consume(length);
         Ok(head)
     }
 
-    /// Parses the bytes of a whole head.
+    /// Parses a complete head.
     ///
     /// # Errors
     ///
-    /// The bytes are no head, or one that different readers could take differently.
-    pub fn parse(bytes: &[u8]) -> Result<RequestHead, HeadFault> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    /// The bytes are not a valid head, or other HTTP implementations could interpret them differently.
+    pub fn parse(bytes: &[u8]) -> Result<RequestHead, HeadError> {
+        let mut headers = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
-            Ok(httparse::Status::Partial) => return Err(HeadFault::Bad("the head is not whole")),
-            Err(httparse::Error::TooManyHeaders) => return Err(HeadFault::TooLarge),
-            Err(_) => return Err(HeadFault::Bad("the head cannot be read")),
+            Ok(httparse::Status::Partial) => {
+                return Err(HeadError::Invalid("the head is not whole"));
+            }
+            Err(httparse::Error::TooManyHeaders) => return Err(HeadError::TooLarge),
+            Err(_) => return Err(HeadError::Invalid("the head cannot be read")),
         }
         let method = request.method.unwrap_or_default();
-        let method =
-            Method::from_bytes(method.as_bytes()).map_err(|_| HeadFault::Bad("unknown method"))?;
+        let method = Method::from_bytes(method.as_bytes())
+            .map_err(|_| HeadError::Invalid("unknown method"))?;
         let target = request.path.unwrap_or_default().to_owned();
         if !target.starts_with('/') {
-            return Err(HeadFault::Bad("the target must be a path that starts with /"));
+            return Err(HeadError::Invalid("the target must be a path that starts with /"));
         }
         let http10 = request.version == Some(0);
         let headers = header_map(request.headers)?;
         if !http10 && headers.get_all("host").iter().count() != 1 {
-            return Err(HeadFault::Bad("send exactly one Host header"));
+            return Err(HeadError::Invalid("send exactly one Host header"));
         }
         Ok(RequestHead { method, target, http10, headers })
     }
 
-    /// Decides how the request's body is framed.
+    /// Returns how the request's body is framed.
     ///
     /// # Errors
     ///
-    /// Framing that different readers could take differently (RFC 9112, 6.3) is refused.
-    pub fn framing(&self) -> Result<BodyFraming, HeadFault> {
+    /// The framing is ambiguous: other HTTP implementations could interpret it differently (RFC 9112, 6.3).
+    pub fn framing(&self) -> Result<BodyFraming, HeadError> {
         let length = content_length(&self.headers)?;
         match (is_chunked(&self.headers)?, length) {
             (true, Some(_)) => {
-                Err(HeadFault::Bad("both Content-Length and Transfer-Encoding; send one"))
+                Err(HeadError::Invalid("both Content-Length and Transfer-Encoding; send one"))
             }
-            (true, None) if self.http10 => Err(HeadFault::Bad("Transfer-Encoding in HTTP/1.0")),
+            (true, None) if self.http10 => Err(HeadError::Invalid("Transfer-Encoding in HTTP/1.0")),
             (true, None) => Ok(BodyFraming::Chunked),
             (false, Some(length)) => Ok(BodyFraming::Length(length)),
             (false, None) => Ok(BodyFraming::Length(0)),
@@ -132,32 +134,32 @@
         keep_alive(self.http10, &self.headers)
     }
 
-    /// Returns the value of a header as text, if it is there and readable.
+    /// Returns the value of a header, if it is present and consists of visible ASCII characters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the key that a caller shows as a bearer token (RFC 6750).
-    pub fn bearer(&self) -> Option<&str> {
+    /// Returns the request's bearer token (RFC 6750).
+    pub fn bearer_token(&self) -> Option<&str> {
         let (scheme, key) = self.header("authorization")?.split_once(' ')?;
         scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
     }
 }
 
 impl ResponseHead {
-    /// Reads an answer's head, passing over interim answers (1xx).
+    /// Reads the head of a response, skipping interim responses (1xx).
     ///
     /// # Errors
     ///
-    /// See [`HeadFault`].
+    /// See [`HeadError`].
     pub fn read(
         conn: &mut Conn,
         max: usize,
-        until: Instant,
-        go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<ResponseHead, HeadFault> {
+        deadline: Instant,
+        keep_waiting: &mut dyn FnMut() -> bool,
+    ) -> Result<ResponseHead, HeadError> {
         loop {
-            let length = wait_for_head(conn, max, |conn| conn.fill(until, go_on))?;
+            let length = wait_for_head(conn, max, |conn| conn.fill(deadline, keep_waiting))?;
             let head = ResponseHead::parse(&conn.buffered()[..length])?;
             conn.consume(length);
             if !head.status.is_informational() {
@@ -166,21 +168,21 @@
         }
     }
 
-    /// Takes an answer's head from what `conn` has buffered, passing over interim answers (1xx).
+    /// Consumes the head of a response from the buffer of `conn`, skipping interim responses (1xx).
     ///
-    /// `None` means that more bytes are needed.
+    /// Returns `None` when more bytes are needed.
     ///
     /// # Errors
     ///
-    /// See [`HeadFault`].
-    pub fn take_buffered(conn: &mut Conn, max: usize) -> Result<Option<ResponseHead>, HeadFault> {
+    /// See [`HeadError`].
+    pub fn take_buffered(conn: &mut Conn, max: usize) -> Result<Option<ResponseHead>, HeadError> {
         loop {
             let Some(length) = find_end(conn.buffered(), 0) else {
                 let fits = conn.buffered().len() <= max;
-                return if fits { Ok(None) } else { Err(HeadFault::TooLarge) };
+                return if fits { Ok(None) } else { Err(HeadError::TooLarge) };
             };
             if length > max {
-                return Err(HeadFault::TooLarge);
+                return Err(HeadError::TooLarge);
             }
             let head = ResponseHead::parse(&conn.buffered()[..length])?;
             conn.consume(length);
@@ -190,32 +192,33 @@
         }
     }
 
-    fn parse(bytes: &[u8]) -> Result<ResponseHead, HeadFault> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    fn parse(bytes: &[u8]) -> Result<ResponseHead, HeadError> {
+        let mut headers = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut response = httparse::Response::new(&mut headers);
         match response.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
-            _ => return Err(HeadFault::Bad("the answer's head cannot be read")),
+            _ => return Err(HeadError::Invalid("the answer's head cannot be read")),
         }
         let code = response.code.unwrap_or_default();
-        let status = StatusCode::from_u16(code).map_err(|_| HeadFault::Bad("no such status"))?;
+        let status =
+            StatusCode::from_u16(code).map_err(|_| HeadError::Invalid("no such status"))?;
         let http10 = response.version == Some(0);
         Ok(ResponseHead { status, http10, headers: header_map(response.headers)? })
     }
 
-    /// Decides how the answer's body is framed, given the request's method.
+    /// Returns how the response's body is framed, given the request's method.
     ///
     /// # Errors
     ///
-    /// Contradicting framing.
-    pub fn framing(&self, method: &Method) -> Result<BodyFraming, HeadFault> {
+    /// The headers contradict each other, or the transfer coding is not chunked.
+    pub fn framing(&self, method: &Method) -> Result<BodyFraming, HeadError> {
         let bodiless = matches!(self.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if bodiless || *method == Method::HEAD {
             return Ok(BodyFraming::Length(0));
         }
         let length = content_length(&self.headers)?;
         match (is_chunked(&self.headers)?, length) {
-            (true, Some(_)) => Err(HeadFault::Bad("both Content-Length and Transfer-Encoding")),
+            (true, Some(_)) => Err(HeadError::Invalid("both Content-Length and Transfer-Encoding")),
             (true, None) => Ok(BodyFraming::Chunked),
             (false, Some(length)) => Ok(BodyFraming::Length(length)),
             (false, None) => Ok(BodyFraming::UntilClose),
@@ -227,34 +230,34 @@
         keep_alive(self.http10, &self.headers)
     }
 
-    /// Returns the value of a header as text, if it is there and readable.
+    /// Returns the value of a header, if it is present and consists of visible ASCII characters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Removes the headers that belong to one connection, those that `Connection` names included.
+/// Removes the headers of a single connection, including those that `Connection` lists.
 pub fn drop_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all("connection")
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP) {
+    for name in listed.iter().map(String::as_str).chain(HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// Appends header lines to a head being written.
+/// Appends header lines to a head.
 pub fn write_headers(buf: &mut Vec<u8>, headers: &HeaderMap) {
     for (name, value) in headers {
         write_header(buf, name.as_str(), value.as_bytes());
     }
 }
 
-/// Appends one header line to a head being written.
+/// Appends one header line to a head.
 pub fn write_header(buf: &mut Vec<u8>, name: &str, value: &[u8]) {
     buf.extend_from_slice(name.as_bytes());
     buf.extend_from_slice(b": ");
@@ -268,20 +271,20 @@
     }
 }
 
-/// Reads until the buffer holds a whole head and returns its length.
+/// Reads until the buffer holds a complete head and returns its length.
 fn wait_for_head(
     conn: &mut Conn,
     max: usize,
-    mut fill: impl FnMut(&mut Conn) -> Result<(), ReadFault>,
-) -> Result<usize, HeadFault> {
+    mut fill: impl FnMut(&mut Conn) -> Result<(), ReadError>,
+) -> Result<usize, HeadError> {
     let mut searched = 0;
     loop {
         let buffered = conn.buffered();
         if let Some(end) = find_end(buffered, searched) {
-            return if end > max { Err(HeadFault::TooLarge) } else { Ok(end) };
+            return if end > max { Err(HeadError::TooLarge) } else { Ok(end) };
         }
         if buffered.len() > max {
-            return Err(HeadFault::TooLarge);
+            return Err(HeadError::TooLarge);
         }
         searched = buffered.len().saturating_sub(3);
         fill(conn)?;
@@ -289,51 +292,51 @@
 }
 
 fn find_end(bytes: &[u8], from: usize) -> Option<usize> {
-    let at = bytes[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
-    Some(from + at + 4)
+    let position = bytes[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
+    Some(from + position + 4)
 }
 
-fn header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadFault> {
+fn header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadError> {
     let mut headers = HeaderMap::with_capacity(parsed.len());
     for header in parsed {
         let name = HeaderName::from_bytes(header.name.as_bytes())
-            .map_err(|_| HeadFault::Bad("bad header name"))?;
+            .map_err(|_| HeadError::Invalid("bad header name"))?;
         let value = HeaderValue::from_bytes(header.value)
-            .map_err(|_| HeadFault::Bad("bad header value"))?;
+            .map_err(|_| HeadError::Invalid("bad header value"))?;
         headers.append(name, value);
     }
     Ok(headers)
 }
 
-fn content_length(headers: &HeaderMap) -> Result<Option<u64>, HeadFault> {
+fn content_length(headers: &HeaderMap) -> Result<Option<u64>, HeadError> {
     let mut length = None;
     for value in headers.get_all("content-length") {
-        let text = value.to_str().map_err(|_| HeadFault::Bad("bad Content-Length"))?;
+        let text = value.to_str().map_err(|_| HeadError::Invalid("bad Content-Length"))?;
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(HeadFault::Bad("Content-Length is not a number"));
+            return Err(HeadError::Invalid("Content-Length is not a number"));
         }
-        let parsed = text.parse().map_err(|_| HeadFault::Bad("Content-Length is too large"))?;
-        if length.is_some_and(|known| known != parsed) {
-            return Err(HeadFault::Bad("two different Content-Length headers"));
+        let parsed = text.parse().map_err(|_| HeadError::Invalid("Content-Length is too large"))?;
+        if length.is_some_and(|previous| previous != parsed) {
+            return Err(HeadError::Invalid("two different Content-Length headers"));
         }
         length = Some(parsed);
     }
     Ok(length)
 }
 
-fn is_chunked(headers: &HeaderMap) -> Result<bool, HeadFault> {
+fn is_chunked(headers: &HeaderMap) -> Result<bool, HeadError> {
     let mut codings = headers.get_all("transfer-encoding").iter();
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
         (Some(value), None) if value.as_bytes().eq_ignore_ascii_case(b"chunked") => Ok(true),
-        _ => Err(HeadFault::Coding),
+        _ => Err(HeadError::UnsupportedCoding),
     }
 }
 
 fn keep_alive(http10: bool, headers: &HeaderMap) -> bool {
-    let says = |word: &str| {
+    let has_option = |option: &str| {
         let values = headers.get_all("connection").iter().filter_map(|v| v.to_str().ok());
-        values.flat_map(|v| v.split(',')).any(|part| part.trim().eq_ignore_ascii_case(word))
+        values.flat_map(|v| v.split(',')).any(|item| item.trim().eq_ignore_ascii_case(option))
     };
-    if http10 { says("keep-alive") } else { !says("close") }
+    if http10 { has_option("keep-alive") } else { !has_option("close") }
 }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,13 +1,13 @@
-//! Links to callers, backend servers and other instances: transports and codecs.
+//! Connections to callers, backend servers and other instances: listeners, clients, HTTP/1.1 and message formats.
 
-pub mod answer;
 pub mod backend;
 pub mod call;
-pub mod caller;
+pub mod conn_pool;
 pub mod http1;
 pub mod idle;
-pub mod kept;
+pub mod listener;
 pub mod peer;
-pub mod small;
+pub mod response;
+pub mod text_server;
 pub mod traffic;
 pub mod wire;
--- a/tests/suite/gateway.rs
+++ b/tests/suite/gateway.rs
@@ -276,7 +276,7 @@
             picker.in_flight().map(|(_, own)| own).sum::<u32>()
         };
         eventually("the request is in flight", || in_flight() == 1);
-        conn.cut();
+        conn.shutdown();
         eventually("the request has ended", || in_flight() == 0);
     }
 }
--- a/tests/suite/idle_callers.rs
+++ b/tests/suite/idle_callers.rs
@@ -65,7 +65,10 @@
     let slow: Vec<_> = (0..SLOW_CONNS)
         .map(|_| {
             let conn = connect(callers);
-            conn.handle().expect("a handle").write_all(b"POST /once/").expect("some bytes");
+            conn.try_clone_stream()
+                .expect("a handle")
+                .write_all(b"POST /once/")
+                .expect("some bytes");
             conn
         })
         .collect();
