--- a/src/instance/requests/request.rs
+++ b/src/instance/requests/request.rs
@@ -149,7 +149,7 @@
 }
 
 fn idempotency_key(head: &RequestHead) -> Result<Option<String>, Refusal> {
-    let fault = || {
+    let invalid_key = || {
         let detail = format!(
             "Idempotency-Key must be one text of 1 to {IDEMPOTENCY_KEY_MAX} printable characters"
         );
@@ -158,13 +158,13 @@
     let mut values = head.headers.get_all(IDEMPOTENCY_KEY_HEADER).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(fault());
+        return Err(invalid_key());
     }
-    let text = value.to_str().map_err(|_| fault())?.trim();
+    let text = value.to_str().map_err(|_| invalid_key())?.trim();
     // The draft defines the key as a structured-field string; a bare one is accepted as well.
     let key = text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(text);
     if key.is_empty() || key.len() > IDEMPOTENCY_KEY_MAX {
-        return Err(fault());
+        return Err(invalid_key());
     }
     Ok(Some(key.to_owned()))
 }
