--- a/src/instance/requests/caller_watch.rs
+++ b/src/instance/requests/caller_watch.rs
@@ -1,4 +1,4 @@
-//! Watches whether a caller still waits for its answer.
+//! Detects callers that no longer wait for their response.
 
 use std::time::{Duration, Instant};
 
@@ -7,46 +7,46 @@
     link::http1::{Conn, conn::ConnState},
 };
 
-/// Period at which a caller that sends no more is probed for still reading.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between probes of a caller that has closed its sending side; also the time-out of a probe.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches whether a caller still waits for its answer.
+/// Detects whether a caller still waits for its response.
 ///
-/// A caller that has closed its sending side may still read: an interim answer, which every
-/// HTTP/1.1 caller passes over, shows whether it does.
+/// A caller that has closed its sending side may still read: an interim response, which every HTTP/1.1 client
+/// ignores, shows whether it does. HTTP/1.0 has no interim responses; such callers count as waiting until the
+/// connection breaks.
 pub struct CallerWatch<'w> {
     shared: &'w Shared,
-    probes: bool,
-    /// The request is to be carried through whether or not its caller waits.
-    stays: bool,
+    can_probe: bool,
+    /// The request runs to its end even if its caller disconnects.
+    must_complete: bool,
     last_probe: Option<Instant>,
 }
 
 impl<'w> CallerWatch<'w> {
-    /// Returns a watch over the caller of `request`; with `stays`, the request is carried through
-    /// whether or not its caller waits.
-    pub fn new(shared: &'w Shared, request: &Request, stays: bool) -> CallerWatch<'w> {
-        CallerWatch { shared, probes: !request.http10, stays, last_probe: None }
+    /// Returns a watch over the caller of `request`; with `must_complete`, the caller always counts as waiting.
+    pub fn new(shared: &'w Shared, request: &Request, must_complete: bool) -> CallerWatch<'w> {
+        CallerWatch { shared, can_probe: !request.http10, must_complete, last_probe: None }
     }
 
-    /// Returns whether the caller on `conn` still waits.
-    pub fn waits(&mut self, conn: &mut Conn) -> bool {
-        if self.stays {
+    /// Returns whether the caller on `conn` counts as waiting.
+    pub fn is_waiting(&mut self, conn: &mut Conn) -> bool {
+        if self.must_complete {
             return true;
         }
         match conn.state() {
             ConnState::Broken => false,
             ConnState::Open | ConnState::Readable => true,
-            ConnState::HalfClosed => !self.probes || self.probe(conn),
+            ConnState::HalfClosed => !self.can_probe || self.probe(conn),
         }
     }
 
     fn probe(&mut self, conn: &mut Conn) -> bool {
         let now = self.shared.clock.now();
-        if self.last_probe.is_some_and(|at| now.duration_since(at) < PROBE_PERIOD) {
+        if self.last_probe.is_some_and(|at| now.duration_since(at) < PROBE_INTERVAL) {
             return true;
         }
         self.last_probe = Some(now);
-        conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", PROBE_PERIOD).is_ok()
+        conn.send(b"HTTP/1.1 100 Continue\r\n\r\n", PROBE_INTERVAL).is_ok()
     }
 }
--- a/src/instance/requests/mod.rs
+++ b/src/instance/requests/mod.rs
@@ -1,15 +1,15 @@
-//! The way of a request: read and admitted (`entry`, `request`), claimed by its key (`claims`), given a
-//! place at an engine (`place`, `desk`), sent and answered (`forward`, `replay`).
+//! Processing of a request: reading and admission (`entry`, `request`), the claim of its idempotency key (`claims`),
+//! a slot at an engine (`engine_slot`, `permit_client`), the attempts and the response (`forward`, `replay`).
 
-pub mod answer_parts;
 pub mod caller_watch;
 pub mod claims;
-pub mod desk;
 pub mod engine_report;
+pub mod engine_slot;
 pub mod engine_streams;
 pub mod entry;
 pub mod forward;
-pub mod place;
+pub mod permit_client;
+pub mod placement_hint;
 pub mod replay;
 pub mod request;
-pub mod tokens;
+pub mod response_parts;
--- a/src/instance/requests/request.rs
+++ b/src/instance/requests/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and understood, before it is sent on.
+//! A caller's request, parsed and checked before it is forwarded.
 
 use std::time::{Duration, Instant};
 
@@ -15,51 +15,51 @@
 pub const CHAT_HEADER: &str = "cartvane-chat";
 /// Header with the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "cartvane-deadline-ms";
-/// Header with the placement hint of an earlier answer.
+/// Header with the placement hint of an earlier response.
 pub const PLACEMENT_HEADER: &str = "cartvane-placement";
 /// Header with the caller's idempotency key (draft-ietf-httpapi-idempotency-key-header).
-pub const KEY_HEADER: &str = "idempotency-key";
-/// Header that tells backend servers the class of a request.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// Header with the priority class of a request, for backend servers.
 pub const PRIORITY_HEADER: &str = "cartvane-priority";
 
 /// Longest idempotency key, in bytes.
-const KEY_MAX: usize = 255;
+const IDEMPOTENCY_KEY_MAX: usize = 255;
 
 /// Longest chat id, in bytes.
-const CHAT_MAX: usize = 255;
+const CHAT_ID_MAX: usize = 255;
 
-/// Leading messages of a chat that identify it when the caller names no chat.
-const CHAT_MESSAGES: usize = 2;
+/// Leading messages of a chat that identify it if the caller sends no chat id.
+const CHAT_KEY_MESSAGES: usize = 2;
 
-/// Prefix of headers that belong to the exchange between caller and router.
-const OWN_HEADERS: &str = "cartvane-";
+/// Prefix of the headers between caller and router; those of the caller are not forwarded.
+const OWN_HEADER_PREFIX: &str = "cartvane-";
 
-/// A request to be sent on.
+/// A request to be forwarded.
 #[derive(Debug)]
 pub struct Request {
-    /// Id told to the caller.
+    /// Id of the request, which the response states.
     pub id: String,
     /// Method.
     pub method: Method,
-    /// Path and query towards the backend server.
+    /// Path and query for the backend server.
     pub target: String,
-    /// End-to-end headers.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Body.
     pub body: Vec<u8>,
     /// The chat, if the request belongs to one.
     pub chat: Option<ChatKey>,
-    /// Placement hint sent along by the caller.
+    /// Placement hint sent by the caller.
     pub hint: Option<String>,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub retry_safety: RetrySafety,
     /// Idempotency key.
-    pub key: Option<String>,
-    /// When it had been read.
-    pub began: Instant,
-    /// When the answer must be whole.
+    pub idempotency_key: Option<String>,
+    /// When it had been read completely.
+    pub received_at: Instant,
+    /// When the response must be complete.
     pub deadline: Instant,
-    /// Whether the caller speaks HTTP/1.0.
+    /// Whether the caller uses HTTP/1.0.
     pub http10: bool,
 }
 
@@ -71,11 +71,11 @@
 }
 
 impl Request {
-    /// Understands a request whose body has been read.
+    /// Parses a request whose body has been read.
     ///
     /// # Errors
     ///
-    /// A header that cannot be understood: the request is refused and not run.
+    /// A header is invalid: the request is rejected and not run.
     pub fn new(
         id: String,
         head: RequestHead,
@@ -87,11 +87,14 @@
         let (_, rest) = split_target(&head.target);
         let target = if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") };
         let path = target.split('?').next().unwrap_or("/");
-        let key = idempotency_key(&head)?;
-        let ruled =
+        let idempotency_key = idempotency_key(&head)?;
+        let is_non_idempotent =
             service.non_idempotent.iter().any(|rule| rule.covers(head.method.as_str(), path));
-        let retry_safety =
-            if ruled || key.is_some() { RetrySafety::AtMostOnce } else { RetrySafety::Idempotent };
+        let retry_safety = if is_non_idempotent || idempotency_key.is_some() {
+            RetrySafety::AtMostOnce
+        } else {
+            RetrySafety::Idempotent
+        };
         let deadline = now + deadline(&head, service)?;
         let chat = chat_key(&head, &body, service, team)?;
         let hint = head.header(PLACEMENT_HEADER).map(str::to_owned);
@@ -106,24 +109,24 @@
             chat,
             hint,
             retry_safety,
-            key,
-            began: now,
+            idempotency_key,
+            received_at: now,
             deadline,
             http10,
         })
     }
 }
 
-/// Returns the headers that go on to the backend server: end to end, without the caller's key.
+/// Returns the headers to forward: the end-to-end headers, without the team's key.
 fn forwarded_headers(head: &RequestHead, team: &Team) -> HeaderMap {
     let mut headers = head.headers.clone();
     drop_hop_by_hop(&mut headers);
     for name in ["authorization", "content-length", "expect", "host"] {
         headers.remove(name);
     }
-    let own: Vec<_> =
-        headers.keys().filter(|n| n.as_str().starts_with(OWN_HEADERS)).cloned().collect();
-    for name in own {
+    let own_headers: Vec<_> =
+        headers.keys().filter(|n| n.as_str().starts_with(OWN_HEADER_PREFIX)).cloned().collect();
+    for name in own_headers {
         headers.remove(name);
     }
     if team.priority == Priority::Reserved {
@@ -146,21 +149,22 @@
 }
 
 fn idempotency_key(head: &RequestHead) -> Result<Option<String>, Refusal> {
-    let fault = || {
-        let detail =
-            format!("Idempotency-Key must be one text of 1 to {KEY_MAX} printable characters");
+    let invalid_key = || {
+        let detail = format!(
+            "Idempotency-Key must be one text of 1 to {IDEMPOTENCY_KEY_MAX} printable characters"
+        );
         Refusal::not_run(400, "bad idempotency key", detail)
     };
-    let mut values = head.headers.get_all(KEY_HEADER).iter();
+    let mut values = head.headers.get_all(IDEMPOTENCY_KEY_HEADER).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(fault());
+        return Err(invalid_key());
     }
-    let text = value.to_str().map_err(|_| fault())?.trim();
-    // The draft writes the key as a structured-field string; a bare one is taken as well.
+    let text = value.to_str().map_err(|_| invalid_key())?.trim();
+    // The draft defines the key as a structured-field string; a bare one is accepted as well.
     let key = text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(text);
-    if key.is_empty() || key.len() > KEY_MAX {
-        return Err(fault());
+    if key.is_empty() || key.len() > IDEMPOTENCY_KEY_MAX {
+        return Err(invalid_key());
     }
     Ok(Some(key.to_owned()))
 }
@@ -172,10 +176,10 @@
     team: &Team,
 ) -> Result<Option<ChatKey>, Refusal> {
     if let Some(value) = head.headers.get(CHAT_HEADER) {
-        let chat = value.to_str().ok().filter(|t| !t.is_empty() && t.len() <= CHAT_MAX);
+        let chat = value.to_str().ok().filter(|t| !t.is_empty() && t.len() <= CHAT_ID_MAX);
         let Some(chat) = chat else {
             let detail =
-                format!("Cartvane-Chat must be a text of 1 to {CHAT_MAX} printable characters");
+                format!("Cartvane-Chat must be a text of 1 to {CHAT_ID_MAX} printable characters");
             return Err(Refusal::not_run(400, "bad chat id", detail));
         };
         return Ok(Some(ChatKey::of(&[service.id.as_str(), team.id.as_str(), chat])));
@@ -187,7 +191,7 @@
     Ok(Some(ChatKey::of(&[service.id.as_str(), team.id.as_str(), &opening])))
 }
 
-/// Returns the first messages of a chat-completions body, which stay the same as a chat grows.
+/// Returns the first messages of a chat-completions body, which stay the same as the chat grows.
 fn opening_messages(body: &[u8]) -> Option<String> {
     #[derive(serde::Deserialize)]
     struct Body<'b> {
@@ -198,5 +202,12 @@
     if body.messages.is_empty() {
         return None;
     }
-    Some(body.messages.iter().take(CHAT_MESSAGES).map(|m| m.get()).collect::<Vec<_>>().join("\n"))
+    Some(
+        body.messages
+            .iter()
+            .take(CHAT_KEY_MESSAGES)
+            .map(|m| m.get())
+            .collect::<Vec<_>>()
+            .join("\n"),
+    )
 }
