--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     context::Context,
-    instance::{knowledge::apply::Applied, operators::status::FleetStatus},
+    instance::{cluster_state::apply::Applied, operators::status::FleetStatus},
     names::InstanceId,
     units::{Revision, Span},
 };
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -5,7 +5,7 @@
     operator::Operator,
     options::{print_json, read_file},
 };
-use crate::{context::Context, instance::knowledge::apply::Applied};
+use crate::{context::Context, instance::cluster_state::apply::Applied};
 
 pub(super) const COMMAND: Command = Command {
     name: "diff",
--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -8,11 +8,11 @@
 
 use crate::{
     instance::{
-        homes::{contexts, orders, probes},
-        knowledge::{
+        cluster_state::{
             config::{self, Waker},
             gossip,
         },
+        homes::{contexts, orders, probes},
         operators::status,
         shared::Shared,
     },
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -12,10 +12,10 @@
     context::Context,
     contract::{membership::Membership, revision::ActiveRevision},
     instance::{
+        cluster_state::{config::Waker, objects::ObjectCache},
         homes::{
             links::HomeLinks, order_state::Orders, shards::HomeShards, streams, table::HomeTable,
         },
-        knowledge::{config::Waker, objects::ObjectCache},
         requests::{
             claims::Claims,
             desk::{Desk, DeskLinks},
--- a/src/instance/knowledge/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -15,7 +15,7 @@
     },
     contract::revision::{HEAD_KEY, Head},
     instance::{
-        knowledge::{
+        cluster_state::{
             audit_trail,
             config::{self, object_key},
         },
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -9,7 +9,7 @@
     configs::fleet::chunks::{Digest, Manifest, decode, load},
     contract::revision::{HEAD_KEY, Head},
     instance::{
-        knowledge::{gossip, snapshot::Snapshot},
+        cluster_state::{gossip, snapshot::Snapshot},
         shared::Shared,
     },
     link::{
--- a/src/instance/knowledge/peers.rs
+++ b/src/instance/cluster_state/peers.rs
@@ -3,7 +3,7 @@
 use crate::{
     configs::fleet::chunks::{decode, encode},
     instance::{
-        knowledge::gossip,
+        cluster_state::gossip,
         operators::{explain, status},
         shared::Shared,
     },
--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, thread};
 
 use crate::{
-    instance::{homes::engines, knowledge::snapshot::Snapshot, shared::Shared},
+    instance::{cluster_state::snapshot::Snapshot, homes::engines, shared::Shared},
     names::Tag,
     zone::{context_moves::ContextMove, home::Event, rendezvous::ChatKey, shard::ShardId},
 };
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -16,8 +16,8 @@
         },
     },
     instance::{
+        cluster_state::{audit_trail::append, snapshot::Snapshot},
         homes::engines,
-        knowledge::{audit_trail::append, snapshot::Snapshot},
         shared::Shared,
     },
     names::Tag,
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock::Clock,
     contract::permit::{AnnouncedPermit, PermitId, Reply},
-    instance::knowledge::snapshot::Snapshot,
+    instance::cluster_state::snapshot::Snapshot,
     link::wire::{Announcement, Hello, Memory, NumberedReply, ReplyWire, ShardBatch, short},
     names::Tag,
     utils::sync::lock,
--- a/src/instance/homes/table.rs
+++ b/src/instance/homes/table.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     contract::membership::Membership,
-    instance::knowledge::snapshot::Snapshot,
+    instance::cluster_state::snapshot::Snapshot,
     names::Tag,
     units::Revision,
     zone::{
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -2,8 +2,8 @@
 
 mod background;
 mod build;
+pub mod cluster_state;
 pub mod homes;
-pub mod knowledge;
 pub mod operators;
 pub mod requests;
 pub mod shared;
@@ -17,8 +17,8 @@
 use anyhow::Context as _;
 
 use self::{
+    cluster_state::{config::Waker, gossip, peers},
     homes::streams,
-    knowledge::{config::Waker, gossip, peers},
     operators::api,
     requests::entry,
     shared::Shared,
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -10,7 +10,7 @@
     configs::fleet::{Fleet, chunks::Digest, diff::diff},
     contract::revision::HEAD_KEY,
     instance::{
-        knowledge::{
+        cluster_state::{
             apply::{ApplyFault, apply},
             audit_trail::append,
             config::object_key,
@@ -182,7 +182,7 @@
         Some(snapshot) => diff(&snapshot.fleet, &fleet),
         None => diff(&Fleet::default(), &fleet),
     };
-    Response::json(&crate::instance::knowledge::apply::Applied {
+    Response::json(&crate::instance::cluster_state::apply::Applied {
         revision: shared.revision(),
         changes,
     })
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -10,7 +10,7 @@
 use crate::{
     contract::outcome::{Outcome, Refusal},
     instance::{
-        knowledge::snapshot::{ServiceView, Snapshot},
+        cluster_state::snapshot::{ServiceView, Snapshot},
         requests::{
             forward::{self, Ended},
             request::{Request, split_target},
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -16,7 +16,7 @@
         retry::{RetryBudget, backoff},
     },
     instance::{
-        knowledge::snapshot::{ServiceView, Snapshot},
+        cluster_state::snapshot::{ServiceView, Snapshot},
         requests::{
             answer_parts::{
                 RESUMABLE_HEADER, answer_headers, error_event, is_event_stream, text_headers,
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/place.rs
@@ -9,7 +9,7 @@
         permit::{PermitRequest, RefuseReason, ReleaseKind, Reply},
     },
     instance::{
-        knowledge::snapshot::ServiceView,
+        cluster_state::snapshot::ServiceView,
         requests::{
             desk::{AskEnd, Permit},
             request::Request,
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -17,8 +17,8 @@
     configs::settings::Settings,
     contract::{membership::Membership, retry::RetryBudget, revision::ActiveRevision},
     instance::{
+        cluster_state::{objects::ObjectCache, snapshot::Snapshot},
         homes::{links::HomeLinks, order_state::Orders, shards::HomeShards, table::HomeTable},
-        knowledge::{objects::ObjectCache, snapshot::Snapshot},
         requests::{claims::Claims, desk::Desk},
     },
     link::{backend::BackendLinks, peer::PeerLinks, traffic::Traffic, wire::Hello},
--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use anyhow::bail;
 use cartvane::{
     configs::fleet::team::KeyHash,
-    instance::{knowledge::apply::Applied, operators::status::FleetStatus},
+    instance::{cluster_state::apply::Applied, operators::status::FleetStatus},
     platform::{MemberState, http::agent},
 };
 use indexmap::IndexMap;
--- a/standins/src/measure/config.rs
+++ b/standins/src/measure/config.rs
@@ -13,7 +13,7 @@
         team::KeyHash,
     },
     contract::revision::Head,
-    instance::knowledge::snapshot::Snapshot,
+    instance::cluster_state::snapshot::Snapshot,
     units::Revision,
 };
 
@@ -62,7 +62,7 @@
     for n in 0..CHANGES {
         let file = format!("{}{}", fleet.file(), team(&format!("change-{n}")));
         let began = Instant::now();
-        let applied: cartvane::instance::knowledge::apply::Applied =
+        let applied: cartvane::instance::cluster_state::apply::Applied =
             fleet.post(0, "/v1/apply", &file)?;
         if goes_down {
             fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
@@ -165,7 +165,7 @@
     let idle = resident_mib(fleet.routers[3].pid());
     let file = large_file(&fleet.file());
     let began = Instant::now();
-    let applied: cartvane::instance::knowledge::apply::Applied =
+    let applied: cartvane::instance::cluster_state::apply::Applied =
         fleet.post(0, "/v1/apply", &file)?;
     let accepted = began.elapsed();
     for at in 0..8 {
@@ -186,7 +186,7 @@
     let before: Vec<f64> = (1..8).map(config).collect();
     let changed = file.replacen("weight = 1", "weight = 2", 1) + &team("one-more");
     let began = Instant::now();
-    let applied: cartvane::instance::knowledge::apply::Applied =
+    let applied: cartvane::instance::cluster_state::apply::Applied =
         fleet.post(0, "/v1/apply", &changed)?;
     let change_accepted = began.elapsed();
     for at in 0..8 {
--- a/standins/src/measure/latency.rs
+++ b/standins/src/measure/latency.rs
@@ -163,7 +163,7 @@
         file.replacen(&plain.address().to_string(), &ticker.address().to_string(), 1)
     });
     let file = drop_second_plain(&file);
-    let _: cartvane::instance::knowledge::apply::Applied = fleet.post(0, "/v1/apply", &file)?;
+    let _: cartvane::instance::cluster_state::apply::Applied = fleet.post(0, "/v1/apply", &file)?;
     let through_at = fleet.routers[0].callers;
     // The same streams at the same time, so that both meet the same machine.
     let (direct, through): (Vec<Duration>, Vec<Duration>) = thread::scope(|scope| {
--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -10,7 +10,7 @@
     audit::{AuditAction, AuditRow},
     configs::fleet::chunks::Digest,
     instance::{
-        knowledge::apply::Applied,
+        cluster_state::apply::Applied,
         operators::api::{Problem, Shown},
     },
     platform::http::agent,
--- a/tests/suite/state_machines.rs
+++ b/tests/suite/state_machines.rs
@@ -17,7 +17,7 @@
         revision::{ActiveRevision, Head},
         token_bucket::TokenBucket,
     },
-    instance::{homes::table::HomeTable, knowledge::snapshot::Snapshot},
+    instance::{cluster_state::snapshot::Snapshot, homes::table::HomeTable},
     names::{InstanceId, Tag},
     platform::{Member, MemberKind, MemberState},
     units::{Rate, Revision},
