--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -94,7 +94,7 @@
         platform,
         peers,
         snapshot: ArcSwapOption::empty(),
-        in_force: Mutex::new(ActiveRevision::default()),
+        active_revision: Mutex::new(ActiveRevision::default()),
         objects: ObjectCache::default(),
         home_table: Mutex::new(HomeTable::default()),
         membership: Mutex::new(Membership::new(own)),
@@ -102,14 +102,14 @@
         homes,
         home_links: HomeLinks::default(),
         orders: Orders::default(),
-        installed: Mutex::new(None),
+        installed_at: Mutex::new(None),
         budgets: Mutex::new(HashMap::new()),
         baselines: Mutex::new(HashMap::new()),
         advertised: OnceLock::new(),
         drain: DrainState::default(),
         usage: Usage::default(),
         request_counter: AtomicU64::new(1),
-        wake_sync: Arc::new(move || waker.wake()),
+        wake_config: Arc::new(move || waker.wake()),
     });
     // Set once, here.
     let _ = this.set(Arc::downgrade(&shared));
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -260,7 +260,7 @@
     let head_revision = head.revision;
     if let Err(fault) = config::install(shared, head) {
         log::warn!("revision {head_revision} is accepted and not yet in force here: {fault}");
-        (shared.wake_sync)();
+        (shared.wake_config)();
     }
 }
 
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -100,11 +100,11 @@
 
 fn learn(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncFault> {
     let wanted = {
-        let mut in_force = lock(&shared.in_force);
+        let mut active_revision = lock(&shared.active_revision);
         for head in heads {
-            in_force.note_head(head);
+            active_revision.note_head(head);
         }
-        in_force.pending().cloned()
+        active_revision.pending().cloned()
     };
     match wanted {
         Some(head) => install(shared, head),
@@ -149,12 +149,12 @@
     let snapshot = Arc::new(Snapshot::new(head.clone(), fleet));
     {
         // Held while the snapshot is swapped, so that an older one never follows a newer one.
-        let mut in_force = lock(&shared.in_force);
-        if !in_force.install(head.clone()) {
+        let mut active_revision = lock(&shared.active_revision);
+        if !active_revision.install(head.clone()) {
             return Ok(());
         }
         shared.snapshot.store(Some(Arc::clone(&snapshot)));
-        *lock(&shared.installed) = Some(shared.clock.now());
+        *lock(&shared.installed_at) = Some(shared.clock.now());
     }
     shared.objects.keep_only(&head.manifest, &manifest);
     shared.homes.install(&snapshot);
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -148,7 +148,7 @@
 
 /// Takes in a peer's heartbeat and returns the answer to it.
 pub fn take_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> Heartbeat {
-    shared.greeted(&heartbeat.hello);
+    shared.note_hello(&heartbeat.hello);
     let now = shared.clock.now();
     let mut membership = lock(&shared.membership);
     for suspect in &heartbeat.suspects {
--- a/src/instance/cluster_state/peers.rs
+++ b/src/instance/cluster_state/peers.rs
@@ -37,13 +37,13 @@
         }
         LOADS => {
             let message: LoadsMessage = decode(body).map_err(bad)?;
-            shared.greeted(&message.hello);
+            shared.note_hello(&message.hello);
             gossip::take_loads(shared, &message.loads);
             Ok(encode(&()))
         }
         MEMORY => {
             let message: MemoryMessage = decode(body).map_err(bad)?;
-            shared.greeted(&message.hello);
+            shared.note_hello(&message.hello);
             gossip::take_memories(shared, message.memories);
             Ok(encode(&()))
         }
@@ -75,7 +75,7 @@
 
 fn fetch(shared: &Shared, request: &FetchRequest) -> FetchReply {
     match request {
-        FetchRequest::Head => FetchReply::Head(lock(&shared.in_force).installed().cloned()),
+        FetchRequest::Head => FetchReply::Head(lock(&shared.active_revision).installed().cloned()),
         FetchRequest::Members(member) => {
             FetchReply::Members(gossip::take_introduction(shared, member.clone()))
         }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -65,7 +65,7 @@
     let mut entry: Option<Hello> = None;
     while let Some(message) = receiver.next::<EntryMessage>(&mut || !shared.drain.is_stopped()) {
         if let Some(hello) = message.hello {
-            shared.greeted(&hello);
+            shared.note_hello(&hello);
             shared.home_links.add_entry(hello.from, &end);
             entry = Some(hello);
         }
@@ -120,7 +120,7 @@
     while let Some(message) = receiver.next::<HomeMessage>(&mut alive) {
         let Some(shared) = shared.upgrade() else { return };
         if let Some(hello) = &message.hello {
-            shared.greeted(hello);
+            shared.note_hello(hello);
         }
         shared.desk.take(home, message);
     }
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -57,7 +57,7 @@
     /// The file in force, ready for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
     /// Which file is in force.
-    pub in_force: Mutex<ActiveRevision>,
+    pub active_revision: Mutex<ActiveRevision>,
     /// Objects of the file in force and the one before.
     pub objects: ObjectCache,
     /// Which instance is the home of which shard.
@@ -73,7 +73,7 @@
     /// Orders to the engines of the shards held here.
     pub orders: Orders,
     /// When the file in force came into force.
-    pub installed: Mutex<Option<Instant>>,
+    pub installed_at: Mutex<Option<Instant>>,
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// Retry budgets by service.
@@ -89,7 +89,7 @@
     /// Numbers requests.
     pub request_counter: AtomicU64,
     /// Asks the configuration thread to look now.
-    pub wake_sync: Arc<dyn Fn() + Send + Sync>,
+    pub wake_config: Arc<dyn Fn() + Send + Sync>,
 }
 
 /// How far a drain has come.
@@ -132,12 +132,12 @@
 impl Shared {
     /// Returns the revision in force; zero when there is none.
     pub fn revision(&self) -> Revision {
-        lock(&self.in_force).revision()
+        lock(&self.active_revision).revision()
     }
 
     /// Returns when the file in force came into force here; now, when there is none.
     pub fn installed_at(&self) -> Instant {
-        lock(&self.installed).unwrap_or_else(|| self.clock.now())
+        lock(&self.installed_at).unwrap_or_else(|| self.clock.now())
     }
 
     /// Returns the greeting of the moment.
@@ -151,7 +151,7 @@
     }
 
     /// Takes in a greeting: its sender is alive, and may know a newer revision.
-    pub fn greeted(&self, hello: &Hello) {
+    pub fn note_hello(&self, hello: &Hello) {
         let now = self.clock.now();
         lock(&self.membership).note_contact(
             now,
@@ -160,7 +160,7 @@
             hello.leaving,
         );
         if hello.revision > self.revision() {
-            (self.wake_sync)();
+            (self.wake_config)();
         }
     }
 
