--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -44,7 +44,7 @@
 /// Why a file was not put in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
-pub enum ApplyFault {
+pub enum ApplyError {
     /// The file has faults.
     #[error("the file is refused as a whole; correct these and apply it again:\n{0}")]
     Faults(Faults),
@@ -72,9 +72,9 @@
     Unknown(String),
 }
 
-impl From<PlatformFault> for ApplyFault {
-    fn from(fault: PlatformFault) -> ApplyFault {
-        ApplyFault::Store(fault.to_string())
+impl From<PlatformFault> for ApplyError {
+    fn from(fault: PlatformFault) -> ApplyError {
+        ApplyError::Store(fault.to_string())
     }
 }
 
@@ -91,16 +91,16 @@
 ///
 /// # Errors
 ///
-/// See [`ApplyFault`]; the refusal is in the audit trail when the store takes it.
+/// See [`ApplyError`]; the refusal is in the audit trail when the store takes it.
 pub fn apply(
     shared: &Shared,
     text: &str,
     base: Option<Revision>,
     by: &str,
-) -> Result<Applied, ApplyFault> {
+) -> Result<Applied, ApplyError> {
     let result = match Fleet::parse(text) {
         Ok(fleet) => apply_fleet(shared, text, &fleet, base, by),
-        Err(faults) => Err(ApplyFault::Faults(faults)),
+        Err(faults) => Err(ApplyError::Faults(faults)),
     };
     if let Err(fault) = &result {
         note_refusal(shared, by, fault);
@@ -114,7 +114,7 @@
     fleet: &Fleet,
     base: Option<Revision>,
     by: &str,
-) -> Result<Applied, ApplyFault> {
+) -> Result<Applied, ApplyError> {
     let stored = store(fleet);
     let manifest = Digest::of(&stored.manifest);
     let id = shared.next_request_id();
@@ -127,7 +127,7 @@
         if let Some(base) = base.or(moved)
             && base != revision
         {
-            return Err(moved_fault(base, current, changes));
+            return Err(moved_error(base, current, changes));
         }
         if current.head.as_ref().is_some_and(|h| h.manifest == manifest) {
             return Ok(Applied { revision, changes: Vec::new() });
@@ -148,12 +148,12 @@
             false => moved = Some(revision),
         }
     }
-    Err(ApplyFault::Store("the row is changing; apply again".to_owned()))
+    Err(ApplyError::Store("the row is changing; apply again".to_owned()))
 }
 
-fn moved_fault(base: Revision, current: Current, differs: Vec<Change>) -> ApplyFault {
+fn moved_error(base: Revision, current: Current, differs: Vec<Change>) -> ApplyError {
     let head = current.head;
-    ApplyFault::Moved {
+    ApplyError::Moved {
         base,
         revision: head.as_ref().map_or(Revision::default(), |h| h.revision),
         by: head.map_or_else(|| "nobody".to_owned(), |h| h.by),
@@ -166,7 +166,7 @@
     stored: &crate::configs::fleet::chunks::StoredFleet,
     manifest: Digest,
     text: &str,
-) -> Result<(), ApplyFault> {
+) -> Result<(), ApplyError> {
     let objects = &shared.platform.objects;
     for (name, bytes) in &stored.chunks {
         // What is in force here has been stored by whoever applied it.
@@ -184,21 +184,21 @@
 }
 
 /// Reads the head and its file from the store, or from memory where that is the same.
-fn current(shared: &Shared) -> Result<Current, ApplyFault> {
+fn current(shared: &Shared) -> Result<Current, ApplyError> {
     for _ in 0..HEAD_READS {
         let row = shared.platform.table.get(HEAD_KEY)?;
         let head: Option<Head> = row.as_ref().and_then(|row| decode(&row.value).ok());
         let Some(fleet) = fleet_of(shared, head.as_ref())? else { continue };
         return Ok(Current { row, head, fleet });
     }
-    Err(ApplyFault::Store("newer revisions keep coming in; apply again".to_owned()))
+    Err(ApplyError::Store("newer revisions keep coming in; apply again".to_owned()))
 }
 
 /// Returns the file of a head; `None` where a newer one has come into force since the head was read.
-fn fleet_of(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyFault> {
+fn fleet_of(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyError> {
     let Some(head) = head else { return Ok(Some(Fleet::default())) };
     if shared.revision() < head.revision {
-        config::install(shared, head.clone()).map_err(|e| ApplyFault::Store(e.to_string()))?;
+        config::install(shared, head.clone()).map_err(|e| ApplyError::Store(e.to_string()))?;
     }
     let snapshot = shared.snapshot.load_full();
     let same = snapshot.filter(|snapshot| snapshot.revision() == head.revision);
@@ -212,7 +212,7 @@
     head: &Head,
     changes: &[Change],
     text: &str,
-) -> Result<bool, ApplyFault> {
+) -> Result<bool, ApplyError> {
     let audit = AuditRow {
         at: head.at,
         by: head.by.clone(),
@@ -241,8 +241,8 @@
 
 /// The reply was lost: the row for the revision tells whether this apply wrote it, also when yet
 /// another one has followed.
-fn read_back(shared: &Shared, head: &Head, fault: &PlatformFault) -> Result<bool, ApplyFault> {
-    let unknown = |e: PlatformFault| ApplyFault::Unknown(e.to_string());
+fn read_back(shared: &Shared, head: &Head, fault: &PlatformFault) -> Result<bool, ApplyError> {
+    let unknown = |e: PlatformFault| ApplyError::Unknown(e.to_string());
     let audit = shared.platform.table.get(&audit_key(head.at, &head.apply)).map_err(unknown)?;
     if audit.is_some() {
         return Ok(true);
@@ -253,7 +253,7 @@
         // The revision is taken by another apply, so this one can no longer take effect.
         return Ok(false);
     }
-    Err(ApplyFault::Unknown(fault.to_string()))
+    Err(ApplyError::Unknown(fault.to_string()))
 }
 
 fn put_in_force(shared: &Shared, head: Head) {
@@ -264,7 +264,7 @@
     }
 }
 
-fn note_refusal(shared: &Shared, by: &str, fault: &ApplyFault) {
+fn note_refusal(shared: &Shared, by: &str, fault: &ApplyError) {
     let at = shared.clock.wall_millis();
     let action = AuditAction::Refused { from: shared.revision(), reason: fault.to_string() };
     audit_trail::append(shared, &AuditRow { at, by: by.to_owned(), action });
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -55,7 +55,7 @@
 
 /// Why a revision could not be put in force now.
 #[derive(Debug, thiserror::Error)]
-pub enum SyncFault {
+pub enum SyncError {
     /// Neither the store nor a peer has told a head.
     #[error("no head was learned: {0}; the instance is ready once the store or a peer answers")]
     NoHead(PlatformFault),
@@ -74,14 +74,14 @@
 ///
 /// # Errors
 ///
-/// See [`SyncFault`]; what is in force stays.
-pub fn sync(shared: &Shared) -> Result<(), SyncFault> {
+/// See [`SyncError`]; what is in force stays.
+pub fn sync(shared: &Shared) -> Result<(), SyncError> {
     let from_store = match shared.platform.table.get(HEAD_KEY) {
         Ok(row) => row.and_then(|row| decode::<Head>(&row.value).ok()).into_iter().collect(),
         Err(fault) => {
             let heads = heads_of_peers(shared);
             if heads.is_empty() && shared.snapshot.load().is_none() {
-                return Err(SyncFault::NoHead(fault));
+                return Err(SyncError::NoHead(fault));
             }
             heads
         }
@@ -93,12 +93,12 @@
 ///
 /// # Errors
 ///
-/// See [`SyncFault`]; what is in force stays.
-pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncFault> {
+/// See [`SyncError`]; what is in force stays.
+pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncError> {
     learn(shared, heads_of_peers(shared))
 }
 
-fn learn(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncFault> {
+fn learn(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncError> {
     let wanted = {
         let mut active_revision = lock(&shared.active_revision);
         for head in heads {
@@ -138,8 +138,8 @@
 ///
 /// # Errors
 ///
-/// See [`SyncFault`]; what is in force stays.
-pub fn install(shared: &Shared, head: Head) -> Result<(), SyncFault> {
+/// See [`SyncError`]; what is in force stays.
+pub fn install(shared: &Shared, head: Head) -> Result<(), SyncError> {
     let manifest_bytes = object(shared, &head.manifest)?;
     let manifest: Manifest = decode(&manifest_bytes)?;
     for chunk in &manifest.chunks {
@@ -165,7 +165,7 @@
 }
 
 /// Returns an object from memory, a peer or the store; its digest is checked wherever it came from.
-fn object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncFault> {
+fn object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncError> {
     if let Some(bytes) = shared.objects.get(name) {
         return Ok(bytes);
     }
@@ -181,7 +181,7 @@
     let stored = shared.platform.objects.get(&object_key(name)).ok().flatten();
     match stored {
         Some(bytes) if shared.objects.put(*name, bytes.clone()) => Ok(bytes),
-        _ => Err(SyncFault::Missing(*name)),
+        _ => Err(SyncError::Missing(*name)),
     }
 }
 
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -54,7 +54,7 @@
 
 /// Why an engine did not take an order.
 #[derive(Debug, thiserror::Error)]
-pub enum OrderFault {
+pub enum OrderError {
     /// Not reached, or no answer.
     #[error("{0}; it is given again")]
     Attempt(AttemptFault),
@@ -66,10 +66,10 @@
     Refused(StatusCode),
 }
 
-impl OrderFault {
+impl OrderError {
     /// Returns whether somebody else holds a newer lease.
     pub fn is_fenced(&self) -> bool {
-        matches!(self, OrderFault::Fenced)
+        matches!(self, OrderError::Fenced)
     }
 }
 
@@ -87,19 +87,19 @@
 ///
 /// # Errors
 ///
-/// See [`OrderFault`].
+/// See [`OrderError`].
 pub fn order(
     shared: &Shared,
     address: SocketAddr,
     order: &EngineOrder,
     time: Duration,
-) -> Result<(), OrderFault> {
+) -> Result<(), OrderError> {
     let body = serde_json::to_vec(order).unwrap_or_default();
     let answer = exchange(shared, address, &Method::POST, ORDERS_PATH, &body, time);
-    match answer.map_err(OrderFault::Attempt)?.0 {
+    match answer.map_err(OrderError::Attempt)?.0 {
         StatusCode::OK => Ok(()),
-        StatusCode::CONFLICT => Err(OrderFault::Fenced),
-        other => Err(OrderFault::Refused(other)),
+        StatusCode::CONFLICT => Err(OrderError::Fenced),
+        other => Err(OrderError::Refused(other)),
     }
 }
 
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -11,7 +11,7 @@
     contract::revision::HEAD_KEY,
     instance::{
         cluster_state::{
-            apply::{ApplyFault, apply},
+            apply::{ApplyError, apply},
             audit_trail::append,
             config::object_key,
         },
@@ -50,7 +50,7 @@
     /// What happened and what to do about it.
     pub detail: String,
     /// The apply's fault, where it is one.
-    pub apply: Option<ApplyFault>,
+    pub apply: Option<ApplyError>,
 }
 
 fn problem(status: u16, detail: impl Into<String>) -> Response {
@@ -154,9 +154,9 @@
         Ok(applied) => Response::json(&applied),
         Err(fault) => {
             let status = match &fault {
-                ApplyFault::Faults(_) => 422,
-                ApplyFault::Moved { .. } => 409,
-                ApplyFault::Store(_) | ApplyFault::Unknown(_) => 503,
+                ApplyError::Faults(_) => 422,
+                ApplyError::Moved { .. } => 409,
+                ApplyError::Store(_) | ApplyError::Unknown(_) => 503,
             };
             Response::json(&Problem { detail: fault.to_string(), apply: Some(fault) })
                 .with_status_code(status)
@@ -172,7 +172,7 @@
     let fleet = match Fleet::parse(&text) {
         Ok(fleet) => fleet,
         Err(faults) => {
-            let fault = ApplyFault::Faults(faults);
+            let fault = ApplyError::Faults(faults);
             return Response::json(&Problem { detail: fault.to_string(), apply: Some(fault) })
                 .with_status_code(422);
         }
