--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -14,7 +14,8 @@
     instance::{
         cluster_state::{config::Waker, objects::ObjectCache},
         homes::{
-            links::HomeLinks, order_state::Orders, shards::HomeShards, streams, table::HomeTable,
+            order_state::Orders, permit_streams::PermitStreams, shards::HomeShards, streams,
+            table::HomeTable,
         },
         requests::{
             claims::Claims,
@@ -79,7 +80,7 @@
         if id.entry == tag {
             shared.desk.take_own(id, reply);
         } else {
-            shared.home_links.reply(shared.hello(), id, reply);
+            shared.permit_streams.reply(shared.hello(), id, reply);
         }
     });
     let shared = Arc::new(Shared {
@@ -100,7 +101,7 @@
         membership: Mutex::new(Membership::new(own)),
         desk,
         homes,
-        home_links: HomeLinks::default(),
+        permit_streams: PermitStreams::default(),
         orders: Orders::default(),
         installed_at: Mutex::new(None),
         budgets: Mutex::new(HashMap::new()),
@@ -134,7 +135,7 @@
         }),
         cut: Box::new(move |home| {
             if let Some(shared) = upgrade(&cuts) {
-                shared.home_links.cut(home);
+                shared.permit_streams.cut(home);
             }
         }),
     }
--- a/src/instance/homes/mod.rs
+++ b/src/instance/homes/mod.rs
@@ -1,12 +1,12 @@
-//! The shards whose home this instance is: permits for the entries (`shards`, `links`, `streams`), who
+//! The shards whose home this instance is: permits for the entries (`shards`, `permit_streams`, `streams`), who
 //! is home of what (`table`), and what a home says to its engines (`engines`, `probes`, `contexts`,
 //! `orders`, `order_state`).
 
 pub mod contexts;
 pub mod engines;
-pub mod links;
 pub mod order_state;
 pub mod orders;
+pub mod permit_streams;
 pub mod probes;
 pub mod shards;
 pub mod streams;
--- a/src/instance/homes/links.rs
+++ b/src/instance/homes/permit_streams.rs
@@ -40,12 +40,12 @@
 
 /// The streams of one instance.
 #[derive(Default)]
-pub struct HomeLinks {
+pub struct PermitStreams {
     homes: Mutex<HashMap<Tag, Slot>>,
     entries: Mutex<HashMap<Tag, Arc<End>>>,
 }
 
-impl HomeLinks {
+impl PermitStreams {
     /// Returns the place of the stream to `home`.
     pub(super) fn slot(&self, home: Tag) -> Slot {
         Arc::clone(lock(&self.homes).entry(home).or_default())
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -5,7 +5,7 @@
     thread,
 };
 
-use super::links::{End, Slot};
+use super::permit_streams::{End, Slot};
 use crate::{
     instance::shared::Shared,
     link::{
@@ -32,7 +32,7 @@
 
 /// Returns the stream to a home, opened where there is none; `None` when the home is not reached.
 fn open(shared: &Arc<Shared>, home: Tag) -> Option<Arc<End>> {
-    let slot = shared.home_links.slot(home);
+    let slot = shared.permit_streams.slot(home);
     let mut opened = lock(&slot);
     if let Some(end) = &*opened {
         return Some(Arc::clone(end));
@@ -66,7 +66,7 @@
     while let Some(message) = receiver.next::<EntryMessage>(&mut || !shared.drain.is_stopped()) {
         if let Some(hello) = message.hello {
             shared.note_hello(&hello);
-            shared.home_links.add_entry(hello.from, &end);
+            shared.permit_streams.add_entry(hello.from, &end);
             entry = Some(hello);
         }
         // The first message of a stream says who sends it.
@@ -82,7 +82,7 @@
     }
     end.sender.cut();
     let Some(hello) = entry else { return };
-    if shared.home_links.remove_entry(hello.from, &end) {
+    if shared.permit_streams.remove_entry(hello.from, &end) {
         shared.homes.each(|_| vec![Event::EntryDisconnected(hello.from)]);
     }
 }
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -18,7 +18,10 @@
     contract::{membership::Membership, retry::RetryBudget, revision::ActiveRevision},
     instance::{
         cluster_state::{objects::ObjectCache, snapshot::Snapshot},
-        homes::{links::HomeLinks, order_state::Orders, shards::HomeShards, table::HomeTable},
+        homes::{
+            order_state::Orders, permit_streams::PermitStreams, shards::HomeShards,
+            table::HomeTable,
+        },
         requests::{claims::Claims, desk::Desk},
     },
     link::{backend::BackendLinks, peer::PeerLinks, traffic::Traffic, wire::Hello},
@@ -69,7 +72,7 @@
     /// The homes held here.
     pub homes: HomeShards,
     /// Streams between entries and homes.
-    pub home_links: HomeLinks,
+    pub permit_streams: PermitStreams,
     /// Orders to the engines of the shards held here.
     pub orders: Orders,
     /// When the file in force came into force.
