--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -31,7 +31,7 @@
                 |tag: Tag| snapshot.server(tag).filter(|b| b.reports_load).map(|b| b.address);
             let (Some(source), Some(target)) = (address(*from), address(*to)) else { continue };
             scope.spawn(move || {
-                let taken = engines::take_over(shared, target, source, chats);
+                let taken = engines::import_contexts(shared, target, source, chats);
                 let event = match taken {
                     true => {
                         Event::ContextsMoved(chats.iter().map(|chat| (*chat, *from, *to)).collect())
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -22,16 +22,16 @@
 const IMPORT_PATH: &str = "/engine/cache/import";
 
 /// Longest time for an engine to take contexts over.
-const IMPORT_TIME: Duration = Duration::from_secs(5);
+const IMPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest wait for a status.
-const STATUS_TIME: Duration = Duration::from_secs(1);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Largest answer read.
-const ANSWER_MAX: usize = 64 << 10;
+const RESPONSE_MAX: usize = 64 << 10;
 
 /// Bytes of an answer beside its headers and body.
-const ANSWER_LINES: usize = 19;
+const RESPONSE_FRAMING: usize = 19;
 
 /// What an engine tells of itself.
 #[derive(Debug, Deserialize)]
@@ -74,9 +74,9 @@
 }
 
 /// Asks an engine for its status; `None` when it does not answer.
-pub fn status(shared: &Shared, address: SocketAddr) -> Option<EngineStatus> {
+pub fn fetch_status(shared: &Shared, address: SocketAddr) -> Option<EngineStatus> {
     let (status, body) =
-        exchange(shared, address, &Method::GET, STATUS_PATH, &[], STATUS_TIME).ok()?;
+        call_engine(shared, address, &Method::GET, STATUS_PATH, &[], STATUS_TIMEOUT).ok()?;
     if status != StatusCode::OK {
         return None;
     }
@@ -88,14 +88,14 @@
 /// # Errors
 ///
 /// See [`OrderError`].
-pub fn order(
+pub fn send_order(
     shared: &Shared,
     address: SocketAddr,
     order: &EngineOrder,
     time: Duration,
 ) -> Result<(), OrderError> {
     let body = serde_json::to_vec(order).unwrap_or_default();
-    let answer = exchange(shared, address, &Method::POST, ORDERS_PATH, &body, time);
+    let answer = call_engine(shared, address, &Method::POST, ORDERS_PATH, &body, time);
     match answer.map_err(OrderError::Attempt)?.0 {
         StatusCode::OK => Ok(()),
         StatusCode::CONFLICT => Err(OrderError::Fenced),
@@ -104,7 +104,7 @@
 }
 
 /// Has an engine take over the contexts of chats from another; false when it does not.
-pub fn take_over(
+pub fn import_contexts(
     shared: &Shared,
     target: SocketAddr,
     source: SocketAddr,
@@ -112,11 +112,12 @@
 ) -> bool {
     let chats: Vec<String> = chats.iter().map(ToString::to_string).collect();
     let body = serde_json::json!({ "from": source, "chats": chats }).to_string();
-    let answer = exchange(shared, target, &Method::POST, IMPORT_PATH, body.as_bytes(), IMPORT_TIME);
+    let answer =
+        call_engine(shared, target, &Method::POST, IMPORT_PATH, body.as_bytes(), IMPORT_TIMEOUT);
     answer.is_ok_and(|(status, _)| status == StatusCode::OK)
 }
 
-fn exchange(
+fn call_engine(
     shared: &Shared,
     address: SocketAddr,
     method: &Method,
@@ -134,12 +135,12 @@
     let mut bytes = Vec::new();
     while let Some(piece) = answer.next(until, &mut || true)? {
         bytes.extend_from_slice(&piece);
-        if bytes.len() > ANSWER_MAX {
+        if bytes.len() > RESPONSE_MAX {
             return Err(AttemptFault::Garbage);
         }
     }
     let head: usize = answer.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-    shared.traffic.received(Purpose::Probe, ANSWER_LINES + head + bytes.len());
+    shared.traffic.received(Purpose::Probe, RESPONSE_FRAMING + head + bytes.len());
     let status = answer.head.status;
     shared.backends.finish(answer);
     Ok((status, bytes))
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -38,7 +38,7 @@
 const LOOK_CALM: Duration = Duration::from_secs(10);
 
 /// Longest time for an engine to take an order; well under the margin of the lease.
-pub const ORDER_TIME: Duration = Duration::from_secs(2);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for which a shard's lease is watched after its home has moved; it may move back.
 const LINGER: Duration = Duration::from_secs(60);
@@ -84,7 +84,7 @@
 fn may_order(shared: &Shared, orders: &ShardOrders) -> bool {
     let now = shared.clock.now();
     let first = orders.lease.fencing(now) == Some(1);
-    let waited = orders.held_since.is_some_and(|at| now.duration_since(at) >= ORDER_TIME);
+    let waited = orders.held_since.is_some_and(|at| now.duration_since(at) >= ORDER_TIMEOUT);
     orders.lease.fencing(now).is_some() && (first || waited)
 }
 
@@ -181,7 +181,7 @@
 }
 
 fn look(shared: &Shared, wanted: &Wanted<'_>) -> Observation {
-    match engines::status(shared, wanted.server.address) {
+    match engines::fetch_status(shared, wanted.server.address) {
         None => Observation::Unreachable,
         Some(status) => Observation::Responded {
             up_to_date: status.order.state == wanted.state,
@@ -192,7 +192,7 @@
 
 fn give(shared: &Shared, wanted: &Wanted<'_>, fencing: u64, orders: &mut ShardOrders) {
     let order = EngineOrder { fencing, state: wanted.state.clone() };
-    let result = engines::order(shared, wanted.server.address, &order, ORDER_TIME);
+    let result = engines::send_order(shared, wanted.server.address, &order, ORDER_TIMEOUT);
     let now = shared.clock.now();
     let tag = wanted.server.id.tag();
     let detail = match result {
--- a/src/instance/homes/probes.rs
+++ b/src/instance/homes/probes.rs
@@ -25,7 +25,7 @@
                     continue;
                 };
                 scope.spawn(move || {
-                    let events = match engines::status(shared, address) {
+                    let events = match engines::fetch_status(shared, address) {
                         Some(status) => vec![
                             Event::Probed(*engine, status.load),
                             // One that loads takes nothing either.
