--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -28,10 +28,10 @@
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Largest answer read.
-const RESPONSE_MAX: usize = 64 << 10;
+const RESPONSE_MAX_BYTES: usize = 64 << 10;
 
 /// Bytes of an answer beside its headers and body.
-const RESPONSE_FRAMING: usize = 19;
+const RESPONSE_FRAMING_BYTES: usize = 19;
 
 /// What an engine tells of itself.
 #[derive(Debug, Deserialize)]
@@ -135,12 +135,12 @@
     let mut bytes = Vec::new();
     while let Some(piece) = answer.next(until, &mut || true)? {
         bytes.extend_from_slice(&piece);
-        if bytes.len() > RESPONSE_MAX {
+        if bytes.len() > RESPONSE_MAX_BYTES {
             return Err(AttemptFault::Garbage);
         }
     }
     let head: usize = answer.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-    shared.traffic.received(Purpose::Probe, RESPONSE_FRAMING + head + bytes.len());
+    shared.traffic.received(Purpose::Probe, RESPONSE_FRAMING_BYTES + head + bytes.len());
     let status = answer.head.status;
     shared.backends.finish(answer);
     Ok((status, bytes))
