--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -138,7 +138,7 @@
     if !ticks.is_multiple_of(SLOW_TICKS) {
         return;
     }
-    shared.homes.take_on(&snapshot, |shard| shared.home_of(shard) == shared.tag);
+    shared.homes.create_homes(&snapshot, |shard| shared.home_of(shard) == shared.tag);
     shared.claims.tick();
     gossip::tell_homes_who_leaves(shared);
     gossip::tell_loads(shared);
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -74,8 +74,8 @@
     let reply_time = settings.timeouts.peer.0;
     let desk = Desk::new(tag, incarnation, reply_time, clock.clone(), desk_links(&this));
     let late = Arc::clone(&this);
-    let remembered = settings.limits.remembered_chats as usize;
-    let homes = HomeShards::new(clock.clone(), remembered, move |id, reply| {
+    let chats_max = settings.limits.remembered_chats as usize;
+    let homes = HomeShards::new(clock.clone(), chats_max, move |id, reply| {
         let Some(shared) = upgrade(&late) else { return };
         if id.entry == tag {
             shared.desk.take_own(id, reply);
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -157,7 +157,7 @@
         *lock(&shared.installed_at) = Some(shared.clock.now());
     }
     shared.objects.keep_only(&head.manifest, &manifest);
-    shared.homes.install(&snapshot);
+    shared.homes.apply_revision(&snapshot);
     shared.metrics.revision(head.revision.0);
     log::info!("revision {} in force, applied by {}", head.revision, head.by);
     gossip::spread_news(shared);
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -81,7 +81,7 @@
 /// Tells the homes held here which backend servers the list calls leaving.
 pub fn tell_homes_who_leaves(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
-    shared.homes.each(|id| {
+    shared.homes.notify_all(|id| {
         let Some(shard) = snapshot.shard(id) else { return Vec::new() };
         let membership = lock(&shared.membership);
         let leaves = |tag: Tag| {
@@ -199,7 +199,7 @@
 
 /// Takes in the loads of shards held elsewhere.
 pub fn take_loads(shared: &Shared, loads: &[(ShardId, crate::zone::home::ShardLoad)]) {
-    shared.homes.each(|id| {
+    shared.homes.notify_all(|id| {
         let others = loads.iter().filter(|(other, _)| other.service == id.service && *other != id);
         others
             .map(|(other, load)| Event::OtherShardLoad(Tag(u32::from(other.number)), *load))
@@ -210,8 +210,9 @@
 /// Tells replicas where chats went since they were told last.
 pub fn tell_memories(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
-    let untold = shared.homes.untold(&snapshot, PLACES_MAX, |shard| shared.replica_of(shard));
-    for (to, memory) in untold {
+    let take_unreplicated =
+        shared.homes.take_unreplicated(&snapshot, PLACES_MAX, |shard| shared.replica_of(shard));
+    for (to, memory) in take_unreplicated {
         let Some(address) = lock(&shared.membership).peer(to).map(|p| p.address) else { continue };
         let message = MemoryMessage { hello: shared.hello(), memories: vec![memory] };
         // What is lost with a message is learned again when its chats return.
@@ -223,6 +224,6 @@
 pub fn take_memories(shared: &Shared, memories: Vec<Memory>) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     for memory in memories {
-        shared.homes.remember(memory, &snapshot);
+        shared.homes.apply_replicated(memory, &snapshot);
     }
 }
--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -38,7 +38,7 @@
                     }
                     false => Event::ContextsNotMoved(*from),
                 };
-                shared.homes.tell(shard, vec![event]);
+                shared.homes.notify(shard, vec![event]);
             });
         }
     });
--- a/src/instance/homes/probes.rs
+++ b/src/instance/homes/probes.rs
@@ -33,7 +33,7 @@
                         ],
                         None => vec![Event::ProbeFailed(*engine)],
                     };
-                    shared.homes.tell(*shard, events);
+                    shared.homes.notify(*shard, events);
                 });
             }
         });
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -33,7 +33,7 @@
 
 /// What a home tells in answer to a batch.
 #[derive(Debug, Default)]
-pub struct BatchAnswer {
+pub struct BatchReply {
     /// Replies to the asks, and to earlier ones of the same entry.
     pub replies: Vec<NumberedReply>,
     /// Whether the entry is to announce all it holds.
@@ -78,7 +78,7 @@
 /// The homes of this instance.
 pub struct HomeShards {
     clock: Clock,
-    remembered: usize,
+    chats_max: usize,
     slots: Mutex<HashMap<ShardId, Arc<Slot>>>,
     deliver: Box<Deliver>,
 }
@@ -87,19 +87,19 @@
     /// Returns an instance's homes; `deliver` takes replies to asks made earlier.
     pub fn new(
         clock: Clock,
-        remembered: usize,
+        chats_max: usize,
         deliver: impl Fn(PermitId, Reply) + Send + Sync + 'static,
     ) -> HomeShards {
-        HomeShards { clock, remembered, slots: Mutex::default(), deliver: Box::new(deliver) }
+        HomeShards { clock, chats_max, slots: Mutex::default(), deliver: Box::new(deliver) }
     }
 
     /// Takes in an entry's batch for one shard; `None` when the file in force has no such shard.
-    pub fn batch(
+    pub fn handle_batch(
         &self,
         hello: &Hello,
         batch: ShardBatch,
         snapshot: &Snapshot,
-    ) -> Option<BatchAnswer> {
+    ) -> Option<BatchReply> {
         let slot = self.slot(batch.shard, snapshot)?;
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
@@ -128,7 +128,7 @@
                 actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), terms)));
             }
         }
-        Some(self.carry_out(actions, Some(hello.from)))
+        Some(self.dispatch(actions, Some(hello.from)))
     }
 
     /// Lets time pass for every home, and forgets those that have moved and hold nothing.
@@ -146,7 +146,7 @@
                 actions.extend(home.handle(now, Event::Tick));
                 home.permits() == 0 && home.queued() == 0
             };
-            self.carry_out(actions, None);
+            self.dispatch(actions, None);
             let unused = now.duration_since(*lock(&slot.last_used)) > LINGER;
             if idle && unused && !ours {
                 lock(&self.slots).remove(&id);
@@ -155,7 +155,7 @@
     }
 
     /// Takes on the shards whose home this instance is by its own view.
-    pub fn take_on(&self, snapshot: &Snapshot, is_home: impl Fn(&Shard) -> bool) {
+    pub fn create_homes(&self, snapshot: &Snapshot, is_home: impl Fn(&Shard) -> bool) {
         let shards = snapshot.services().flat_map(|view| &view.shards);
         for shard in shards.filter(|shard| is_home(shard)) {
             self.slot(shard.id, snapshot);
@@ -163,7 +163,7 @@
     }
 
     /// Takes over the engines and terms of a new revision.
-    pub fn install(&self, snapshot: &Snapshot) {
+    pub fn apply_revision(&self, snapshot: &Snapshot) {
         let now = self.clock.now();
         for (id, slot) in self.all_slots() {
             let Some(shard) = snapshot.shard(id) else {
@@ -175,14 +175,14 @@
             let mut actions = home.handle(now, Event::Settings(terms));
             actions.extend(home.handle(now, Event::Engines(shard.engines.clone())));
             drop(home);
-            self.carry_out(actions, None);
+            self.dispatch(actions, None);
         }
     }
 
     /// Gives every home an event made for its shard.
-    pub fn each(&self, event: impl Fn(ShardId) -> Vec<Event>) {
+    pub fn notify_all(&self, event: impl Fn(ShardId) -> Vec<Event>) {
         for (id, _) in self.all_slots() {
-            self.tell(id, event(id));
+            self.notify(id, event(id));
         }
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Gives events to the home of one shard, if it is held here.
-    pub fn tell(&self, shard: ShardId, events: Vec<Event>) {
+    pub fn notify(&self, shard: ShardId, events: Vec<Event>) {
         let Some(slot) = lock(&self.slots).get(&shard).cloned() else { return };
         let now = self.clock.now();
         let mut actions = Vec::new();
@@ -216,14 +216,14 @@
             let mut home = lock(&slot.home);
             events.into_iter().for_each(|event| actions.extend(home.handle(now, event)));
         }
-        self.carry_out(actions, None);
+        self.dispatch(actions, None);
     }
 
     /// Returns what replicas are to be told now, at most `most` places for each shard.
     ///
     /// `replica_of` names who holds the replica of a shard's memory, or the shard's home once
     /// this instance no longer is it.
-    pub fn untold(
+    pub fn take_unreplicated(
         &self,
         snapshot: &Snapshot,
         most: usize,
@@ -245,7 +245,7 @@
     }
 
     /// Takes over where chats of a shard were last.
-    pub fn remember(&self, memory: Memory, snapshot: &Snapshot) {
+    pub fn apply_replicated(&self, memory: Memory, snapshot: &Snapshot) {
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
@@ -316,18 +316,18 @@
         Some(HomeSettings {
             load_bound: service.load_bound,
             queue_max: service.queue as usize,
-            chats_max: self.remembered,
+            chats_max: self.chats_max,
             affinity_wait: service.patience.0,
         })
     }
 
     /// Sorts actions into the answer to the entry at hand and late replies to others.
-    fn carry_out(&self, actions: Vec<Action>, at_hand: Option<Tag>) -> BatchAnswer {
-        let mut answer = BatchAnswer::default();
+    fn dispatch(&self, actions: Vec<Action>, current_entry: Option<Tag>) -> BatchReply {
+        let mut answer = BatchReply::default();
         for action in actions {
             match action {
                 Action::RequestAnnouncement(_) => answer.want_announcement = true,
-                Action::Reply(id, reply) if Some(id.entry) == at_hand => {
+                Action::Reply(id, reply) if Some(id.entry) == current_entry => {
                     let reply = ReplyWire::of(reply);
                     answer.replies.push(NumberedReply { number: short(id.number), reply });
                 }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -83,7 +83,7 @@
     end.sender.cut();
     let Some(hello) = entry else { return };
     if shared.permit_streams.remove_entry(hello.from, &end) {
-        shared.homes.each(|_| vec![Event::EntryDisconnected(hello.from)]);
+        shared.homes.notify_all(|_| vec![Event::EntryDisconnected(hello.from)]);
     }
 }
 
@@ -94,7 +94,7 @@
     for batch in batches {
         let shard = batch.shard;
         let numbers: Vec<u32> = batch.asks.iter().map(|ask| ask.number).collect();
-        match snapshot.as_ref().and_then(|s| shared.homes.batch(hello, batch, s)) {
+        match snapshot.as_ref().and_then(|s| shared.homes.handle_batch(hello, batch, s)) {
             Some(answer) => {
                 message.replies.extend(answer.replies);
                 if answer.want_announcement {
