--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -62,11 +62,11 @@
     })?;
     let heartbeat = shared.settings.timeouts.heartbeat.0;
     workers.start("heartbeat", move |shared| {
-        gossip::beat(shared);
+        gossip::send_heartbeat(shared);
         jittered(heartbeat)
     })?;
     workers.start("memory", |shared| {
-        gossip::tell_memories(shared);
+        gossip::replicate_chats(shared);
         MEMORY_PERIOD
     })?;
     workers.start("orders", |shared| {
@@ -140,8 +140,8 @@
     }
     shared.homes.create_homes(&snapshot, |shard| shared.home_of(shard) == shared.tag);
     shared.claims.tick();
-    gossip::tell_homes_who_leaves(shared);
-    gossip::tell_loads(shared);
+    gossip::update_leaving_servers(shared);
+    gossip::send_loads(shared);
     show_homes(shared);
 }
 
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -26,11 +26,11 @@
 };
 
 /// Tries to write the head, each after reading it anew, when no base was stated.
-const TRIES: u32 = 5;
+const WRITE_ATTEMPTS: u32 = 5;
 
 /// Reads of the head in a row during which newer revisions may come into force: who applied the newest is told then, not that
 /// there is one.
-const HEAD_READS: u32 = 5;
+const HEAD_READ_ATTEMPTS: u32 = 5;
 
 /// What came of an apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
         Err(faults) => Err(ApplyError::Faults(faults)),
     };
     if let Err(fault) = &result {
-        note_refusal(shared, by, fault);
+        audit_refusal(shared, by, fault);
     }
     result
 }
@@ -119,12 +119,12 @@
     let manifest = Digest::of(&stored.manifest);
     let id = shared.next_request_id();
     put_objects(shared, &stored, manifest, text)?;
-    let mut moved = None;
-    for _ in 0..TRIES {
+    let mut implied_base = None;
+    for _ in 0..WRITE_ATTEMPTS {
         let current = current(shared)?;
         let revision = current.head.as_ref().map_or(Revision::default(), |h| h.revision);
         let changes = diff(&current.fleet, fleet);
-        if let Some(base) = base.or(moved)
+        if let Some(base) = base.or(implied_base)
             && base != revision
         {
             return Err(moved_error(base, current, changes));
@@ -141,11 +141,11 @@
         };
         match write_head(shared, &current, &head, &changes, text)? {
             true => {
-                put_in_force(shared, head.clone());
+                activate(shared, head.clone());
                 return Ok(Applied { revision: head.revision, changes });
             }
             // Another apply came first. What this operator saw is no longer in force.
-            false => moved = Some(revision),
+            false => implied_base = Some(revision),
         }
     }
     Err(ApplyError::Store("the row is changing; apply again".to_owned()))
@@ -185,17 +185,17 @@
 
 /// Reads the head and its file from the store, or from memory where that is the same.
 fn current(shared: &Shared) -> Result<Current, ApplyError> {
-    for _ in 0..HEAD_READS {
+    for _ in 0..HEAD_READ_ATTEMPTS {
         let row = shared.platform.table.get(HEAD_KEY)?;
         let head: Option<Head> = row.as_ref().and_then(|row| decode(&row.value).ok());
-        let Some(fleet) = fleet_of(shared, head.as_ref())? else { continue };
+        let Some(fleet) = fleet_at(shared, head.as_ref())? else { continue };
         return Ok(Current { row, head, fleet });
     }
     Err(ApplyError::Store("newer revisions keep coming in; apply again".to_owned()))
 }
 
 /// Returns the file of a head; `None` where a newer one has come into force since the head was read.
-fn fleet_of(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyError> {
+fn fleet_at(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyError> {
     let Some(head) = head else { return Ok(Some(Fleet::default())) };
     if shared.revision() < head.revision {
         config::install(shared, head.clone()).map_err(|e| ApplyError::Store(e.to_string()))?;
@@ -228,8 +228,8 @@
     let expect = current.row.as_ref().map_or(Expect::Absent, |row| Expect::Version(row.version));
     let operations = vec![
         Operation { key: HEAD_KEY.to_owned(), expect, write: Write::Put(encode(head)) },
-        Operation::create(audit_key(head.at, &head.apply), audit_trail::json(&audit)),
-        Operation::create(revision_key(head.revision), audit_trail::json(&revision)),
+        Operation::create(audit_key(head.at, &head.apply), audit_trail::encode_json(&audit)),
+        Operation::create(revision_key(head.revision), audit_trail::encode_json(&revision)),
     ];
     match shared.platform.table.transact(operations) {
         Ok(TransactReply::Committed) => Ok(true),
@@ -256,7 +256,7 @@
     Err(ApplyError::Unknown(fault.to_string()))
 }
 
-fn put_in_force(shared: &Shared, head: Head) {
+fn activate(shared: &Shared, head: Head) {
     let head_revision = head.revision;
     if let Err(fault) = config::install(shared, head) {
         log::warn!("revision {head_revision} is accepted and not yet in force here: {fault}");
@@ -264,7 +264,7 @@
     }
 }
 
-fn note_refusal(shared: &Shared, by: &str, fault: &ApplyError) {
+fn audit_refusal(shared: &Shared, by: &str, fault: &ApplyError) {
     let at = shared.clock.wall_millis();
     let action = AuditAction::Refused { from: shared.revision(), reason: fault.to_string() };
     audit_trail::append(shared, &AuditRow { at, by: by.to_owned(), action });
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -21,7 +21,7 @@
 };
 
 /// Peers asked for an object before the store is.
-const PEERS_ASKED: usize = 2;
+const OBJECT_PEERS: usize = 2;
 
 /// Peers asked for their head when the store does not answer.
 const HEAD_PEERS: usize = 5;
@@ -29,27 +29,27 @@
 /// Lets other threads ask the configuration thread to look now.
 #[derive(Debug, Default)]
 pub struct Waker {
-    asked: Mutex<bool>,
+    requested: Mutex<bool>,
     woken: Condvar,
 }
 
 impl Waker {
     /// Asks for a look now.
     pub fn wake(&self) {
-        *lock(&self.asked) = true;
+        *lock(&self.requested) = true;
         self.woken.notify_all();
     }
 
-    /// Waits until asked, at most `most`; returns whether it was asked.
-    pub fn wait(&self, most: Duration) -> bool {
-        let mut asked = lock(&self.asked);
-        if !*asked {
-            asked = match self.woken.wait_timeout(asked, most) {
-                Ok((asked, _)) => asked,
+    /// Waits until asked, at most `timeout`; returns whether it was asked.
+    pub fn wait(&self, timeout: Duration) -> bool {
+        let mut requested = lock(&self.requested);
+        if !*requested {
+            requested = match self.woken.wait_timeout(requested, timeout) {
+                Ok((requested, _)) => requested,
                 Err(poisoned) => poisoned.into_inner().0,
             };
         }
-        std::mem::take(&mut *asked)
+        std::mem::take(&mut *requested)
     }
 }
 
@@ -86,7 +86,7 @@
             heads
         }
     };
-    learn(shared, from_store)
+    install_newest(shared, from_store)
 }
 
 /// Asks peers that told of a newer revision, without the store.
@@ -95,10 +95,10 @@
 ///
 /// See [`SyncError`]; what is in force stays.
 pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncError> {
-    learn(shared, heads_of_peers(shared))
+    install_newest(shared, heads_of_peers(shared))
 }
 
-fn learn(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncError> {
+fn install_newest(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncError> {
     let wanted = {
         let mut active_revision = lock(&shared.active_revision);
         for head in heads {
@@ -124,13 +124,13 @@
     peer_addresses(shared, HEAD_PEERS).into_iter().filter_map(ask).collect()
 }
 
-fn peer_addresses(shared: &Shared, most: usize) -> Vec<std::net::SocketAddr> {
+fn peer_addresses(shared: &Shared, count: usize) -> Vec<std::net::SocketAddr> {
     let now = shared.clock.now();
     let membership = lock(&shared.membership);
     let mut peers: Vec<_> =
         membership.peers().filter(|p| !p.is_suspect(now)).map(|p| p.address).collect();
     fastrand::shuffle(&mut peers);
-    peers.truncate(most);
+    peers.truncate(count);
     peers
 }
 
@@ -140,10 +140,10 @@
 ///
 /// See [`SyncError`]; what is in force stays.
 pub fn install(shared: &Shared, head: Head) -> Result<(), SyncError> {
-    let manifest_bytes = object(shared, &head.manifest)?;
+    let manifest_bytes = fetch_object(shared, &head.manifest)?;
     let manifest: Manifest = decode(&manifest_bytes)?;
     for chunk in &manifest.chunks {
-        object(shared, chunk)?;
+        fetch_object(shared, chunk)?;
     }
     let fleet = load(&manifest, |name| shared.objects.get(name))?;
     let snapshot = Arc::new(Snapshot::new(head.clone(), fleet));
@@ -160,16 +160,16 @@
     shared.homes.apply_revision(&snapshot);
     shared.metrics.revision(head.revision.0);
     log::info!("revision {} in force, applied by {}", head.revision, head.by);
-    gossip::spread_news(shared);
+    gossip::announce_revision(shared);
     Ok(())
 }
 
 /// Returns an object from memory, a peer or the store; its digest is checked wherever it came from.
-fn object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncError> {
+fn fetch_object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncError> {
     if let Some(bytes) = shared.objects.get(name) {
         return Ok(bytes);
     }
-    for address in peer_addresses(shared, PEERS_ASKED) {
+    for address in peer_addresses(shared, OBJECT_PEERS) {
         let request = FetchRequest::Object(*name);
         let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &request);
         if let Ok(FetchReply::Object(Some(bytes))) = reply
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -19,10 +19,10 @@
 
 /// Most places of chats told of one shard at once; with the period of the telling this keeps a
 /// hand-over of a whole memory under 6 KB/s.
-const PLACES_MAX: usize = 200;
+const REPLICATED_CHATS_MAX: usize = 200;
 
 /// Peers told at once of a new revision.
-const NEWS_PEERS: usize = 4;
+const REVISION_FANOUT: usize = 4;
 
 /// Fetches what changed in the platform's list; while the platform is out, the view stays.
 pub fn poll_members(shared: &Shared) {
@@ -35,7 +35,7 @@
         Err(fault) => {
             log::debug!("membership list: {fault}");
             if lock(&shared.membership).peers().next().is_none() {
-                ask_seeds(shared);
+                query_seeds(shared);
             }
         }
     }
@@ -54,7 +54,7 @@
 }
 
 /// Learns the other instances from one that the settings name, and introduces this one.
-fn ask_seeds(shared: &Shared) {
+fn query_seeds(shared: &Shared) {
     let Some(own) = own_member(shared) else { return };
     let (settings, address) = (&shared.settings, own.address);
     for seed in settings.listen.seeds.iter().filter(|seed| **seed != address) {
@@ -70,7 +70,7 @@
 }
 
 /// Returns the instances known to one that introduces itself.
-pub fn take_introduction(shared: &Shared, member: Member) -> Vec<Member> {
+pub fn handle_introduction(shared: &Shared, member: Member) -> Vec<Member> {
     let mut membership = lock(&shared.membership);
     let mut known = membership.members();
     known.extend(own_member(shared));
@@ -79,7 +79,7 @@
 }
 
 /// Tells the homes held here which backend servers the list calls leaving.
-pub fn tell_homes_who_leaves(shared: &Shared) {
+pub fn update_leaving_servers(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     shared.homes.notify_all(|id| {
         let Some(shard) = snapshot.shard(id) else { return Vec::new() };
@@ -92,7 +92,7 @@
 }
 
 /// Sends a heartbeat to one peer drawn at random.
-pub fn beat(shared: &Shared) {
+pub fn send_heartbeat(shared: &Shared) {
     let peer = {
         let now = shared.clock.now();
         let membership = lock(&shared.membership);
@@ -104,13 +104,13 @@
         fastrand::choice(peers)
     };
     if let Some(peer) = peer {
-        beat_to(shared, peer);
+        send_heartbeat_to(shared, peer);
     }
 }
 
 /// Sends heartbeats to a few peers at once, which carry the revision just put in force; whoever
 /// learns it so and puts it in force does the same, until nobody is left behind.
-pub fn spread_news(shared: &Shared) {
+pub fn announce_revision(shared: &Shared) {
     let mut peers: Vec<Tag> = {
         let now = shared.clock.now();
         lock(&shared.membership)
@@ -120,16 +120,16 @@
             .collect()
     };
     fastrand::shuffle(&mut peers);
-    peers.into_iter().take(NEWS_PEERS).for_each(|peer| beat_to(shared, peer));
+    peers.into_iter().take(REVISION_FANOUT).for_each(|peer| send_heartbeat_to(shared, peer));
 }
 
 /// Sends a heartbeat to every peer, so that all learn of a change at once.
-pub fn beat_to_all(shared: &Shared) {
+pub fn send_heartbeat_to_all(shared: &Shared) {
     let peers: Vec<Tag> = lock(&shared.membership).peers().map(|p| p.candidate.tag).collect();
-    peers.into_iter().for_each(|peer| beat_to(shared, peer));
+    peers.into_iter().for_each(|peer| send_heartbeat_to(shared, peer));
 }
 
-fn beat_to(shared: &Shared, peer: Tag) {
+fn send_heartbeat_to(shared: &Shared, peer: Tag) {
     let now = shared.clock.now();
     let Some(address) = lock(&shared.membership).peer(peer).map(|known| known.address) else {
         return;
@@ -137,7 +137,7 @@
     let heartbeat = own_heartbeat(shared, now);
     match shared.peers.call::<Heartbeat>(Purpose::Heartbeat, address, HEARTBEAT, &heartbeat) {
         Ok(reply) => {
-            take_heartbeat(shared, &reply);
+            handle_heartbeat(shared, &reply);
         }
         Err(fault) => {
             log::debug!("heartbeat: {fault}");
@@ -147,7 +147,7 @@
 }
 
 /// Takes in a peer's heartbeat and returns the answer to it.
-pub fn take_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> Heartbeat {
+pub fn handle_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> Heartbeat {
     shared.note_hello(&heartbeat.hello);
     let now = shared.clock.now();
     let mut membership = lock(&shared.membership);
@@ -172,7 +172,7 @@
 }
 
 /// Tells the homes of other shards of the same services the loads of the shards held here.
-pub fn tell_loads(shared: &Shared) {
+pub fn send_loads(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     let mine = shared.homes.loads();
     let mut by_peer: std::collections::HashMap<Tag, Vec<_>> = std::collections::HashMap::new();
@@ -185,7 +185,7 @@
     for (peer, mut loads) in by_peer {
         loads.dedup();
         if peer == shared.tag {
-            take_loads(shared, &loads);
+            apply_loads(shared, &loads);
             continue;
         }
         let Some(address) = lock(&shared.membership).peer(peer).map(|p| p.address) else {
@@ -198,7 +198,7 @@
 }
 
 /// Takes in the loads of shards held elsewhere.
-pub fn take_loads(shared: &Shared, loads: &[(ShardId, crate::zone::home::ShardLoad)]) {
+pub fn apply_loads(shared: &Shared, loads: &[(ShardId, crate::zone::home::ShardLoad)]) {
     shared.homes.notify_all(|id| {
         let others = loads.iter().filter(|(other, _)| other.service == id.service && *other != id);
         others
@@ -208,11 +208,12 @@
 }
 
 /// Tells replicas where chats went since they were told last.
-pub fn tell_memories(shared: &Shared) {
+pub fn replicate_chats(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
-    let take_unreplicated =
-        shared.homes.take_unreplicated(&snapshot, PLACES_MAX, |shard| shared.replica_of(shard));
-    for (to, memory) in take_unreplicated {
+    let unreplicated = shared
+        .homes
+        .take_unreplicated(&snapshot, REPLICATED_CHATS_MAX, |shard| shared.replica_of(shard));
+    for (to, memory) in unreplicated {
         let Some(address) = lock(&shared.membership).peer(to).map(|p| p.address) else { continue };
         let message = MemoryMessage { hello: shared.hello(), memories: vec![memory] };
         // What is lost with a message is learned again when its chats return.
@@ -221,7 +222,7 @@
 }
 
 /// Takes over where chats were last.
-pub fn take_memories(shared: &Shared, memories: Vec<Memory>) {
+pub fn apply_replicated_chats(shared: &Shared, memories: Vec<Memory>) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     for memory in memories {
         shared.homes.apply_replicated(memory, &snapshot);
--- a/src/instance/cluster_state/peers.rs
+++ b/src/instance/cluster_state/peer_server.rs
@@ -18,33 +18,33 @@
 };
 
 /// Status told to a peer whose message cannot be read.
-const BAD_MESSAGE: u16 = 400;
+const BAD_REQUEST: u16 = 400;
 
 /// Status told to a peer that asks for something unknown.
-const UNKNOWN: u16 = 404;
+const NOT_FOUND: u16 = 404;
 
 /// Answers one message.
 ///
 /// # Errors
 ///
 /// The HTTP status to refuse it with.
-pub fn answer(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
-    let bad = |_| BAD_MESSAGE;
+pub fn handle_call(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
+    let bad = |_| BAD_REQUEST;
     match path {
         HEARTBEAT => {
             let heartbeat: Heartbeat = decode(body).map_err(bad)?;
-            Ok(encode(&gossip::take_heartbeat(shared, &heartbeat)))
+            Ok(encode(&gossip::handle_heartbeat(shared, &heartbeat)))
         }
         LOADS => {
             let message: LoadsMessage = decode(body).map_err(bad)?;
             shared.note_hello(&message.hello);
-            gossip::take_loads(shared, &message.loads);
+            gossip::apply_loads(shared, &message.loads);
             Ok(encode(&()))
         }
         MEMORY => {
             let message: MemoryMessage = decode(body).map_err(bad)?;
             shared.note_hello(&message.hello);
-            gossip::take_memories(shared, message.memories);
+            gossip::apply_replicated_chats(shared, message.memories);
             Ok(encode(&()))
         }
         FETCH => Ok(encode(&fetch(shared, &decode(body).map_err(bad)?))),
@@ -57,7 +57,7 @@
             shared.drain.start(shared.clock.now());
             Ok(encode(&()))
         }
-        _ => Err(UNKNOWN),
+        _ => Err(NOT_FOUND),
     }
 }
 
@@ -77,7 +77,7 @@
     match request {
         FetchRequest::Head => FetchReply::Head(lock(&shared.active_revision).installed().cloned()),
         FetchRequest::Members(member) => {
-            FetchReply::Members(gossip::take_introduction(shared, member.clone()))
+            FetchReply::Members(gossip::handle_introduction(shared, member.clone()))
         }
         FetchRequest::Object(name) => FetchReply::Object(shared.objects.get(name).map(Into::into)),
     }
--- a/src/instance/cluster_state/snapshot.rs
+++ b/src/instance/cluster_state/snapshot.rs
@@ -67,7 +67,7 @@
         let teams_by_tag = fleet.teams.keys().map(|id| (id.tag(), id.clone())).collect();
         let servers = fleet.backend_servers.keys().enumerate();
         let servers_by_tag = servers.map(|(at, id)| (id.tag(), at)).collect();
-        let teams_by_key = keys_of(&fleet);
+        let teams_by_key = index_teams_by_key(&fleet);
         Snapshot {
             head,
             fleet,
@@ -106,13 +106,13 @@
     }
 
     /// Returns the team whose key a caller shows.
-    pub fn team_of_key(&self, key: &str) -> Option<&Team> {
+    pub fn team_by_key(&self, key: &str) -> Option<&Team> {
         let hash = keyed_hash(self.fleet.key_salt.as_bytes(), key.as_bytes());
         self.fleet.teams.get(self.teams_by_key.get(&hash)?)
     }
 
     /// Returns the terms of a team; those of an unknown one are the defaults.
-    pub fn team_terms(&self, tag: Tag) -> TeamPolicy {
+    pub fn team_policy(&self, tag: Tag) -> TeamPolicy {
         let team = self.teams_by_tag.get(&tag).and_then(|id| self.fleet.teams.get(id));
         team.map_or(TeamPolicy::default(), |team| TeamPolicy {
             weight: team.weight,
@@ -139,7 +139,7 @@
 }
 
 /// Returns the teams by their key hashes. Equal hashes are refused when the file is checked.
-fn keys_of(fleet: &Fleet) -> HashMap<[u8; 32], TeamId> {
+fn index_teams_by_key(fleet: &Fleet) -> HashMap<[u8; 32], TeamId> {
     let mut keys = HashMap::new();
     for team in fleet.teams.values() {
         for key in &team.keys {
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -124,7 +124,7 @@
                 actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
             for ask in batch.asks {
-                let terms = snapshot.team_terms(ask.team);
+                let terms = snapshot.team_policy(ask.team);
                 actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), terms)));
             }
         }
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -17,7 +17,7 @@
 use anyhow::Context as _;
 
 use self::{
-    cluster_state::{config::Waker, gossip, peers},
+    cluster_state::{config::Waker, gossip, peer_server},
     homes::streams,
     operators::api,
     requests::entry,
@@ -34,7 +34,7 @@
 };
 
 /// Connections of other instances served at once.
-const PEER_CONNECTIONS: usize = 4000;
+const MAX_PEER_CONNECTIONS: usize = 4000;
 
 /// A running instance.
 pub struct Instance {
@@ -131,7 +131,7 @@
     /// requests finished.
     pub fn finish(mut self, hurry: impl Fn() -> bool) -> bool {
         let timeouts = &self.shared.settings.timeouts;
-        gossip::beat_to_all(&self.shared);
+        gossip::send_heartbeat_to_all(&self.shared);
         let grace_over = || {
             let age = self.shared.drain.age(self.shared.clock.now());
             age.is_none_or(|age| age >= timeouts.drain_grace.0)
@@ -175,13 +175,13 @@
             accepted: Some(&shared.settings.credentials.peers),
             timeout: shared.settings.timeouts.peer.0,
             traffic: &shared.traffic,
-            answer: |path: &str, body: &[u8]| peers::answer(shared, path, body),
+            answer: |path: &str, body: &[u8]| peer_server::handle_call(shared, path, body),
             stream: |sender, receiver| streams::serve(shared, sender, receiver),
-            purpose: peers::purpose,
+            purpose: peer_server::purpose,
         };
         peer::serve(conn, &service);
     };
-    Listener::bind(listen, shared.clock.clone(), PEER_CONNECTIONS, serve, drop)
+    Listener::bind(listen, shared.clock.clone(), MAX_PEER_CONNECTIONS, serve, drop)
         .with_context(|| format!("cannot listen for other instances on {listen}"))
 }
 
