--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -70,7 +70,7 @@
         MEMORY_PERIOD
     })?;
     workers.start("orders", |shared| {
-        orders::step(shared);
+        orders::process_orders(shared);
         ORDERS_PERIOD
     })?;
     workers.start("contexts", |shared| {
--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -9,12 +9,12 @@
 };
 
 /// Most chats moved for one shard at once; with the period of the moving, 100 a second.
-const MOVES_AT_ONCE: usize = 25;
+const MOVES_PER_ROUND: usize = 25;
 
 /// Moves the next contexts of every shard held here.
 pub fn move_next(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
-    for (shard, moves) in shared.homes.context_moves(MOVES_AT_ONCE) {
+    for (shard, moves) in shared.homes.context_moves(MOVES_PER_ROUND) {
         move_contexts(shared, &snapshot, shard, &moves);
     }
 }
--- a/src/instance/homes/order_state.rs
+++ b/src/instance/homes/order_state.rs
@@ -22,15 +22,15 @@
     /// Lease under which orders are given.
     pub(super) lease: Lease,
     /// When the lease was last renewed or asked for.
-    pub(super) renewed: Option<Instant>,
+    pub(super) last_renewal: Option<Instant>,
     /// When this instance first held the lease, in a row.
     pub(super) held_since: Option<Instant>,
     /// When the engines were last looked at.
-    pub(super) looked: Option<Instant>,
+    pub(super) last_checked: Option<Instant>,
     /// How far the rollout has come.
     pub(super) rollout: Rollout,
     /// When this instance was last the shard's home.
-    pub(super) last_home: Instant,
+    pub(super) last_home_at: Instant,
 }
 
 /// The orders of one instance.
@@ -41,9 +41,9 @@
 
 #[derive(Default)]
 struct Shards {
-    resting: HashMap<ShardId, ShardOrders>,
+    idle: HashMap<ShardId, ShardOrders>,
     /// What operators are shown of the shards that are being worked on: as it was before.
-    worked_on: HashMap<ShardId, OrdersStatus>,
+    in_progress: HashMap<ShardId, OrdersStatus>,
 }
 
 /// A shard's rollout as operators see it.
@@ -59,29 +59,29 @@
     /// Returns a shard's rollout, if this instance gives its orders.
     pub fn status(&self, shard: ShardId, now: Instant) -> Option<OrdersStatus> {
         let shards = lock(&self.shards);
-        let resting = shards.resting.get(&shard).map(|orders| orders.status(now));
-        resting.or_else(|| shards.worked_on.get(&shard).copied())
+        let idle = shards.idle.get(&shard).map(|orders| orders.status(now));
+        idle.or_else(|| shards.in_progress.get(&shard).copied())
     }
 
     /// Takes a shard's orders out while they are worked on: one thread works, others only look.
     pub(super) fn take(&self, shard: ShardId, now: Instant) -> Option<ShardOrders> {
         let mut shards = lock(&self.shards);
-        let orders = shards.resting.remove(&shard)?;
-        shards.worked_on.insert(shard, orders.status(now));
+        let orders = shards.idle.remove(&shard)?;
+        shards.in_progress.insert(shard, orders.status(now));
         Some(orders)
     }
 
     /// Puts a shard's orders back.
     pub(super) fn put(&self, shard: ShardId, orders: ShardOrders) {
         let mut shards = lock(&self.shards);
-        shards.worked_on.remove(&shard);
-        shards.resting.insert(shard, orders);
+        shards.in_progress.remove(&shard);
+        shards.idle.insert(shard, orders);
     }
 
-    /// Forgets the shards that have had another home for `linger`; a home may move back.
-    pub(super) fn forget_moved(&self, now: Instant, linger: Duration) {
+    /// Forgets the shards that have had another home for `retention`; a home may move back.
+    pub(super) fn evict_moved(&self, now: Instant, retention: Duration) {
         let mut shards = lock(&self.shards);
-        shards.resting.retain(|_, orders| now.duration_since(orders.last_home) < linger);
+        shards.idle.retain(|_, orders| now.duration_since(orders.last_home_at) < retention);
     }
 }
 
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -26,28 +26,28 @@
 };
 
 /// Period of the renewal of a lease.
-const RENEWAL: Duration = Duration::from_secs(4);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Pause before a renewal that did not take effect is tried again.
-const RENEWAL_RETRY: Duration = Duration::from_millis(500);
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Period of the look at engines while a rollout is under way.
-const LOOK_BUSY: Duration = Duration::from_millis(500);
+const ROLLOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Period of the look at engines while all are as wanted.
-const LOOK_CALM: Duration = Duration::from_secs(10);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Longest time for an engine to take an order; well under the margin of the lease.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for which a shard's lease is watched after its home has moved; it may move back.
-const LINGER: Duration = Duration::from_secs(60);
+const MOVED_SHARD_RETENTION: Duration = Duration::from_secs(60);
 
 /// Engines looked at or ordered at once.
-const AT_ONCE: usize = 8;
+const CONCURRENT_CALLS: usize = 8;
 
 /// Renews leases and gives the orders that are due.
-pub fn step(shared: &Shared) {
+pub fn process_orders(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     let ordered = snapshot.services().filter(|view| !view.service.models.is_empty());
     let mine: Vec<(&Service, &Shard)> = ordered
@@ -55,27 +55,27 @@
         .filter(|(_, shard)| !shared.drain.is_draining() && shared.home_of(shard) == shared.tag)
         .collect();
     let now = shared.clock.now();
-    shared.orders.forget_moved(now, LINGER);
+    shared.orders.evict_moved(now, MOVED_SHARD_RETENTION);
     for (service, shard) in mine {
-        step_shard(shared, &snapshot, service, shard);
+        process_shard(shared, &snapshot, service, shard);
     }
 }
 
-fn step_shard(shared: &Shared, snapshot: &Snapshot, service: &Service, shard: &Shard) {
+fn process_shard(shared: &Shared, snapshot: &Snapshot, service: &Service, shard: &Shard) {
     let new = || ShardOrders {
         lease: Lease::new(shared.settings.id.clone(), u64::from(shared.incarnation)),
-        renewed: None,
+        last_renewal: None,
         held_since: None,
-        looked: None,
+        last_checked: None,
         rollout: Rollout::default(),
-        last_home: shared.clock.now(),
+        last_home_at: shared.clock.now(),
     };
     // Taken out while it is worked on: this runs in one thread, and others only look.
     let mut orders = shared.orders.take(shard.id, shared.clock.now()).unwrap_or_else(new);
-    orders.last_home = shared.clock.now();
+    orders.last_home_at = shared.clock.now();
     renew(shared, shard.id, &mut orders);
     if may_order(shared, &orders) && is_due(shared, &orders) {
-        look_and_order(shared, snapshot, service, shard, &mut orders);
+        check_and_order(shared, snapshot, service, shard, &mut orders);
     }
     shared.orders.put(shard.id, orders);
 }
@@ -90,18 +90,19 @@
 
 fn is_due(shared: &Shared, orders: &ShardOrders) -> bool {
     let Progress { due, loading, failed, .. } = orders.rollout.progress();
-    let period = if due + loading + failed > 0 { LOOK_BUSY } else { LOOK_CALM };
+    let period =
+        if due + loading + failed > 0 { ROLLOUT_CHECK_INTERVAL } else { IDLE_CHECK_INTERVAL };
     let now = shared.clock.now();
-    let newer = orders.looked.is_none_or(|at| now.duration_since(at) >= period);
-    newer || shared.clock.now().duration_since(shared.installed_at()) < LOOK_BUSY * 4
+    let newer = orders.last_checked.is_none_or(|at| now.duration_since(at) >= period);
+    newer || shared.clock.now().duration_since(shared.installed_at()) < ROLLOUT_CHECK_INTERVAL * 4
 }
 
 fn renew(shared: &Shared, shard: ShardId, orders: &mut ShardOrders) {
     let now = shared.clock.now();
-    if orders.renewed.is_some_and(|at| now.duration_since(at) < RENEWAL) {
+    if orders.last_renewal.is_some_and(|at| now.duration_since(at) < RENEWAL_INTERVAL) {
         return;
     }
-    orders.renewed = Some(now);
+    orders.last_renewal = Some(now);
     let key = format!("{ORDERS_PREFIX}{shard}");
     let Ok(row) = shared.platform.table.get(&key) else { return };
     let seen = match &row {
@@ -125,52 +126,55 @@
         Ok(TransactReply::Conflict { .. }) | Err(_) => {
             orders.lease.note_not_written();
             orders.held_since = None;
-            orders.renewed = now.checked_sub(RENEWAL - RENEWAL_RETRY);
+            orders.last_renewal = now.checked_sub(RENEWAL_INTERVAL - RENEWAL_RETRY_DELAY);
         }
     }
 }
 
 /// An engine with what it is to be.
-struct Wanted<'s> {
+struct TargetEngine<'s> {
     server: &'s BackendServer,
     state: DesiredState,
 }
 
-fn look_and_order(
+fn check_and_order(
     shared: &Shared,
     snapshot: &Snapshot,
     service: &Service,
     shard: &Shard,
     orders: &mut ShardOrders,
 ) {
-    orders.looked = Some(shared.clock.now());
+    orders.last_checked = Some(shared.clock.now());
     let servers = shard.engines.iter().filter_map(|engine| snapshot.server(engine.tag));
-    let wanted: Vec<Wanted<'_>> = servers
+    let target: Vec<TargetEngine<'_>> = servers
         .filter(|server| server.reports_load && !server.leaving)
-        .map(|server| Wanted { server, state: desired_state(&snapshot.fleet, server) })
+        .map(|server| TargetEngine { server, state: desired_state(&snapshot.fleet, server) })
         .collect();
-    let seen = at_once(&wanted, |wanted| look(shared, wanted));
+    let seen = map_concurrently(&target, |target| check_engine(shared, target));
     let engines: Vec<(Tag, Observation)> =
-        wanted.iter().zip(seen).map(|(w, seen)| (w.server.id.tag(), seen)).collect();
-    let terms = RolloutLimits {
+        target.iter().zip(seen).map(|(w, seen)| (w.server.id.tag(), seen)).collect();
+    let limits = RolloutLimits {
         loads_at_once: service.loads_at_once as usize,
         min_serving: service.min_serving,
     };
     let now = shared.clock.now();
-    let due = orders.rollout.next_engines(now, &engines, terms);
-    let due: Vec<&Wanted<'_>> =
-        wanted.iter().filter(|w| due.contains(&w.server.id.tag())).collect();
-    for wanted in due {
+    let due = orders.rollout.next_engines(now, &engines, limits);
+    let due: Vec<&TargetEngine<'_>> =
+        target.iter().filter(|w| due.contains(&w.server.id.tag())).collect();
+    for target in due {
         // Looked at right before each order: a pause may have let the lease lapse.
         let Some(fencing) = orders.lease.fencing(shared.clock.now()) else { return };
-        give(shared, wanted, fencing, orders);
+        order_engine(shared, target, fencing, orders);
     }
 }
 
 /// Does something for several engines at once.
-fn at_once<'w, T: Send>(wanted: &'w [Wanted<'w>], f: impl Fn(&Wanted<'w>) -> T + Sync) -> Vec<T> {
-    let mut all = Vec::with_capacity(wanted.len());
-    for group in wanted.chunks(AT_ONCE) {
+fn map_concurrently<'w, T: Send>(
+    target: &'w [TargetEngine<'w>],
+    f: impl Fn(&TargetEngine<'w>) -> T + Sync,
+) -> Vec<T> {
+    let mut all = Vec::with_capacity(target.len());
+    for group in target.chunks(CONCURRENT_CALLS) {
         let f = &f;
         thread::scope(|scope| {
             let calls: Vec<_> = group.iter().map(|w| scope.spawn(move || f(w))).collect();
@@ -180,21 +184,26 @@
     all
 }
 
-fn look(shared: &Shared, wanted: &Wanted<'_>) -> Observation {
-    match engines::fetch_status(shared, wanted.server.address) {
+fn check_engine(shared: &Shared, target: &TargetEngine<'_>) -> Observation {
+    match engines::fetch_status(shared, target.server.address) {
         None => Observation::Unreachable,
         Some(status) => Observation::Responded {
-            up_to_date: status.order.state == wanted.state,
+            up_to_date: status.order.state == target.state,
             ready: status.is_ready(),
         },
     }
 }
 
-fn give(shared: &Shared, wanted: &Wanted<'_>, fencing: u64, orders: &mut ShardOrders) {
-    let order = EngineOrder { fencing, state: wanted.state.clone() };
-    let result = engines::send_order(shared, wanted.server.address, &order, ORDER_TIMEOUT);
+fn order_engine(
+    shared: &Shared,
+    target: &TargetEngine<'_>,
+    fencing: u64,
+    orders: &mut ShardOrders,
+) {
+    let order = EngineOrder { fencing, state: target.state.clone() };
+    let result = engines::send_order(shared, target.server.address, &order, ORDER_TIMEOUT);
     let now = shared.clock.now();
-    let tag = wanted.server.id.tag();
+    let tag = target.server.id.tag();
     let detail = match result {
         Ok(()) => {
             orders.rollout.note_ordered(now, tag);
@@ -210,13 +219,13 @@
         }
     };
     let models: Vec<String> =
-        wanted.state.models.iter().map(|m| format!("{}@{}", m.id, m.version)).collect();
+        target.state.models.iter().map(|m| format!("{}@{}", m.id, m.version)).collect();
     let action = AuditAction::Order {
-        backend_server: wanted.server.id.to_string(),
-        detail: format!("role {}, models {}: {detail}", wanted.state.role, models.join(" ")),
+        backend_server: target.server.id.to_string(),
+        detail: format!("role {}, models {}: {detail}", target.state.role, models.join(" ")),
         fencing,
     };
-    log::info!("order backend_server={} fencing={fencing} result={detail:?}", wanted.server.id);
+    log::info!("order backend_server={} fencing={fencing} result={detail:?}", target.server.id);
     append(
         shared,
         &AuditRow { at: shared.clock.wall_millis(), by: shared.settings.id.to_string(), action },
--- a/src/instance/homes/probes.rs
+++ b/src/instance/homes/probes.rs
@@ -10,7 +10,7 @@
 };
 
 /// Probes under way at once.
-const AT_ONCE: usize = 8;
+const CONCURRENT_PROBES: usize = 8;
 
 /// Probes the engines that are due.
 pub fn probe_due(shared: &Shared) {
@@ -18,7 +18,7 @@
     let reports = |tag: Tag| snapshot.server(tag).is_some_and(|server| server.reports_load);
     let due: Vec<(ShardId, Tag)> =
         shared.homes.probes_due().into_iter().filter(|(_, tag)| reports(*tag)).collect();
-    for group in due.chunks(AT_ONCE) {
+    for group in due.chunks(CONCURRENT_PROBES) {
         thread::scope(|scope| {
             for (shard, engine) in group {
                 let Some(address) = snapshot.server(*engine).map(|server| server.address) else {
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -22,7 +22,7 @@
 };
 
 /// Time for which a shard that has moved to another home and holds nothing is kept.
-const LINGER: Duration = Duration::from_secs(60);
+const IDLE_HOME_RETENTION: Duration = Duration::from_secs(60);
 
 struct Slot {
     home: Mutex<Home>,
@@ -147,7 +147,7 @@
                 home.permits() == 0 && home.queued() == 0
             };
             self.dispatch(actions, None);
-            let unused = now.duration_since(*lock(&slot.last_used)) > LINGER;
+            let unused = now.duration_since(*lock(&slot.last_used)) > IDLE_HOME_RETENTION;
             if idle && unused && !ours {
                 lock(&self.slots).remove(&id);
             }
