--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -129,7 +129,7 @@
             if home != shared.tag {
                 return streams::send(&shared, home, batches);
             }
-            let answer = streams::take_batches(&shared, &shared.hello(), batches);
+            let answer = streams::handle_batches(&shared, &shared.hello(), batches);
             shared.desk.take(home, answer);
             true
         }),
--- a/src/instance/homes/permit_streams.rs
+++ b/src/instance/homes/permit_streams.rs
@@ -16,38 +16,38 @@
 };
 
 /// One end of a stream, and what its other end was told of this instance.
-pub(super) struct End {
+pub(super) struct StreamEnd {
     /// Sends to the other end.
     pub(super) sender: StreamSender,
-    told: Mutex<Option<Hello>>,
+    last_hello: Mutex<Option<Hello>>,
 }
 
-impl End {
+impl StreamEnd {
     /// Returns an end whose other end has been told nothing.
-    pub(super) fn new(sender: StreamSender) -> End {
-        End { sender, told: Mutex::new(None) }
+    pub(super) fn new(sender: StreamSender) -> StreamEnd {
+        StreamEnd { sender, last_hello: Mutex::new(None) }
     }
 
     /// Returns the greeting if the other end has not been told it yet.
-    pub(super) fn news(&self, hello: Hello) -> Option<Hello> {
-        let mut told = lock(&self.told);
-        (told.replace(hello) != Some(hello)).then_some(hello)
+    pub(super) fn hello_if_changed(&self, hello: Hello) -> Option<Hello> {
+        let mut last_hello = lock(&self.last_hello);
+        (last_hello.replace(hello) != Some(hello)).then_some(hello)
     }
 }
 
 /// The stream to one home; empty while there is none.
-pub(super) type Slot = Arc<Mutex<Option<Arc<End>>>>;
+pub(super) type StreamSlot = Arc<Mutex<Option<Arc<StreamEnd>>>>;
 
 /// The streams of one instance.
 #[derive(Default)]
 pub struct PermitStreams {
-    homes: Mutex<HashMap<Tag, Slot>>,
-    entries: Mutex<HashMap<Tag, Arc<End>>>,
+    homes: Mutex<HashMap<Tag, StreamSlot>>,
+    entries: Mutex<HashMap<Tag, Arc<StreamEnd>>>,
 }
 
 impl PermitStreams {
     /// Returns the place of the stream to `home`.
-    pub(super) fn slot(&self, home: Tag) -> Slot {
+    pub(super) fn slot(&self, home: Tag) -> StreamSlot {
         Arc::clone(lock(&self.homes).entry(home).or_default())
     }
 
@@ -60,14 +60,14 @@
     }
 
     /// Notes the stream of an entry.
-    pub(super) fn add_entry(&self, entry: Tag, end: &Arc<End>) {
+    pub(super) fn add_entry(&self, entry: Tag, end: &Arc<StreamEnd>) {
         lock(&self.entries).insert(entry, Arc::clone(end));
     }
 
     /// Forgets the stream of an entry; returns whether it was the entry's newest.
-    pub(super) fn remove_entry(&self, entry: Tag, end: &Arc<End>) -> bool {
+    pub(super) fn remove_entry(&self, entry: Tag, end: &Arc<StreamEnd>) -> bool {
         let mut entries = lock(&self.entries);
-        let newest = entries.get(&entry).is_some_and(|known| Arc::ptr_eq(known, end));
+        let newest = entries.get(&entry).is_some_and(|registered| Arc::ptr_eq(registered, end));
         newest && entries.remove(&entry).is_some()
     }
 
@@ -77,7 +77,7 @@
         // An entry whose stream has ended asks again, with the same number.
         let Some(end) = end else { return };
         let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
-        let hello = end.news(hello);
+        let hello = end.hello_if_changed(hello);
         end.sender.send(&HomeMessage {
             hello,
             replies: vec![reply],
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -24,7 +24,7 @@
 /// Time for which a shard that has moved to another home and holds nothing is kept.
 const IDLE_HOME_RETENTION: Duration = Duration::from_secs(60);
 
-struct Slot {
+struct HomeSlot {
     home: Mutex<Home>,
     last_used: Mutex<Instant>,
     /// Who is told where chats go.
@@ -79,7 +79,7 @@
 pub struct HomeShards {
     clock: Clock,
     chats_max: usize,
-    slots: Mutex<HashMap<ShardId, Arc<Slot>>>,
+    slots: Mutex<HashMap<ShardId, Arc<HomeSlot>>>,
     deliver: Box<Deliver>,
 }
 
@@ -124,8 +124,9 @@
                 actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
             for ask in batch.asks {
-                let terms = snapshot.team_policy(ask.team);
-                actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), terms)));
+                let settings = snapshot.team_policy(ask.team);
+                actions
+                    .extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), settings)));
             }
         }
         Some(self.dispatch(actions, Some(hello.from)))
@@ -170,9 +171,9 @@
                 lock(&self.slots).remove(&id);
                 continue;
             };
-            let Some(terms) = self.terms(id, snapshot) else { continue };
+            let Some(settings) = self.settings(id, snapshot) else { continue };
             let mut home = lock(&slot.home);
-            let mut actions = home.handle(now, Event::Settings(terms));
+            let mut actions = home.handle(now, Event::Settings(settings));
             actions.extend(home.handle(now, Event::Engines(shard.engines.clone())));
             drop(home);
             self.dispatch(actions, None);
@@ -189,7 +190,7 @@
     /// Returns the engines that are due for a probe.
     pub fn probes_due(&self) -> Vec<(ShardId, Tag)> {
         let now = self.clock.now();
-        let due = |(id, slot): (ShardId, Arc<Slot>)| {
+        let due = |(id, slot): (ShardId, Arc<HomeSlot>)| {
             lock(&slot.home)
                 .probes_due(now)
                 .into_iter()
@@ -203,7 +204,7 @@
     pub fn context_moves(&self, most: usize) -> Vec<(ShardId, Vec<ContextMove>)> {
         let now = self.clock.now();
         let moves =
-            |(id, slot): (ShardId, Arc<Slot>)| (id, lock(&slot.home).context_moves(now, most));
+            |(id, slot): (ShardId, Arc<HomeSlot>)| (id, lock(&slot.home).context_moves(now, most));
         self.all_slots().into_iter().map(moves).filter(|(_, moves)| !moves.is_empty()).collect()
     }
 
@@ -229,7 +230,7 @@
         most: usize,
         replica_of: impl Fn(&Shard) -> Option<Tag>,
     ) -> Vec<(Tag, Memory)> {
-        let mut told = Vec::new();
+        let mut changed = Vec::new();
         for (id, slot) in self.all_slots() {
             let Some(to) = snapshot.shard(id).and_then(&replica_of) else { continue };
             let mut home = lock(&slot.home);
@@ -238,10 +239,10 @@
             }
             let places = home.chat_locations_mut().take_unreplicated(most);
             if !places.is_empty() {
-                told.push((to, Memory { shard: id, places }));
+                changed.push((to, Memory { shard: id, places }));
             }
         }
-        told
+        changed
     }
 
     /// Takes over where chats of a shard were last.
@@ -252,7 +253,7 @@
         lock(&slot.home).handle(now, Event::ReplicatedChats(memory.places));
     }
 
-    fn all_slots(&self) -> Vec<(ShardId, Arc<Slot>)> {
+    fn all_slots(&self) -> Vec<(ShardId, Arc<HomeSlot>)> {
         lock(&self.slots).iter().map(|(id, slot)| (*id, Arc::clone(slot))).collect()
     }
 
@@ -298,20 +299,21 @@
         all.into_iter().map(|(id, slot)| f(*id, &lock(&slot.home))).collect()
     }
 
-    fn slot(&self, id: ShardId, snapshot: &Snapshot) -> Option<Arc<Slot>> {
+    fn slot(&self, id: ShardId, snapshot: &Snapshot) -> Option<Arc<HomeSlot>> {
         if let Some(slot) = lock(&self.slots).get(&id) {
             return Some(Arc::clone(slot));
         }
         let shard = snapshot.shard(id)?;
-        let terms = self.terms(id, snapshot)?;
+        let settings = self.settings(id, snapshot)?;
         let now = self.clock.now();
-        let home = Mutex::new(Home::new(terms, shard.engines.clone(), now));
-        let slot = Arc::new(Slot { home, last_used: Mutex::new(now), replica: Mutex::new(None) });
+        let home = Mutex::new(Home::new(settings, shard.engines.clone(), now));
+        let slot =
+            Arc::new(HomeSlot { home, last_used: Mutex::new(now), replica: Mutex::new(None) });
         let mut slots = lock(&self.slots);
         Some(Arc::clone(slots.entry(id).or_insert(slot)))
     }
 
-    fn terms(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeSettings> {
+    fn settings(&self, id: ShardId, snapshot: &Snapshot) -> Option<HomeSettings> {
         let service = &snapshot.service_by_tag(id.service)?.service;
         Some(HomeSettings {
             load_bound: service.load_bound,
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -5,7 +5,7 @@
     thread,
 };
 
-use super::permit_streams::{End, Slot};
+use super::permit_streams::{StreamEnd, StreamSlot};
 use crate::{
     instance::shared::Shared,
     link::{
@@ -19,19 +19,19 @@
 };
 
 /// Stack of the thread that reads a home's messages, in bytes: it goes no deeper than decoding one.
-const STACK: usize = 256 << 10;
+const READER_STACK_BYTES: usize = 256 << 10;
 
 /// Hands an entry's batches to a home, opening the stream when there is none.
 ///
 /// Returns false when the home is not reached.
 pub fn send(shared: &Arc<Shared>, home: Tag, batches: Vec<ShardBatch>) -> bool {
-    let Some(end) = open(shared, home) else { return false };
-    let message = EntryMessage { hello: end.news(shared.hello()), batches };
+    let Some(end) = open_stream(shared, home) else { return false };
+    let message = EntryMessage { hello: end.hello_if_changed(shared.hello()), batches };
     end.sender.send(&message)
 }
 
 /// Returns the stream to a home, opened where there is none; `None` when the home is not reached.
-fn open(shared: &Arc<Shared>, home: Tag) -> Option<Arc<End>> {
+fn open_stream(shared: &Arc<Shared>, home: Tag) -> Option<Arc<StreamEnd>> {
     let slot = shared.permit_streams.slot(home);
     let mut opened = lock(&slot);
     if let Some(end) = &*opened {
@@ -45,12 +45,12 @@
             return None;
         }
     };
-    let end = Arc::new(End::new(sender));
+    let end = Arc::new(StreamEnd::new(sender));
     let (weak, slot_of, read_end) = (Arc::downgrade(shared), Arc::clone(&slot), Arc::clone(&end));
     let spawned = thread::Builder::new()
         .name("home-stream".to_owned())
-        .stack_size(STACK)
-        .spawn(move || read_home(&weak, home, receiver, &slot_of, &read_end));
+        .stack_size(READER_STACK_BYTES)
+        .spawn(move || read_replies(&weak, home, receiver, &slot_of, &read_end));
     if let Err(fault) = spawned {
         log::warn!("no thread for the stream to a home: {fault}");
         return None;
@@ -61,7 +61,7 @@
 
 /// Serves an entry's stream until it ends.
 pub fn serve(shared: &Arc<Shared>, sender: StreamSender, mut receiver: StreamReceiver) {
-    let end = Arc::new(End::new(sender));
+    let end = Arc::new(StreamEnd::new(sender));
     let mut entry: Option<Hello> = None;
     while let Some(message) = receiver.next::<EntryMessage>(&mut || !shared.drain.is_stopped()) {
         if let Some(hello) = message.hello {
@@ -71,12 +71,12 @@
         }
         // The first message of a stream says who sends it.
         let Some(hello) = entry else { break };
-        let mut answer = take_batches(shared, &hello, message.batches);
-        answer.hello = end.news(shared.hello());
-        let says = answer.hello.is_some()
+        let mut answer = handle_batches(shared, &hello, message.batches);
+        answer.hello = end.hello_if_changed(shared.hello());
+        let has_content = answer.hello.is_some()
             || !answer.replies.is_empty()
             || !answer.want_announcement.is_empty();
-        if says && !end.sender.send(&answer) {
+        if has_content && !end.sender.send(&answer) {
             break;
         }
     }
@@ -88,7 +88,7 @@
 }
 
 /// Takes in an entry's batches for the shards held here.
-pub fn take_batches(shared: &Shared, hello: &Hello, batches: Vec<ShardBatch>) -> HomeMessage {
+pub fn handle_batches(shared: &Shared, hello: &Hello, batches: Vec<ShardBatch>) -> HomeMessage {
     let mut message = HomeMessage::default();
     let snapshot = shared.snapshot.load_full();
     for batch in batches {
@@ -109,12 +109,12 @@
 }
 
 /// Reads a home's messages until the stream ends.
-fn read_home(
+fn read_replies(
     shared: &Weak<Shared>,
     home: Tag,
     mut receiver: StreamReceiver,
-    slot: &Slot,
-    end: &Arc<End>,
+    slot: &StreamSlot,
+    end: &Arc<StreamEnd>,
 ) {
     let mut alive = || shared.upgrade().is_some_and(|shared| !shared.drain.is_stopped());
     while let Some(message) = receiver.next::<HomeMessage>(&mut alive) {
@@ -127,7 +127,7 @@
     end.sender.cut();
     {
         let mut opened = lock(slot);
-        if opened.as_ref().is_some_and(|known| Arc::ptr_eq(known, end)) {
+        if opened.as_ref().is_some_and(|registered| Arc::ptr_eq(registered, end)) {
             *opened = None;
         }
     }
@@ -135,7 +135,7 @@
         shared.desk.home_lost(home);
         // A home whose process has ended refuses at once; permits then move without waiting for
         // the next ask to find out.
-        if open(&shared, home).is_none() {
+        if open_stream(&shared, home).is_none() {
             lock(&shared.membership).note_failure(shared.clock.now(), home);
         }
     }
--- a/src/instance/homes/table.rs
+++ b/src/instance/homes/table.rs
@@ -17,13 +17,13 @@
 };
 
 /// Age at which the table is worked out anew, since suspicions end by time.
-const AGE_MAX: Duration = Duration::from_millis(250);
+const TABLE_MAX_AGE: Duration = Duration::from_millis(250);
 
 /// Homes of all shards by one view of the members and one revision.
 #[derive(Debug, Default)]
 pub struct HomeTable {
     homes: HashMap<ShardId, Tag>,
-    made_of: Option<(u64, Revision, Instant)>,
+    built_from: Option<(u64, Revision, Instant)>,
 }
 
 impl HomeTable {
@@ -37,19 +37,19 @@
         snapshot: &Snapshot,
         shard: &Shard,
     ) -> Tag {
-        let current = self.made_of.is_some_and(|(changes, revision, at)| {
+        let current = self.built_from.is_some_and(|(changes, revision, at)| {
             changes == members.changes()
                 && revision == snapshot.revision()
-                && now.saturating_duration_since(at) < AGE_MAX
+                && now.saturating_duration_since(at) < TABLE_MAX_AGE
         });
         if !current {
-            self.make(now, members, snapshot);
+            self.rebuild(now, members, snapshot);
         }
         // A shard of another revision than the one in force is worked out by itself.
         self.homes.get(&shard.id).copied().unwrap_or_else(|| home(now, members, shard))
     }
 
-    fn make(&mut self, now: Instant, members: &Membership, snapshot: &Snapshot) {
+    fn rebuild(&mut self, now: Instant, members: &Membership, snapshot: &Snapshot) {
         let candidates = members.homes(now);
         let shards = snapshot.services().flat_map(|view| &view.shards);
         self.homes = shards
@@ -58,7 +58,7 @@
                 (shard.id, home.map_or(members.own().tag, |c| c.tag))
             })
             .collect();
-        self.made_of = Some((members.changes(), snapshot.revision(), now));
+        self.built_from = Some((members.changes(), snapshot.revision(), now));
     }
 }
 
