--- a/src/instance/homes/contexts.rs
+++ b/src/instance/homes/contexts.rs
@@ -1,4 +1,4 @@
-//! Has engines take over the contexts of those that leave, within a rate.
+//! Moves the contexts of chats from leaving engines to others, at a limited rate.
 
 use std::{collections::BTreeMap, thread};
 
@@ -8,10 +8,10 @@
     zone::{context_moves::ContextMove, home::Event, rendezvous::ChatKey, shard::ShardId},
 };
 
-/// Most chats moved for one shard at once; with the period of the moving, 100 a second.
+/// Most chats moved for one shard in a round; at four rounds a second (`MOVE_PERIOD`), 100 chats a second.
 const MOVES_PER_ROUND: usize = 25;
 
-/// Moves the next contexts of every shard held here.
+/// Moves the next contexts of every shard that this instance holds.
 pub fn move_next(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     for (shard, moves) in shared.homes.context_moves(MOVES_PER_ROUND) {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Moves contexts, one exchange for each pair of engines.
+/// Moves contexts with one import request for each pair of engines.
 fn move_contexts(shared: &Shared, snapshot: &Snapshot, shard: ShardId, moves: &[ContextMove]) {
     let mut pairs: BTreeMap<(Tag, Tag), Vec<ChatKey>> = BTreeMap::new();
     for ContextMove { chat, from, to } in moves {
@@ -31,8 +31,8 @@
                 |tag: Tag| snapshot.server(tag).filter(|b| b.reports_load).map(|b| b.address);
             let (Some(source), Some(target)) = (address(*from), address(*to)) else { continue };
             scope.spawn(move || {
-                let taken = engines::import_contexts(shared, target, source, chats);
-                let event = match taken {
+                let imported = engines::import_contexts(shared, target, source, chats);
+                let event = match imported {
                     true => {
                         Event::ContextsMoved(chats.iter().map(|chat| (*chat, *from, *to)).collect())
                     }
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -1,4 +1,4 @@
-//! What a home says to engines beside callers' requests: status and orders.
+//! Calls of a home to engines that carry no caller's request: status, orders and moves of contexts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,68 +12,68 @@
     zone::rendezvous::ChatKey,
 };
 
-/// Path of an engine's status.
+/// Path of the status endpoint.
 const STATUS_PATH: &str = "/engine/status";
 
-/// Path of orders.
+/// Path of the orders endpoint.
 const ORDERS_PATH: &str = "/engine/orders";
 
-/// Path on which an engine takes contexts over from another.
+/// Path on which an engine imports contexts from another engine.
 const IMPORT_PATH: &str = "/engine/cache/import";
 
-/// Longest time for an engine to take contexts over.
+/// Time limit for an engine to import contexts.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait for a status.
+/// Time limit for a status response.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest answer read.
+/// Largest response body accepted.
 const RESPONSE_MAX_BYTES: usize = 64 << 10;
 
-/// Bytes of an answer beside its headers and body.
+/// Bytes of the status line `HTTP/1.1 200 OK` and the blank line after the headers, line breaks included.
 const RESPONSE_FRAMING_BYTES: usize = 19;
 
-/// What an engine tells of itself.
+/// Status that an engine reports.
 #[derive(Debug, Deserialize)]
 pub struct EngineStatus {
-    /// Requests in it, as of a while ago.
+    /// Requests in the engine; the figure may lag.
     pub load: u32,
     /// `ready`, `loading` or `leaving`.
     pub state: String,
-    /// The order it took last.
+    /// The order that it accepted last.
     #[serde(default)]
     pub order: EngineOrder,
 }
 
 impl EngineStatus {
-    /// Returns whether it takes requests.
+    /// Returns whether the engine accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state == "ready"
     }
 }
 
-/// Why an engine did not take an order.
+/// Why an engine did not accept an order.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
-    /// Not reached, or no answer.
+    /// The engine was not reached, or did not respond.
     #[error("{0}; it is given again")]
     Attempt(AttemptFault),
-    /// It has taken an order with a newer fencing number.
+    /// The engine has accepted an order with a newer fencing number.
     #[error("it has a newer fencing number; the holder of the newer lease orders it")]
     Fenced,
-    /// It refused otherwise.
+    /// The engine rejected the order for another reason.
     #[error("status {0}; see the engine's log")]
     Refused(StatusCode),
 }
 
 impl OrderError {
-    /// Returns whether somebody else holds a newer lease.
+    /// Returns whether another instance holds a newer lease.
     pub fn is_fenced(&self) -> bool {
         matches!(self, OrderError::Fenced)
     }
 }
 
-/// Asks an engine for its status; `None` when it does not answer.
+/// Fetches the status of an engine; `None` when it does not respond with one.
 pub fn fetch_status(shared: &Shared, address: SocketAddr) -> Option<EngineStatus> {
     let (status, body) =
         call_engine(shared, address, &Method::GET, STATUS_PATH, &[], STATUS_TIMEOUT).ok()?;
@@ -83,7 +83,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// Gives an engine an order.
+/// Sends an order to an engine.
 ///
 /// # Errors
 ///
@@ -103,7 +103,9 @@
     }
 }
 
-/// Has an engine take over the contexts of chats from another; false when it does not.
+/// Has the engine at `target` import the contexts of `chats` from the one at `source`.
+///
+/// Returns whether it did.
 pub fn import_contexts(
     shared: &Shared,
     target: SocketAddr,
--- a/src/instance/homes/mod.rs
+++ b/src/instance/homes/mod.rs
@@ -1,6 +1,6 @@
-//! The shards whose home this instance is: permits for the entries (`shards`, `permit_streams`, `streams`), who
-//! is home of what (`table`), and what a home says to its engines (`engines`, `probes`, `contexts`,
-//! `orders`, `order_state`).
+//! The shards whose home this instance is: permits for the entries (`shards`, `permit_streams`, `streams`), the
+//! mapping of shards to home instances (`table`), and the calls of a home to its engines (`engines`, `probes`,
+//! `contexts`, `orders`, `order_state`).
 
 pub mod contexts;
 pub mod engines;
--- a/src/instance/homes/order_state.rs
+++ b/src/instance/homes/order_state.rs
@@ -1,4 +1,4 @@
-//! How far the orders to the engines of each shard have come.
+//! State of the orders to the engines of each shard.
 
 use std::{
     collections::HashMap,
@@ -17,23 +17,23 @@
     zone::shard::ShardId,
 };
 
-/// The orders of one shard.
+/// State of the orders of one shard.
 pub(super) struct ShardOrders {
-    /// Lease under which orders are given.
+    /// Lease under which orders are sent.
     pub(super) lease: Lease,
-    /// When the lease was last renewed or asked for.
+    /// When this instance last tried to acquire or renew the lease.
     pub(super) last_renewal: Option<Instant>,
-    /// When this instance first held the lease, in a row.
+    /// Since when this instance has held the lease without interruption.
     pub(super) held_since: Option<Instant>,
-    /// When the engines were last looked at.
+    /// When the status of the engines was last checked.
     pub(super) last_checked: Option<Instant>,
-    /// How far the rollout has come.
+    /// Progress of the rollout to the shard's engines.
     pub(super) rollout: Rollout,
     /// When this instance was last the shard's home.
     pub(super) last_home_at: Instant,
 }
 
-/// The orders of one instance.
+/// State of the orders of one instance.
 #[derive(Default)]
 pub struct Orders {
     shards: Mutex<Shards>,
@@ -42,28 +42,28 @@
 #[derive(Default)]
 struct Shards {
     idle: HashMap<ShardId, ShardOrders>,
-    /// What operators are shown of the shards that are being worked on: as it was before.
+    /// Status of the shards in processing, as it was before processing began; operators are shown it.
     in_progress: HashMap<ShardId, OrdersStatus>,
 }
 
-/// A shard's rollout as operators see it.
+/// A shard's rollout as shown to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrdersStatus {
-    /// Fencing number under which orders are given; none: the lease is not held.
+    /// Fencing number under which orders are sent; `None` while the lease is not held.
     pub fencing: Option<u64>,
-    /// How far the rollout has come.
+    /// Progress of the rollout.
     pub progress: Progress,
 }
 
 impl Orders {
-    /// Returns a shard's rollout, if this instance gives its orders.
+    /// Returns the status of a shard's rollout, if this instance keeps state for its orders.
     pub fn status(&self, shard: ShardId, now: Instant) -> Option<OrdersStatus> {
         let shards = lock(&self.shards);
         let idle = shards.idle.get(&shard).map(|orders| orders.status(now));
         idle.or_else(|| shards.in_progress.get(&shard).copied())
     }
 
-    /// Takes a shard's orders out while they are worked on: one thread works, others only look.
+    /// Takes the state of a shard out for processing. One thread processes; others only read the status.
     pub(super) fn take(&self, shard: ShardId, now: Instant) -> Option<ShardOrders> {
         let mut shards = lock(&self.shards);
         let orders = shards.idle.remove(&shard)?;
@@ -71,14 +71,14 @@
         Some(orders)
     }
 
-    /// Puts a shard's orders back.
+    /// Puts the state of a shard back after processing.
     pub(super) fn put(&self, shard: ShardId, orders: ShardOrders) {
         let mut shards = lock(&self.shards);
         shards.in_progress.remove(&shard);
         shards.idle.insert(shard, orders);
     }
 
-    /// Forgets the shards that have had another home for `retention`; a home may move back.
+    /// Evicts the shards that have had another home for `retention`; until then the home may move back.
     pub(super) fn evict_moved(&self, now: Instant, retention: Duration) {
         let mut shards = lock(&self.shards);
         shards.idle.retain(|_, orders| now.duration_since(orders.last_home_at) < retention);
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engines of the shards whose home this is, each shard under a lease of its own.
+//! Orders to the engines of the shards whose home this instance is, under one lease for each shard.
 
 use std::{thread, time::Duration};
 
@@ -25,28 +25,28 @@
     zone::shard::{Shard, ShardId},
 };
 
-/// Period of the renewal of a lease.
+/// Interval between renewals of a lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Pause before a renewal that did not take effect is tried again.
+/// Delay before a renewal that did not take effect is retried.
 const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Period of the look at engines while a rollout is under way.
+/// Interval between checks of the engines while a rollout is in progress.
 const ROLLOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Period of the look at engines while all are as wanted.
+/// Interval between checks of the engines while all are up to date.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Longest time for an engine to take an order; well under the margin of the lease.
+/// Time limit for an engine to accept an order; well under the safety margin of the lease (`LEASE_MARGIN`).
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which a shard's lease is watched after its home has moved; it may move back.
+/// Time for which the state of a shard is kept after its home has moved, as the home may move back.
 const MOVED_SHARD_RETENTION: Duration = Duration::from_secs(60);
 
-/// Engines looked at or ordered at once.
+/// Most engines checked concurrently.
 const CONCURRENT_CALLS: usize = 8;
 
-/// Renews leases and gives the orders that are due.
+/// Renews the leases of the shards whose home this instance is, and sends the orders that are due.
 pub fn process_orders(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     let ordered = snapshot.services().filter(|view| !view.service.models.is_empty());
@@ -70,7 +70,7 @@
         rollout: Rollout::default(),
         last_home_at: shared.clock.now(),
     };
-    // Taken out while it is worked on: this runs in one thread, and others only look.
+    // Taken out while it is processed: only this thread changes it, others read the status.
     let mut orders = shared.orders.take(shard.id, shared.clock.now()).unwrap_or_else(new);
     orders.last_home_at = shared.clock.now();
     renew(shared, shard.id, &mut orders);
@@ -80,7 +80,10 @@
     shared.orders.put(shard.id, orders);
 }
 
-/// A new holder waits out the longest order that the one before may still have under way.
+/// Returns whether orders may be sent now.
+///
+/// A new holder waits for `ORDER_TIMEOUT`, as long as an order of the previous holder may still be in flight.
+/// Fencing number 1 has no previous holder.
 fn may_order(shared: &Shared, orders: &ShardOrders) -> bool {
     let now = shared.clock.now();
     let first = orders.lease.fencing(now) == Some(1);
@@ -93,8 +96,8 @@
     let period =
         if due + loading + failed > 0 { ROLLOUT_CHECK_INTERVAL } else { IDLE_CHECK_INTERVAL };
     let now = shared.clock.now();
-    let newer = orders.last_checked.is_none_or(|at| now.duration_since(at) >= period);
-    newer || shared.clock.now().duration_since(shared.installed_at()) < ROLLOUT_CHECK_INTERVAL * 4
+    let overdue = orders.last_checked.is_none_or(|at| now.duration_since(at) >= period);
+    overdue || shared.clock.now().duration_since(shared.installed_at()) < ROLLOUT_CHECK_INTERVAL * 4
 }
 
 fn renew(shared: &Shared, shard: ShardId, orders: &mut ShardOrders) {
@@ -107,7 +110,7 @@
     let Ok(row) = shared.platform.table.get(&key) else { return };
     let seen = match &row {
         None => None,
-        // A row that cannot be read is another version's; it is left to stand still.
+        // A row that cannot be decoded was written by another version; it is left to expire.
         Some(row) => match decode::<LeaseRow>(&row.value) {
             Ok(lease) => Some((lease, row.version)),
             Err(_) => return,
@@ -122,7 +125,7 @@
             orders.lease.note_written(began, &lease);
             orders.held_since.get_or_insert(began);
         }
-        // A lost reply shows itself at the next renewal as an own row.
+        // If only the reply was lost, the next renewal finds this instance's own row.
         Ok(TransactReply::Conflict { .. }) | Err(_) => {
             orders.lease.note_not_written();
             orders.held_since = None;
@@ -131,7 +134,7 @@
     }
 }
 
-/// An engine with what it is to be.
+/// An engine with its desired state.
 struct TargetEngine<'s> {
     server: &'s BackendServer,
     state: DesiredState,
@@ -146,13 +149,13 @@
 ) {
     orders.last_checked = Some(shared.clock.now());
     let servers = shard.engines.iter().filter_map(|engine| snapshot.server(engine.tag));
-    let target: Vec<TargetEngine<'_>> = servers
+    let targets: Vec<TargetEngine<'_>> = servers
         .filter(|server| server.reports_load && !server.leaving)
         .map(|server| TargetEngine { server, state: desired_state(&snapshot.fleet, server) })
         .collect();
-    let seen = map_concurrently(&target, |target| check_engine(shared, target));
+    let seen = map_concurrently(&targets, |target| check_engine(shared, target));
     let engines: Vec<(Tag, Observation)> =
-        target.iter().zip(seen).map(|(w, seen)| (w.server.id.tag(), seen)).collect();
+        targets.iter().zip(seen).map(|(t, seen)| (t.server.id.tag(), seen)).collect();
     let limits = RolloutLimits {
         loads_at_once: service.loads_at_once as usize,
         min_serving: service.min_serving,
@@ -160,24 +163,24 @@
     let now = shared.clock.now();
     let due = orders.rollout.next_engines(now, &engines, limits);
     let due: Vec<&TargetEngine<'_>> =
-        target.iter().filter(|w| due.contains(&w.server.id.tag())).collect();
+        targets.iter().filter(|t| due.contains(&t.server.id.tag())).collect();
     for target in due {
-        // Looked at right before each order: a pause may have let the lease lapse.
+        // Checked right before each order: the lease may have expired during a pause of the process.
         let Some(fencing) = orders.lease.fencing(shared.clock.now()) else { return };
         order_engine(shared, target, fencing, orders);
     }
 }
 
-/// Does something for several engines at once.
+/// Calls `f` for all engines, up to `CONCURRENT_CALLS` at a time.
 fn map_concurrently<'w, T: Send>(
-    target: &'w [TargetEngine<'w>],
+    targets: &'w [TargetEngine<'w>],
     f: impl Fn(&TargetEngine<'w>) -> T + Sync,
 ) -> Vec<T> {
-    let mut all = Vec::with_capacity(target.len());
-    for group in target.chunks(CONCURRENT_CALLS) {
+    let mut all = Vec::with_capacity(targets.len());
+    for group in targets.chunks(CONCURRENT_CALLS) {
         let f = &f;
         thread::scope(|scope| {
-            let calls: Vec<_> = group.iter().map(|w| scope.spawn(move || f(w))).collect();
+            let calls: Vec<_> = group.iter().map(|t| scope.spawn(move || f(t))).collect();
             all.extend(calls.into_iter().filter_map(|call| call.join().ok()));
         });
     }
@@ -212,7 +215,7 @@
         Err(fault) => {
             orders.rollout.note_failure(now, tag);
             if fault.is_fenced() {
-                // Somebody holds a newer lease.
+                // Another instance holds a newer lease.
                 orders.lease.note_not_written();
             }
             fault.to_string()
--- a/src/instance/homes/permit_streams.rs
+++ b/src/instance/homes/permit_streams.rs
@@ -1,4 +1,4 @@
-//! The ends of the streams between entries and homes that one instance has open.
+//! Registry of this instance's open permit streams, to homes and from entries.
 
 use std::{
     collections::HashMap,
@@ -15,30 +15,30 @@
     utils::sync::lock,
 };
 
-/// One end of a stream, and what its other end was told of this instance.
+/// This instance's end of a stream, and the last `Hello` that it sent on it.
 pub(super) struct StreamEnd {
-    /// Sends to the other end.
+    /// Sends messages to the other instance.
     pub(super) sender: StreamSender,
     last_hello: Mutex<Option<Hello>>,
 }
 
 impl StreamEnd {
-    /// Returns an end whose other end has been told nothing.
+    /// Returns an end on which no `Hello` has been sent.
     pub(super) fn new(sender: StreamSender) -> StreamEnd {
         StreamEnd { sender, last_hello: Mutex::new(None) }
     }
 
-    /// Returns the greeting if the other end has not been told it yet.
+    /// Returns `hello` if it differs from the last one sent, and records it as sent.
     pub(super) fn hello_if_changed(&self, hello: Hello) -> Option<Hello> {
         let mut last_hello = lock(&self.last_hello);
         (last_hello.replace(hello) != Some(hello)).then_some(hello)
     }
 }
 
-/// The stream to one home; empty while there is none.
+/// The stream to one home; `None` while no stream is open.
 pub(super) type StreamSlot = Arc<Mutex<Option<Arc<StreamEnd>>>>;
 
-/// The streams of one instance.
+/// The permit streams of one instance.
 #[derive(Default)]
 pub struct PermitStreams {
     homes: Mutex<HashMap<Tag, StreamSlot>>,
@@ -46,12 +46,12 @@
 }
 
 impl PermitStreams {
-    /// Returns the place of the stream to `home`.
+    /// Returns the slot of the stream to `home`.
     pub(super) fn slot(&self, home: Tag) -> StreamSlot {
         Arc::clone(lock(&self.homes).entry(home).or_default())
     }
 
-    /// Cuts the stream to a home.
+    /// Closes the stream to a home.
     pub fn cut(&self, home: Tag) {
         let slot = lock(&self.homes).get(&home).cloned();
         if let Some(end) = slot.and_then(|slot| lock(&slot).take()) {
@@ -59,22 +59,23 @@
         }
     }
 
-    /// Notes the stream of an entry.
+    /// Registers the stream of an entry.
     pub(super) fn add_entry(&self, entry: Tag, end: &Arc<StreamEnd>) {
         lock(&self.entries).insert(entry, Arc::clone(end));
     }
 
-    /// Forgets the stream of an entry; returns whether it was the entry's newest.
+    /// Removes `end` if it is the newest stream of its entry; returns whether it was.
     pub(super) fn remove_entry(&self, entry: Tag, end: &Arc<StreamEnd>) -> bool {
         let mut entries = lock(&self.entries);
         let newest = entries.get(&entry).is_some_and(|registered| Arc::ptr_eq(registered, end));
         newest && entries.remove(&entry).is_some()
     }
 
-    /// Sends a home's late reply to the entry that asked, and `hello` where it is news.
+    /// Sends a reply that was not ready with its batch to the entry that requested the permit, with `hello` if
+    /// it has changed.
     pub fn reply(&self, hello: Hello, id: PermitId, reply: Reply) {
         let end = lock(&self.entries).get(&id.entry).cloned();
-        // An entry whose stream has ended asks again, with the same number.
+        // An entry whose stream has closed repeats its request with the same number.
         let Some(end) = end else { return };
         let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
         let hello = end.hello_if_changed(hello);
--- a/src/instance/homes/probes.rs
+++ b/src/instance/homes/probes.rs
@@ -1,5 +1,5 @@
-//! Probes of backend servers, sent only by the home of their shard and only where no answer has
-//! told of them for a while.
+//! Probes of backend servers, sent only by the home of their shard, and only to servers whose state no recent
+//! response has shown.
 
 use std::thread;
 
@@ -9,7 +9,7 @@
     zone::{home::Event, shard::ShardId},
 };
 
-/// Probes under way at once.
+/// Most probes in flight.
 const CONCURRENT_PROBES: usize = 8;
 
 /// Probes the engines that are due.
@@ -28,7 +28,7 @@
                     let events = match engines::fetch_status(shared, address) {
                         Some(status) => vec![
                             Event::Probed(*engine, status.load),
-                            // One that loads takes nothing either.
+                            // An engine that is loading accepts no requests either.
                             Event::AnnouncedLeaving(*engine, !status.is_ready()),
                         ],
                         None => vec![Event::ProbeFailed(*engine)],
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -1,4 +1,4 @@
-//! The shards whose home this instance is: a thin shell around [`Home`].
+//! The homes that this instance holds: a thin layer of locks and routing of events around [`Home`].
 
 use std::{
     collections::HashMap,
@@ -21,61 +21,62 @@
     },
 };
 
-/// Time for which a shard that has moved to another home and holds nothing is kept.
+/// Time for which a home is kept after its shard has moved to another instance, if it has no permits and no
+/// waiting requests.
 const IDLE_HOME_RETENTION: Duration = Duration::from_secs(60);
 
 struct HomeSlot {
     home: Mutex<Home>,
     last_used: Mutex<Instant>,
-    /// Who is told where chats go.
+    /// Instance that chat locations are replicated to.
     replica: Mutex<Option<Tag>>,
 }
 
-/// What a home tells in answer to a batch.
+/// Reply of a home to a batch.
 #[derive(Debug, Default)]
 pub struct BatchReply {
-    /// Replies to the asks, and to earlier ones of the same entry.
+    /// Replies to the permit requests of the batch, and to earlier ones of the same entry.
     pub replies: Vec<NumberedReply>,
-    /// Whether the entry is to announce all it holds.
+    /// Whether the entry is to announce all permits that it holds.
     pub want_announcement: bool,
 }
 
 type Deliver = dyn Fn(PermitId, Reply) + Send + Sync;
 
-/// A shard as operators see it.
+/// A shard as shown to operators.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct ShardStatus {
     /// The shard.
     pub shard: ShardId,
-    /// Whether this instance is the shard's home; else it holds a replica of its memory, or
-    /// grants while routers disagree.
+    /// Whether this instance is the shard's home. If not, it holds a replica of the chat locations, or grants
+    /// permits while instances disagree on the home.
     pub is_home: bool,
-    /// Most permits of one engine now.
+    /// Current load bound: most permits of one engine.
     pub bound: u32,
-    /// Requests waiting.
+    /// Requests waiting for a permit.
     pub queued: usize,
-    /// Chats remembered.
+    /// Chats whose location is known.
     pub remembered: usize,
-    /// Engines: tag, permits, reported load, whether it may get work.
+    /// Engines of the shard.
     pub engines: Vec<EngineStatus>,
 }
 
-/// An engine as operators see it.
+/// An engine as shown to operators.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct EngineStatus {
-    /// Tag of its id.
+    /// Tag of the engine's id.
     pub tag: Tag,
-    /// Permits in force.
+    /// Permits granted and not released.
     pub permits: u32,
-    /// Load it last reported.
+    /// Load that the engine last reported.
     pub reported: Option<u32>,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     pub leaving: bool,
-    /// Whether it is suspected of being down.
+    /// Whether the engine is suspected of being down.
     pub suspect: bool,
 }
 
-/// The homes of this instance.
+/// The homes that one instance holds.
 pub struct HomeShards {
     clock: Clock,
     chats_max: usize,
@@ -84,7 +85,10 @@
 }
 
 impl HomeShards {
-    /// Returns an instance's homes; `deliver` takes replies to asks made earlier.
+    /// Returns an empty set of homes.
+    ///
+    /// `chats_max` bounds the chat locations of each home; `deliver` receives the replies that are not part of the
+    /// reply to a batch.
     pub fn new(
         clock: Clock,
         chats_max: usize,
@@ -93,7 +97,7 @@
         HomeShards { clock, chats_max, slots: Mutex::default(), deliver: Box::new(deliver) }
     }
 
-    /// Takes in an entry's batch for one shard; `None` when the file in force has no such shard.
+    /// Handles an entry's batch for one shard; `None` if the active revision has no such shard.
     pub fn handle_batch(
         &self,
         hello: &Hello,
@@ -124,17 +128,16 @@
                 actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
             for ask in batch.asks {
-                let settings = snapshot.team_policy(ask.team);
-                actions
-                    .extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), settings)));
+                let policy = snapshot.team_policy(ask.team);
+                actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), policy)));
             }
         }
         Some(self.dispatch(actions, Some(hello.from)))
     }
 
-    /// Lets time pass for every home, and forgets those that have moved and hold nothing.
+    /// Runs the periodic work of every home, and removes homes that have moved and are idle.
     ///
-    /// `is_home` says whether this instance is the home of a shard by its own view.
+    /// `is_home` tells whether this instance is the home of a shard by its own view.
     pub fn tick(&self, snapshot: &Snapshot, is_home: impl Fn(&Shard) -> bool) {
         let now = self.clock.now();
         for (id, slot) in self.all_slots() {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Takes on the shards whose home this instance is by its own view.
+    /// Creates the homes of the shards whose home this instance is by its own view.
     pub fn create_homes(&self, snapshot: &Snapshot, is_home: impl Fn(&Shard) -> bool) {
         let shards = snapshot.services().flat_map(|view| &view.shards);
         for shard in shards.filter(|shard| is_home(shard)) {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Takes over the engines and terms of a new revision.
+    /// Applies the engines and settings of a new revision, and removes the homes of shards that it lacks.
     pub fn apply_revision(&self, snapshot: &Snapshot) {
         let now = self.clock.now();
         for (id, slot) in self.all_slots() {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Gives every home an event made for its shard.
+    /// Passes to every home the events made for its shard.
     pub fn notify_all(&self, event: impl Fn(ShardId) -> Vec<Event>) {
         for (id, _) in self.all_slots() {
             self.notify(id, event(id));
@@ -200,15 +203,16 @@
         self.all_slots().into_iter().flat_map(due).collect()
     }
 
-    /// Returns the contexts to be moved now, at most `most` for each shard.
-    pub fn context_moves(&self, most: usize) -> Vec<(ShardId, Vec<ContextMove>)> {
+    /// Returns the contexts to move now, at most `count_max` for each shard.
+    pub fn context_moves(&self, count_max: usize) -> Vec<(ShardId, Vec<ContextMove>)> {
         let now = self.clock.now();
-        let moves =
-            |(id, slot): (ShardId, Arc<HomeSlot>)| (id, lock(&slot.home).context_moves(now, most));
+        let moves = |(id, slot): (ShardId, Arc<HomeSlot>)| {
+            (id, lock(&slot.home).context_moves(now, count_max))
+        };
         self.all_slots().into_iter().map(moves).filter(|(_, moves)| !moves.is_empty()).collect()
     }
 
-    /// Gives events to the home of one shard, if it is held here.
+    /// Passes events to the home of a shard, if this instance holds it.
     pub fn notify(&self, shard: ShardId, events: Vec<Event>) {
         let Some(slot) = lock(&self.slots).get(&shard).cloned() else { return };
         let now = self.clock.now();
@@ -220,14 +224,14 @@
         self.dispatch(actions, None);
     }
 
-    /// Returns what replicas are to be told now, at most `most` places for each shard.
+    /// Takes the chat locations to replicate now, at most `count_max` for each shard.
     ///
-    /// `replica_of` names who holds the replica of a shard's memory, or the shard's home once
-    /// this instance no longer is it.
+    /// `replica_of` names the instance that holds the replica of a shard, or the shard's home once it is another
+    /// instance. All locations are replicated anew when that instance has changed.
     pub fn take_unreplicated(
         &self,
         snapshot: &Snapshot,
-        most: usize,
+        count_max: usize,
         replica_of: impl Fn(&Shard) -> Option<Tag>,
     ) -> Vec<(Tag, Memory)> {
         let mut changed = Vec::new();
@@ -237,7 +241,7 @@
             if lock(&slot.replica).replace(to) != Some(to) {
                 home.chat_locations_mut().mark_all_unreplicated();
             }
-            let places = home.chat_locations_mut().take_unreplicated(most);
+            let places = home.chat_locations_mut().take_unreplicated(count_max);
             if !places.is_empty() {
                 changed.push((to, Memory { shard: id, places }));
             }
@@ -245,7 +249,7 @@
         changed
     }
 
-    /// Takes over where chats of a shard were last.
+    /// Applies chat locations received from another instance.
     pub fn apply_replicated(&self, memory: Memory, snapshot: &Snapshot) {
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
@@ -263,7 +267,7 @@
         self.map_homes(|id, home| (id, home.shard_load(now)))
     }
 
-    /// Returns the shards held here as operators see them.
+    /// Returns the status of the homes held here.
     pub fn status(&self) -> Vec<ShardStatus> {
         let now = self.clock.now();
         self.map_homes(|shard, home| ShardStatus {
@@ -285,7 +289,7 @@
         })
     }
 
-    /// Returns where `chat` was last and where it would go now, if its shard is held here.
+    /// Returns the engine that `chat` was last on and the one it would go to now, if this instance holds its shard.
     pub fn explain(&self, shard: ShardId, chat: ChatKey) -> Option<(Option<Tag>, Option<Tag>)> {
         let slot = lock(&self.slots).get(&shard).cloned()?;
         let home = lock(&slot.home);
@@ -323,19 +327,20 @@
         })
     }
 
-    /// Sorts actions into the answer to the entry at hand and late replies to others.
+    /// Collects the actions for `current_entry` in the reply to its batch, and delivers the replies to other
+    /// entries.
     fn dispatch(&self, actions: Vec<Action>, current_entry: Option<Tag>) -> BatchReply {
-        let mut answer = BatchReply::default();
+        let mut batch_reply = BatchReply::default();
         for action in actions {
             match action {
-                Action::RequestAnnouncement(_) => answer.want_announcement = true,
+                Action::RequestAnnouncement(_) => batch_reply.want_announcement = true,
                 Action::Reply(id, reply) if Some(id.entry) == current_entry => {
                     let reply = ReplyWire::of(reply);
-                    answer.replies.push(NumberedReply { number: short(id.number), reply });
+                    batch_reply.replies.push(NumberedReply { number: short(id.number), reply });
                 }
                 Action::Reply(id, reply) => (self.deliver)(id, reply),
             }
         }
-        answer
+        batch_reply
     }
 }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -1,4 +1,4 @@
-//! Streams between entries and homes: what an entry sends and reads, and what a home does.
+//! Permit streams between entries and homes: sending and reading at the entry, serving at the home.
 
 use std::{
     sync::{Arc, Weak},
@@ -18,19 +18,19 @@
     zone::home::Event,
 };
 
-/// Stack of the thread that reads a home's messages, in bytes: it goes no deeper than decoding one.
+/// Stack of the thread that reads a home's messages; its deepest call decodes one message.
 const READER_STACK_BYTES: usize = 256 << 10;
 
-/// Hands an entry's batches to a home, opening the stream when there is none.
+/// Sends an entry's batches to a home, on a new stream if none is open.
 ///
-/// Returns false when the home is not reached.
+/// Returns false if the home cannot be reached.
 pub fn send(shared: &Arc<Shared>, home: Tag, batches: Vec<ShardBatch>) -> bool {
     let Some(end) = open_stream(shared, home) else { return false };
     let message = EntryMessage { hello: end.hello_if_changed(shared.hello()), batches };
     end.sender.send(&message)
 }
 
-/// Returns the stream to a home, opened where there is none; `None` when the home is not reached.
+/// Returns the stream to a home, and opens it if needed; `None` if the home cannot be reached.
 fn open_stream(shared: &Arc<Shared>, home: Tag) -> Option<Arc<StreamEnd>> {
     let slot = shared.permit_streams.slot(home);
     let mut opened = lock(&slot);
@@ -41,7 +41,7 @@
     let (sender, receiver) = match shared.peers.open_stream(Purpose::Permits, address) {
         Ok(stream) => stream,
         Err(fault) => {
-            log::debug!("stream to a home: {fault}");
+            log::debug!("cannot open the permit stream to a home: {fault}");
             return None;
         }
     };
@@ -52,14 +52,14 @@
         .stack_size(READER_STACK_BYTES)
         .spawn(move || read_replies(&weak, home, receiver, &slot_of, &read_end));
     if let Err(fault) = spawned {
-        log::warn!("no thread for the stream to a home: {fault}");
+        log::warn!("cannot start the reader thread of the permit stream to a home: {fault}");
         return None;
     }
     *opened = Some(Arc::clone(&end));
     Some(end)
 }
 
-/// Serves an entry's stream until it ends.
+/// Serves an entry's stream until it closes.
 pub fn serve(shared: &Arc<Shared>, sender: StreamSender, mut receiver: StreamReceiver) {
     let end = Arc::new(StreamEnd::new(sender));
     let mut entry: Option<Hello> = None;
@@ -69,14 +69,14 @@
             shared.permit_streams.add_entry(hello.from, &end);
             entry = Some(hello);
         }
-        // The first message of a stream says who sends it.
+        // The first message of a stream must name its sender.
         let Some(hello) = entry else { break };
-        let mut answer = handle_batches(shared, &hello, message.batches);
-        answer.hello = end.hello_if_changed(shared.hello());
-        let has_content = answer.hello.is_some()
-            || !answer.replies.is_empty()
-            || !answer.want_announcement.is_empty();
-        if has_content && !end.sender.send(&answer) {
+        let mut reply = handle_batches(shared, &hello, message.batches);
+        reply.hello = end.hello_if_changed(shared.hello());
+        let has_content = reply.hello.is_some()
+            || !reply.replies.is_empty()
+            || !reply.want_announcement.is_empty();
+        if has_content && !end.sender.send(&reply) {
             break;
         }
     }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Takes in an entry's batches for the shards held here.
+/// Handles an entry's batches and returns the replies that are ready.
 pub fn handle_batches(shared: &Shared, hello: &Hello, batches: Vec<ShardBatch>) -> HomeMessage {
     let mut message = HomeMessage::default();
     let snapshot = shared.snapshot.load_full();
@@ -95,20 +95,20 @@
         let shard = batch.shard;
         let numbers: Vec<u32> = batch.asks.iter().map(|ask| ask.number).collect();
         match snapshot.as_ref().and_then(|s| shared.homes.handle_batch(hello, batch, s)) {
-            Some(answer) => {
-                message.replies.extend(answer.replies);
-                if answer.want_announcement {
+            Some(reply) => {
+                message.replies.extend(reply.replies);
+                if reply.want_announcement {
                     message.want_announcement.push(shard);
                 }
             }
-            // The sender's file is newer and is being fetched.
+            // The sender has a newer revision, which this instance is still fetching.
             None => message.replies.extend(numbers.into_iter().map(NumberedReply::no_engine)),
         }
     }
     message
 }
 
-/// Reads a home's messages until the stream ends.
+/// Reads a home's messages until the stream closes, then tries once to reopen it.
 fn read_replies(
     shared: &Weak<Shared>,
     home: Tag,
@@ -133,8 +133,8 @@
     }
     if let Some(shared) = shared.upgrade().filter(|shared| !shared.drain.is_stopped()) {
         shared.desk.home_lost(home);
-        // A home whose process has ended refuses at once; permits then move without waiting for
-        // the next ask to find out.
+        // If the home's process has ended, the connection is refused at once, and its permits move without waiting
+        // for the next permit request to fail.
         if open_stream(&shared, home).is_none() {
             lock(&shared.membership).note_failure(shared.clock.now(), home);
         }
--- a/src/instance/homes/table.rs
+++ b/src/instance/homes/table.rs
@@ -1,4 +1,4 @@
-//! Which instance is the home of which shard, worked out once and looked up many times.
+//! Mapping of shards to home instances, cached for lookups.
 
 use std::{
     collections::HashMap,
@@ -16,10 +16,10 @@
     },
 };
 
-/// Age at which the table is worked out anew, since suspicions end by time.
+/// Age at which the table is rebuilt even without changes, since suspicions of instances expire with time.
 const TABLE_MAX_AGE: Duration = Duration::from_millis(250);
 
-/// Homes of all shards by one view of the members and one revision.
+/// Homes of all shards, computed from one state of the membership and one revision.
 #[derive(Debug, Default)]
 pub struct HomeTable {
     homes: HashMap<ShardId, Tag>,
@@ -27,9 +27,9 @@
 }
 
 impl HomeTable {
-    /// Returns the home of a shard by the view of the moment.
+    /// Returns the home of a shard by the current membership.
     ///
-    /// Homes of all shards are worked out when the members or the revision have changed.
+    /// Rebuilds the table when the membership or the revision has changed, or the table is too old.
     pub fn home_of(
         &mut self,
         now: Instant,
@@ -45,7 +45,7 @@
         if !current {
             self.rebuild(now, members, snapshot);
         }
-        // A shard of another revision than the one in force is worked out by itself.
+        // A shard that is not in the active revision is computed on its own.
         self.homes.get(&shard.id).copied().unwrap_or_else(|| home(now, members, shard))
     }
 
