--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -1,4 +1,4 @@
-//! What an instance does beside its callers' requests: a thread for each kind of work.
+//! Background work of an instance, with one thread for each kind of work.
 
 use std::{
     sync::Arc,
@@ -19,22 +19,22 @@
     utils::sync::lock,
 };
 
-/// Period of the work of homes and desks.
+/// Period of the periodic work of homes and desks.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 
-/// Period of the telling of homes' memory to its replicas.
-const MEMORY_PERIOD: Duration = Duration::from_millis(500);
+/// Period of the replication of chat locations.
+const CHAT_REPLICATION_PERIOD: Duration = Duration::from_millis(500);
 
-/// Pause between two looks at leases and rollouts.
+/// Pause between two rounds of leases and orders.
 const ORDERS_PERIOD: Duration = Duration::from_millis(200);
 
-/// Pause between two rounds of moving contexts of leaving engines.
+/// Pause between two rounds of moving the contexts of leaving engines.
 const MOVE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Pause between two looks for engines that are due for a probe.
+/// Pause between two rounds of probes.
 const PROBE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Ticks between two rounds of slower work: loads, claims, metrics.
+/// Ticks between two rounds of the slower work: loads, claims, metrics.
 const SLOW_TICKS: u64 = 5;
 
 /// The threads of one instance.
@@ -43,7 +43,7 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Starts all work in the background; it ends when the instance does.
+/// Starts all background work; its threads end when the instance stops.
 ///
 /// # Errors
 ///
@@ -67,7 +67,7 @@
     })?;
     workers.start("memory", |shared| {
         gossip::replicate_chats(shared);
-        MEMORY_PERIOD
+        CHAT_REPLICATION_PERIOD
     })?;
     workers.start("orders", |shared| {
         orders::process_orders(shared);
@@ -91,16 +91,16 @@
 }
 
 impl Workers {
-    /// Runs `step` in a thread of its own, with the pause that it returns, until the instance ends.
+    /// Runs `work` repeatedly in its own thread, with the pause that it returns, until the instance stops.
     fn start(
         &mut self,
         name: &str,
-        mut step: impl FnMut(&Arc<Shared>) -> Duration + Send + 'static,
+        mut work: impl FnMut(&Arc<Shared>) -> Duration + Send + 'static,
     ) -> anyhow::Result<()> {
         let shared = Arc::clone(&self.shared);
         let thread = thread::Builder::new().name(name.to_owned()).spawn(move || {
             while !shared.drain.is_stopped() {
-                let pause = step(&shared);
+                let pause = work(&shared);
                 thread::sleep(pause);
             }
         })?;
@@ -115,21 +115,21 @@
 
 fn config_loop(shared: &Arc<Shared>, waker: &Waker) -> Duration {
     if let Err(fault) = config::sync(shared) {
-        log::debug!("configuration: {fault}");
+        log::debug!("cannot update the configuration: {fault}");
     }
     let ready = shared.snapshot.load().is_some();
     let pause = if ready { jittered(shared.settings.timeouts.revision_poll.0) } else { TICK };
     if waker.wait(pause)
         && let Err(fault) = config::sync_from_peers(shared)
     {
-        log::debug!("configuration from peers: {fault}");
+        log::debug!("cannot update the configuration from peers: {fault}");
     }
     Duration::ZERO
 }
 
 fn tick(shared: &Arc<Shared>, ticks: u64) {
     if shared.drain.is_draining() {
-        // From now on the next in line is the home of every shard held here.
+        // From now on the next instance in rendezvous order is the home of every shard held here.
         lock(&shared.membership).leave();
     }
     shared.desk.flush(|id| shared.home_of_id(id));
@@ -142,10 +142,10 @@
     shared.claims.tick();
     gossip::update_leaving_servers(shared);
     gossip::send_loads(shared);
-    show_homes(shared);
+    update_home_metrics(shared);
 }
 
-fn show_homes(shared: &Shared) {
+fn update_home_metrics(shared: &Shared) {
     let mut status = status::own(shared);
     status.shards.retain(|shard| shard.is_home);
     shared.metrics.homes(status.shards.len());
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -1,4 +1,4 @@
-//! Builds what the parts of an instance share.
+//! Builds the state that the parts of an instance share.
 
 use std::{
     collections::HashMap,
@@ -34,7 +34,7 @@
     zone::homes::Candidate,
 };
 
-/// Opens the platform that the settings name; `traffic` is told the bytes of every exchange.
+/// Opens the platform that the settings name; `traffic` counts the bytes of every call to it.
 pub(super) fn open_platform(settings: &Settings, traffic: &Traffic) -> Platform {
     match settings.platform {
         PlatformSettings::Embedded => Embedded::new().platform(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Builds what the parts of an instance share; the desk and the homes are given to each other.
+/// Builds the state that the parts of an instance share, and connects the desk and the homes to each other.
 pub(super) fn build_shared(
     settings: Settings,
     context: &Context,
@@ -69,14 +69,14 @@
         PeerLinks::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
     let own = Candidate { id: settings.id.clone(), tag, zone: settings.zone.clone() };
     let waker = Arc::clone(waker);
-    // The desk and the homes speak to each other through the instance, which holds both.
+    // The desk and the homes reach each other through the shared state, which owns both.
     let this: Arc<OnceLock<Weak<Shared>>> = Arc::default();
-    let reply_time = settings.timeouts.peer.0;
-    let desk = Desk::new(tag, incarnation, reply_time, clock.clone(), desk_links(&this));
-    let late = Arc::clone(&this);
+    let reply_timeout = settings.timeouts.peer.0;
+    let desk = Desk::new(tag, incarnation, reply_timeout, clock.clone(), desk_links(&this));
+    let homes_this = Arc::clone(&this);
     let chats_max = settings.limits.remembered_chats as usize;
     let homes = HomeShards::new(clock.clone(), chats_max, move |id, reply| {
-        let Some(shared) = upgrade(&late) else { return };
+        let Some(shared) = upgrade(&homes_this) else { return };
         if id.entry == tag {
             shared.desk.take_own(id, reply);
         } else {
@@ -122,19 +122,19 @@
 }
 
 fn desk_links(this: &Arc<OnceLock<Weak<Shared>>>) -> DeskLinks {
-    let (sends, cuts) = (Arc::clone(this), Arc::clone(this));
+    let (send_this, cut_this) = (Arc::clone(this), Arc::clone(this));
     DeskLinks {
         send: Box::new(move |home, batches| {
-            let Some(shared) = upgrade(&sends) else { return false };
+            let Some(shared) = upgrade(&send_this) else { return false };
             if home != shared.tag {
                 return streams::send(&shared, home, batches);
             }
-            let answer = streams::handle_batches(&shared, &shared.hello(), batches);
-            shared.desk.take(home, answer);
+            let reply = streams::handle_batches(&shared, &shared.hello(), batches);
+            shared.desk.take(home, reply);
             true
         }),
         cut: Box::new(move |home| {
-            if let Some(shared) = upgrade(&cuts) {
+            if let Some(shared) = upgrade(&cut_this) {
                 shared.permit_streams.cut(home);
             }
         }),
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -1,5 +1,5 @@
-//! Puts an operators' file in force: checked whole, stored, and named by one conditional write
-//! together with its audit row.
+//! Applies an operators' file: the file is checked as a whole, its objects are stored, and one conditional write
+//! sets the head row together with its audit row.
 
 use serde::{Deserialize, Serialize};
 
@@ -25,47 +25,47 @@
     units::Revision,
 };
 
-/// Tries to write the head, each after reading it anew, when no base was stated.
+/// Attempts to write the head, each after reading it anew.
 const WRITE_ATTEMPTS: u32 = 5;
 
-/// Reads of the head in a row during which newer revisions may come into force: who applied the newest is told then, not that
-/// there is one.
+/// Attempts to read the head together with its file, repeated while newer revisions become active in between. The
+/// operator is then told who applied the newest revision, not just that there is one.
 const HEAD_READ_ATTEMPTS: u32 = 5;
 
-/// What came of an apply.
+/// Result of an apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
-    /// Revision in force.
+    /// Active revision.
     pub revision: Revision,
-    /// What changed; empty when the same file was in force already.
+    /// What changed; empty if the same file was active already.
     pub changes: Vec<Change>,
 }
 
-/// Why a file was not put in force.
+/// Why a file was not applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum ApplyError {
-    /// The file has faults.
+    /// The file has errors.
     #[error("the file is refused as a whole; correct these and apply it again:\n{0}")]
     Faults(Faults),
-    /// Another file was put in force since the base.
+    /// Another file was applied since the base.
     #[error(
         "revision {revision} by {by} is in force, not {base}; look at `cartvane diff`, then apply again with --base {revision}"
     )]
     Moved {
         /// Base that the operator stated.
         base: Revision,
-        /// Revision in force.
+        /// Active revision.
         revision: Revision,
         /// Who applied it.
         by: String,
-        /// What differs between the file in force and the one refused.
+        /// Differences between the active file and the rejected one.
         differs: Vec<Change>,
     },
-    /// The store did not take it.
+    /// The store did not accept the file.
     #[error("the store did not take the file ({0}); nothing changed, apply it again")]
     Store(String),
-    /// The store's reply was lost and it cannot be read back now.
+    /// The store's reply was lost, and the result cannot be read back now.
     #[error(
         "the store's reply was lost ({0}); see `cartvane show` for what is in force before applying again"
     )]
@@ -78,20 +78,20 @@
     }
 }
 
-/// The file in force as the store has it.
+/// The active file according to the store.
 struct Current {
     row: Option<Row>,
     head: Option<Head>,
     fleet: Fleet,
 }
 
-/// Checks `text` and puts it in force.
+/// Checks `text` and applies it.
 ///
-/// With `base`, only if that revision is in force.
+/// With `base`, only if that revision is active.
 ///
 /// # Errors
 ///
-/// See [`ApplyError`]; the refusal is in the audit trail when the store takes it.
+/// See [`ApplyError`]; the rejection is in the audit trail unless the store fails to write it.
 pub fn apply(
     shared: &Shared,
     text: &str,
@@ -144,7 +144,7 @@
                 activate(shared, head.clone());
                 return Ok(Applied { revision: head.revision, changes });
             }
-            // Another apply came first. What this operator saw is no longer in force.
+            // Another apply came first; what this operator saw is no longer active.
             false => implied_base = Some(revision),
         }
     }
@@ -169,7 +169,7 @@
 ) -> Result<(), ApplyError> {
     let objects = &shared.platform.objects;
     for (name, bytes) in &stored.chunks {
-        // What is in force here has been stored by whoever applied it.
+        // Cached objects belong to a revision that has been stored already.
         if shared.objects.get(name).is_none() {
             objects.put(&object_key(name), bytes)?;
         }
@@ -183,7 +183,7 @@
     Ok(())
 }
 
-/// Reads the head and its file from the store, or from memory where that is the same.
+/// Reads the head from the store, and returns it with its file.
 fn current(shared: &Shared) -> Result<Current, ApplyError> {
     for _ in 0..HEAD_READ_ATTEMPTS {
         let row = shared.platform.table.get(HEAD_KEY)?;
@@ -194,7 +194,8 @@
     Err(ApplyError::Store("newer revisions keep coming in; apply again".to_owned()))
 }
 
-/// Returns the file of a head; `None` where a newer one has come into force since the head was read.
+/// Returns the file of `head`, installed here if it is newer than the active one; `None` if an even newer revision
+/// has become active since `head` was read.
 fn fleet_at(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyError> {
     let Some(head) = head else { return Ok(Some(Fleet::default())) };
     if shared.revision() < head.revision {
@@ -205,7 +206,7 @@
     Ok(same.map(|snapshot| snapshot.fleet.clone()))
 }
 
-/// Writes the head with its audit row; false when another apply came first.
+/// Writes the head with its audit row; returns false if another apply came first.
 fn write_head(
     shared: &Shared,
     current: &Current,
@@ -239,8 +240,8 @@
     }
 }
 
-/// The reply was lost: the row for the revision tells whether this apply wrote it, also when yet
-/// another one has followed.
+/// Determines after a lost reply whether the write took effect. The audit row of this apply shows it, even if
+/// another apply has followed.
 fn read_back(shared: &Shared, head: &Head, fault: &PlatformFault) -> Result<bool, ApplyError> {
     let unknown = |e: PlatformFault| ApplyError::Unknown(e.to_string());
     let audit = shared.platform.table.get(&audit_key(head.at, &head.apply)).map_err(unknown)?;
@@ -248,9 +249,9 @@
         return Ok(true);
     }
     let row = shared.platform.table.get(HEAD_KEY).map_err(unknown)?;
-    let seen: Option<Head> = row.and_then(|row| decode(&row.value).ok());
-    if seen.is_some_and(|seen| seen.revision >= head.revision) {
-        // The revision is taken by another apply, so this one can no longer take effect.
+    let stored: Option<Head> = row.and_then(|row| decode(&row.value).ok());
+    if stored.is_some_and(|stored| stored.revision >= head.revision) {
+        // Another apply has written this revision, so this write can no longer take effect.
         return Ok(false);
     }
     Err(ApplyError::Unknown(fault.to_string()))
@@ -259,7 +260,9 @@
 fn activate(shared: &Shared, head: Head) {
     let head_revision = head.revision;
     if let Err(fault) = config::install(shared, head) {
-        log::warn!("revision {head_revision} is accepted and not yet in force here: {fault}");
+        log::warn!(
+            "revision {head_revision} is stored, but not yet active on this instance: {fault}"
+        );
         (shared.wake_config)();
     }
 }
--- a/src/instance/cluster_state/audit_trail.rs
+++ b/src/instance/cluster_state/audit_trail.rs
@@ -1,4 +1,4 @@
-//! Rows that are added to the audit trail.
+//! Appends rows to the audit trail.
 
 use serde::Serialize;
 
@@ -8,13 +8,13 @@
     platform::Operation,
 };
 
-/// Adds a row to the audit trail; one that the store does not take is in the log only.
+/// Appends a row to the audit trail; if the store does not accept it, it is only logged.
 pub fn append(shared: &Shared, row: &AuditRow) {
     let key = audit_key(row.at, &shared.next_request_id());
     if let Err(fault) =
         shared.platform.table.transact(vec![Operation::create(key, encode_json(row))])
     {
-        log::warn!("audit row not kept ({fault}): {row}");
+        log::warn!("the store did not accept an audit row ({fault}): {row}");
     }
 }
 
@@ -22,7 +22,7 @@
 ///
 /// # Panics
 ///
-/// Never for the types of the trail, which can all be encoded.
+/// Never for the types of the audit trail, which can all be encoded.
 pub(super) fn encode_json(value: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(value).expect("the audit types can be encoded")
 }
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -1,4 +1,4 @@
-//! Learns of new revisions, fetches them from peers or the store, and puts them in force.
+//! Polls for new revisions, fetches them from peers or the store, and activates them.
 
 use std::{
     sync::{Arc, Condvar, Mutex},
@@ -20,13 +20,13 @@
     utils::sync::lock,
 };
 
-/// Peers asked for an object before the store is.
+/// Peers that are asked for an object before the store.
 const OBJECT_PEERS: usize = 2;
 
-/// Peers asked for their head when the store does not answer.
+/// Peers that are asked for their head when the store does not reply.
 const HEAD_PEERS: usize = 5;
 
-/// Lets other threads ask the configuration thread to look now.
+/// Wakes the configuration thread before its next poll is due.
 #[derive(Debug, Default)]
 pub struct Waker {
     requested: Mutex<bool>,
@@ -34,13 +34,13 @@
 }
 
 impl Waker {
-    /// Asks for a look now.
+    /// Requests a poll now.
     pub fn wake(&self) {
         *lock(&self.requested) = true;
         self.woken.notify_all();
     }
 
-    /// Waits until asked, at most `timeout`; returns whether it was asked.
+    /// Waits for a request for at most `timeout`; returns whether there was one.
     pub fn wait(&self, timeout: Duration) -> bool {
         let mut requested = lock(&self.requested);
         if !*requested {
@@ -53,28 +53,28 @@
     }
 }
 
-/// Why a revision could not be put in force now.
+/// Why a revision could not be activated now.
 #[derive(Debug, thiserror::Error)]
 pub enum SyncError {
-    /// Neither the store nor a peer has told a head.
+    /// Neither the store nor a peer returned a head.
     #[error("no head was learned: {0}; the instance is ready once the store or a peer answers")]
     NoHead(PlatformFault),
-    /// An object is nowhere to be had.
+    /// An object is available neither at the peers asked nor in the store.
     #[error("object {0} is at no peer and not in the store; it is looked for again")]
     Missing(Digest),
-    /// The stored form cannot be read.
+    /// The stored objects cannot be decoded into a file.
     #[error(transparent)]
     Stored(#[from] crate::configs::fleet::chunks::StoredError),
-    /// The manifest cannot be read.
+    /// The manifest cannot be decoded.
     #[error("the manifest cannot be read ({0}); apply the file again with this version")]
     Manifest(#[from] rmp_serde::decode::Error),
 }
 
-/// Looks for a newer revision once, and puts it in force.
+/// Polls once for a newer revision, at the peers if the store fails, and activates it.
 ///
 /// # Errors
 ///
-/// See [`SyncError`]; what is in force stays.
+/// See [`SyncError`]; the active revision stays.
 pub fn sync(shared: &Shared) -> Result<(), SyncError> {
     let from_store = match shared.platform.table.get(HEAD_KEY) {
         Ok(row) => row.and_then(|row| decode::<Head>(&row.value).ok()).into_iter().collect(),
@@ -89,31 +89,31 @@
     install_newest(shared, from_store)
 }
 
-/// Asks peers that told of a newer revision, without the store.
+/// Polls peers, but not the store, for a newer revision, and activates it.
 ///
 /// # Errors
 ///
-/// See [`SyncError`]; what is in force stays.
+/// See [`SyncError`]; the active revision stays.
 pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncError> {
     install_newest(shared, heads_of_peers(shared))
 }
 
 fn install_newest(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncError> {
-    let wanted = {
+    let pending = {
         let mut active_revision = lock(&shared.active_revision);
         for head in heads {
             active_revision.note_head(head);
         }
         active_revision.pending().cloned()
     };
-    match wanted {
+    match pending {
         Some(head) => install(shared, head),
         None => Ok(()),
     }
 }
 
 fn heads_of_peers(shared: &Shared) -> Vec<Head> {
-    let ask = |address| {
+    let fetch_head = |address| {
         let reply =
             shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &FetchRequest::Head);
         match reply {
@@ -121,7 +121,7 @@
             _ => None,
         }
     };
-    peer_addresses(shared, HEAD_PEERS).into_iter().filter_map(ask).collect()
+    peer_addresses(shared, HEAD_PEERS).into_iter().filter_map(fetch_head).collect()
 }
 
 fn peer_addresses(shared: &Shared, count: usize) -> Vec<std::net::SocketAddr> {
@@ -134,11 +134,11 @@
     peers
 }
 
-/// Fetches what is missing of a revision and puts it in force.
+/// Fetches the missing objects of a revision and activates it.
 ///
 /// # Errors
 ///
-/// See [`SyncError`]; what is in force stays.
+/// See [`SyncError`]; the active revision stays.
 pub fn install(shared: &Shared, head: Head) -> Result<(), SyncError> {
     let manifest_bytes = fetch_object(shared, &head.manifest)?;
     let manifest: Manifest = decode(&manifest_bytes)?;
@@ -148,7 +148,7 @@
     let fleet = load(&manifest, |name| shared.objects.get(name))?;
     let snapshot = Arc::new(Snapshot::new(head.clone(), fleet));
     {
-        // Held while the snapshot is swapped, so that an older one never follows a newer one.
+        // Locked while the snapshot is swapped, so that an older one never replaces a newer one.
         let mut active_revision = lock(&shared.active_revision);
         if !active_revision.install(head.clone()) {
             return Ok(());
@@ -159,12 +159,12 @@
     shared.objects.keep_only(&head.manifest, &manifest);
     shared.homes.apply_revision(&snapshot);
     shared.metrics.revision(head.revision.0);
-    log::info!("revision {} in force, applied by {}", head.revision, head.by);
+    log::info!("revision {} is active, applied by {}", head.revision, head.by);
     gossip::announce_revision(shared);
     Ok(())
 }
 
-/// Returns an object from memory, a peer or the store; its digest is checked wherever it came from.
+/// Returns an object from the cache, a peer or the store; its digest is checked wherever it came from.
 fn fetch_object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncError> {
     if let Some(bytes) = shared.objects.get(name) {
         return Ok(bytes);
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -1,4 +1,4 @@
-//! Signs of life among instances, and the platform's membership list.
+//! Heartbeats, loads and chat locations exchanged between instances, and the platform's membership list.
 
 use std::time::Instant;
 
@@ -17,14 +17,14 @@
     zone::{home::Event, shard::ShardId},
 };
 
-/// Most places of chats told of one shard at once; with the period of the telling this keeps a
-/// hand-over of a whole memory under 6 KB/s.
+/// Most chat locations of one shard in a message; with `CHAT_REPLICATION_PERIOD` this keeps the replication of all
+/// locations of a shard under 6 KB/s.
 const REPLICATED_CHATS_MAX: usize = 200;
 
-/// Peers told at once of a new revision.
+/// Peers that an instance notifies of a revision that it has just activated.
 const REVISION_FANOUT: usize = 4;
 
-/// Fetches what changed in the platform's list; while the platform is out, the view stays.
+/// Fetches the changes of the platform's membership list; while the platform is unavailable, the membership stays.
 pub fn poll_members(shared: &Shared) {
     let version = lock(&shared.membership).version();
     match shared.platform.members.since(version) {
@@ -33,7 +33,7 @@
         }
         Ok(_) => {}
         Err(fault) => {
-            log::debug!("membership list: {fault}");
+            log::debug!("cannot read the membership list: {fault}");
             if lock(&shared.membership).peers().next().is_none() {
                 query_seeds(shared);
             }
@@ -53,7 +53,7 @@
     })
 }
 
-/// Learns the other instances from one that the settings name, and introduces this one.
+/// Introduces this instance to the first seed that replies, and receives the other instances from it.
 fn query_seeds(shared: &Shared) {
     let Some(own) = own_member(shared) else { return };
     let (settings, address) = (&shared.settings, own.address);
@@ -69,29 +69,29 @@
     }
 }
 
-/// Returns the instances known to one that introduces itself.
+/// Adds an instance that introduces itself; returns the instances that were known before, and this one.
 pub fn handle_introduction(shared: &Shared, member: Member) -> Vec<Member> {
     let mut membership = lock(&shared.membership);
-    let mut known = membership.members();
-    known.extend(own_member(shared));
+    let mut members = membership.members();
+    members.extend(own_member(shared));
     membership.introduce(shared.clock.now(), member);
-    known
+    members
 }
 
-/// Tells the homes held here which backend servers the list calls leaving.
+/// Notifies the homes held here which backend servers the membership list marks as leaving.
 pub fn update_leaving_servers(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     shared.homes.notify_all(|id| {
         let Some(shard) = snapshot.shard(id) else { return Vec::new() };
         let membership = lock(&shared.membership);
-        let leaves = |tag: Tag| {
+        let is_leaving = |tag: Tag| {
             snapshot.server(tag).is_some_and(|b| membership.is_server_leaving(b.id.as_str()))
         };
-        shard.engines.iter().map(|e| Event::ListedLeaving(e.tag, leaves(e.tag))).collect()
+        shard.engines.iter().map(|e| Event::ListedLeaving(e.tag, is_leaving(e.tag))).collect()
     });
 }
 
-/// Sends a heartbeat to one peer drawn at random.
+/// Sends a heartbeat to one random peer.
 pub fn send_heartbeat(shared: &Shared) {
     let peer = {
         let now = shared.clock.now();
@@ -108,8 +108,8 @@
     }
 }
 
-/// Sends heartbeats to a few peers at once, which carry the revision just put in force; whoever
-/// learns it so and puts it in force does the same, until nobody is left behind.
+/// Sends heartbeats, which carry the active revision, to `REVISION_FANOUT` random peers. Each peer does the same once
+/// it has activated the revision, until all instances have it.
 pub fn announce_revision(shared: &Shared) {
     let mut peers: Vec<Tag> = {
         let now = shared.clock.now();
@@ -123,7 +123,7 @@
     peers.into_iter().take(REVISION_FANOUT).for_each(|peer| send_heartbeat_to(shared, peer));
 }
 
-/// Sends a heartbeat to every peer, so that all learn of a change at once.
+/// Sends a heartbeat to every peer, so that all learn at once that this instance is leaving.
 pub fn send_heartbeat_to_all(shared: &Shared) {
     let peers: Vec<Tag> = lock(&shared.membership).peers().map(|p| p.candidate.tag).collect();
     peers.into_iter().for_each(|peer| send_heartbeat_to(shared, peer));
@@ -131,7 +131,7 @@
 
 fn send_heartbeat_to(shared: &Shared, peer: Tag) {
     let now = shared.clock.now();
-    let Some(address) = lock(&shared.membership).peer(peer).map(|known| known.address) else {
+    let Some(address) = lock(&shared.membership).peer(peer).map(|peer| peer.address) else {
         return;
     };
     let heartbeat = own_heartbeat(shared, now);
@@ -140,13 +140,13 @@
             handle_heartbeat(shared, &reply);
         }
         Err(fault) => {
-            log::debug!("heartbeat: {fault}");
+            log::debug!("heartbeat failed: {fault}");
             lock(&shared.membership).note_failure(shared.clock.now(), peer);
         }
     }
 }
 
-/// Takes in a peer's heartbeat and returns the answer to it.
+/// Handles a peer's heartbeat and returns this instance's own as the reply.
 pub fn handle_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> Heartbeat {
     shared.note_hello(&heartbeat.hello);
     let now = shared.clock.now();
@@ -171,12 +171,12 @@
     }
 }
 
-/// Tells the homes of other shards of the same services the loads of the shards held here.
+/// Sends the loads of the shards held here to the homes of the other shards of the same services.
 pub fn send_loads(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
-    let mine = shared.homes.loads();
+    let own_loads = shared.homes.loads();
     let mut by_peer: std::collections::HashMap<Tag, Vec<_>> = std::collections::HashMap::new();
-    for (id, load) in mine {
+    for (id, load) in own_loads {
         let Some(view) = snapshot.service_by_tag(id.service) else { continue };
         for shard in view.shards.iter().filter(|s| s.id != id) {
             by_peer.entry(shared.home_of(shard)).or_default().push((id, load));
@@ -192,12 +192,12 @@
             continue;
         };
         let message = LoadsMessage { hello: shared.hello(), loads };
-        // A lost message is made good by the next.
+        // The next message replaces a lost one.
         let _ = shared.peers.call::<()>(Purpose::Loads, address, LOADS, &message);
     }
 }
 
-/// Takes in the loads of shards held elsewhere.
+/// Applies the loads of shards that other instances hold.
 pub fn apply_loads(shared: &Shared, loads: &[(ShardId, crate::zone::home::ShardLoad)]) {
     shared.homes.notify_all(|id| {
         let others = loads.iter().filter(|(other, _)| other.service == id.service && *other != id);
@@ -207,7 +207,7 @@
     });
 }
 
-/// Tells replicas where chats went since they were told last.
+/// Sends the chat locations that have changed since the last call to the replicas.
 pub fn replicate_chats(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     let unreplicated = shared
@@ -216,12 +216,12 @@
     for (to, memory) in unreplicated {
         let Some(address) = lock(&shared.membership).peer(to).map(|p| p.address) else { continue };
         let message = MemoryMessage { hello: shared.hello(), memories: vec![memory] };
-        // What is lost with a message is learned again when its chats return.
+        // A lost message is not repeated: the replica learns its locations once it is the home and the chats return.
         let _ = shared.peers.call::<()>(Purpose::Memory, address, MEMORY, &message);
     }
 }
 
-/// Takes over where chats were last.
+/// Applies chat locations received from other instances.
 pub fn apply_replicated_chats(shared: &Shared, memories: Vec<Memory>) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     for memory in memories {
--- a/src/instance/cluster_state/mod.rs
+++ b/src/instance/cluster_state/mod.rs
@@ -1,5 +1,5 @@
-//! The way of knowledge: a file is checked and stored (`apply`), learned and put in force (`config`,
-//! `objects`, `snapshot`), and instances learn of each other (`gossip`, `peer_server`).
+//! Configuration and membership of the cluster: a file is checked and stored (`apply`), fetched and activated
+//! (`config`, `objects`, `snapshot`), and instances discover each other (`gossip`, `peer_server`).
 
 pub mod apply;
 pub mod audit_trail;
--- a/src/instance/cluster_state/objects.rs
+++ b/src/instance/cluster_state/objects.rs
@@ -1,4 +1,4 @@
-//! Objects of the file in force, kept for other instances and for the next change.
+//! Cache of the objects of the active file, for other instances and for the next revision.
 
 use std::{collections::HashMap, sync::Mutex};
 
@@ -7,28 +7,28 @@
     utils::sync::lock,
 };
 
-/// Objects by digest. Only those of the last two files are kept.
+/// Objects by digest. The objects of the previous file are dropped once a new one is active.
 #[derive(Debug, Default)]
 pub struct ObjectCache {
     objects: Mutex<HashMap<Digest, Vec<u8>>>,
 }
 
 impl ObjectCache {
-    /// Returns an object.
+    /// Returns a cached object.
     pub fn get(&self, name: &Digest) -> Option<Vec<u8>> {
         lock(&self.objects).get(name).cloned()
     }
 
-    /// Keeps an object; bytes that do not have the digest are refused.
+    /// Stores an object if its digest is `name`; returns whether it is.
     pub fn put(&self, name: Digest, bytes: Vec<u8>) -> bool {
-        let sound = Digest::of(&bytes) == name;
-        if sound {
+        let matches = Digest::of(&bytes) == name;
+        if matches {
             lock(&self.objects).insert(name, bytes);
         }
-        sound
+        matches
     }
 
-    /// Drops every object but the manifest named and its chunks.
+    /// Drops every object except the manifest and its chunks.
     pub fn keep_only(&self, manifest_name: &Digest, manifest: &Manifest) {
         let mut objects = lock(&self.objects);
         let mut kept = HashMap::with_capacity(manifest.chunks.len() + 1);
--- a/src/instance/cluster_state/peer_server.rs
+++ b/src/instance/cluster_state/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers other instances.
+//! Serves the calls of other instances.
 
 use crate::{
     configs::fleet::chunks::{decode, encode},
@@ -17,40 +17,40 @@
     utils::sync::lock,
 };
 
-/// Status told to a peer whose message cannot be read.
+/// HTTP status for a message that cannot be decoded.
 const BAD_REQUEST: u16 = 400;
 
-/// Status told to a peer that asks for something unknown.
+/// HTTP status for an unknown path.
 const NOT_FOUND: u16 = 404;
 
-/// Answers one message.
+/// Handles one call and returns the body of the response.
 ///
 /// # Errors
 ///
-/// The HTTP status to refuse it with.
+/// The HTTP status to reject the call with.
 pub fn handle_call(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
-    let bad = |_| BAD_REQUEST;
+    let bad_request = |_| BAD_REQUEST;
     match path {
         HEARTBEAT => {
-            let heartbeat: Heartbeat = decode(body).map_err(bad)?;
+            let heartbeat: Heartbeat = decode(body).map_err(bad_request)?;
             Ok(encode(&gossip::handle_heartbeat(shared, &heartbeat)))
         }
         LOADS => {
-            let message: LoadsMessage = decode(body).map_err(bad)?;
+            let message: LoadsMessage = decode(body).map_err(bad_request)?;
             shared.note_hello(&message.hello);
             gossip::apply_loads(shared, &message.loads);
             Ok(encode(&()))
         }
         MEMORY => {
-            let message: MemoryMessage = decode(body).map_err(bad)?;
+            let message: MemoryMessage = decode(body).map_err(bad_request)?;
             shared.note_hello(&message.hello);
             gossip::apply_replicated_chats(shared, message.memories);
             Ok(encode(&()))
         }
-        FETCH => Ok(encode(&fetch(shared, &decode(body).map_err(bad)?))),
+        FETCH => Ok(encode(&fetch(shared, &decode(body).map_err(bad_request)?))),
         STATUS => Ok(encode(&status::own(shared))),
         EXPLAIN => {
-            let name = decode(body).map_err(bad)?;
+            let name = decode(body).map_err(bad_request)?;
             explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|fault| fault.status())
         }
         DRAIN => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns what a message on `path` is for.
+/// Returns the purpose of the messages on `path`, for the traffic metrics.
 pub fn purpose(path: &str) -> Purpose {
     match path {
         HEARTBEAT => Purpose::Heartbeat,
--- a/src/instance/cluster_state/snapshot.rs
+++ b/src/instance/cluster_state/snapshot.rs
@@ -1,4 +1,4 @@
-//! One revision of the operators' file, made ready for requests. Never changed once built.
+//! One revision of the operators' file, indexed for requests. Immutable once built.
 
 use std::collections::HashMap;
 
@@ -20,31 +20,31 @@
 /// A service with its shards.
 #[derive(Debug)]
 pub struct ServiceView {
-    /// What the file says.
+    /// The service as the file declares it.
     pub service: Service,
-    /// Its shards.
+    /// Shards of the service.
     pub shards: Vec<Shard>,
-    /// All its engines.
+    /// Engines of all shards.
     pub engines: Vec<EngineSpec>,
 }
 
 impl ServiceView {
-    /// Returns the shards in the rank of `chat`.
+    /// Returns the shards in the rendezvous order of `chat`.
     pub fn ranked_shards(&self, chat: ChatKey) -> Vec<&Shard> {
         if self.shards.len() == 1 {
             return vec![&self.shards[0]];
         }
         let nodes = self.shards.iter().map(|s| (Tag(u32::from(s.id.number) + 1), s.weight));
-        ranked(chat.0, nodes).into_iter().map(|at| &self.shards[at]).collect()
+        ranked(chat.0, nodes).into_iter().map(|index| &self.shards[index]).collect()
     }
 }
 
-/// One revision, ready for requests.
+/// One revision, indexed for requests.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// Which revision.
+    /// Head row of the revision.
     pub head: Head,
-    /// The file.
+    /// The operators' file.
     pub fleet: Fleet,
     services: IndexMap<ServiceId, ServiceView>,
     services_by_tag: HashMap<Tag, ServiceId>,
@@ -66,7 +66,7 @@
         let services_by_tag = services.keys().map(|id| (id.tag(), id.clone())).collect();
         let teams_by_tag = fleet.teams.keys().map(|id| (id.tag(), id.clone())).collect();
         let servers = fleet.backend_servers.keys().enumerate();
-        let servers_by_tag = servers.map(|(at, id)| (id.tag(), at)).collect();
+        let servers_by_tag = servers.map(|(index, id)| (id.tag(), index)).collect();
         let teams_by_key = index_teams_by_key(&fleet);
         Snapshot {
             head,
@@ -84,7 +84,7 @@
         self.head.revision
     }
 
-    /// Returns a service by the name callers use.
+    /// Returns a service by the name in callers' requests.
     pub fn service(&self, name: &str) -> Option<&ServiceView> {
         let id: ServiceId = name.parse().ok()?;
         self.services.get(&id)
@@ -105,13 +105,13 @@
         self.service_by_tag(id.service)?.shards.iter().find(|s| s.id == id)
     }
 
-    /// Returns the team whose key a caller shows.
+    /// Returns the team with the API key `key`.
     pub fn team_by_key(&self, key: &str) -> Option<&Team> {
         let hash = keyed_hash(self.fleet.key_salt.as_bytes(), key.as_bytes());
         self.fleet.teams.get(self.teams_by_key.get(&hash)?)
     }
 
-    /// Returns the terms of a team; those of an unknown one are the defaults.
+    /// Returns the policy of a team; an unknown team has the default policy.
     pub fn team_policy(&self, tag: Tag) -> TeamPolicy {
         let team = self.teams_by_tag.get(&tag).and_then(|id| self.fleet.teams.get(id));
         team.map_or(TeamPolicy::default(), |team| TeamPolicy {
@@ -122,23 +122,23 @@
         })
     }
 
-    /// Returns the id of a team of this file by its tag.
+    /// Returns the id of a team by its tag.
     ///
     /// # Panics
     ///
-    /// The tag is of no team of this file.
+    /// The file has no team with this tag.
     pub fn team_id(&self, tag: Tag) -> &TeamId {
         &self.teams_by_tag[&tag]
     }
 
     /// Returns a backend server by its tag.
     pub fn server(&self, tag: Tag) -> Option<&BackendServer> {
-        let at = *self.servers_by_tag.get(&tag)?;
-        self.fleet.backend_servers.get_index(at).map(|(_, server)| server)
+        let index = *self.servers_by_tag.get(&tag)?;
+        self.fleet.backend_servers.get_index(index).map(|(_, server)| server)
     }
 }
 
-/// Returns the teams by their key hashes. Equal hashes are refused when the file is checked.
+/// Indexes the teams by the hashes of their keys. The check of the file rejects equal hashes.
 fn index_teams_by_key(fleet: &Fleet) -> HashMap<[u8; 32], TeamId> {
     let mut keys = HashMap::new();
     for team in fleet.teams.values() {
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! One running instance: entry for callers, home of some shards, peer of the others.
+//! One running instance: entry for callers, home of some shards, peer of the other instances.
 
 mod background;
 mod build;
@@ -33,7 +33,7 @@
     metrics::Metrics,
 };
 
-/// Connections of other instances served at once.
+/// Most concurrent connections of other instances.
 const MAX_PEER_CONNECTIONS: usize = 4000;
 
 /// A running instance.
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// An address cannot be listened on, or a thread cannot be started.
+    /// It cannot listen on an address, or cannot start a thread.
     pub fn spawn(settings: Settings, context: &Context) -> anyhow::Result<Instance> {
         let metrics = Metrics::new()?;
         let platform = build::open_platform(&settings, &metrics.traffic());
@@ -94,49 +94,48 @@
         Ok(instance)
     }
 
-    /// Returns the callers' address.
+    /// Returns the address that it serves callers on.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Returns the peers' address.
+    /// Returns the address that it serves other instances on.
     pub fn peers(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Returns the operators' address.
+    /// Returns the address that it serves operators on.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Returns what the instance's parts share.
+    /// Returns the state that the parts of the instance share.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Starts a drain: not ready at once, no request in flight is cut.
+    /// Starts a drain: the instance is not ready from now on, and requests in flight continue.
     pub fn drain(&self) {
         self.shared.drain.start(self.shared.clock.now());
     }
 
-    /// Returns whether a drain has begun.
+    /// Returns whether a drain has started.
     pub fn is_draining(&self) -> bool {
         self.shared.drain.is_draining()
     }
 
-    /// Waits for a drain to end and stops the instance.
+    /// Waits for the drain to finish and stops the instance.
     ///
-    /// New connections are answered for the grace time; then the listener closes and requests in
-    /// flight finish, for at most the drain time or until `hurry` says so. Returns whether all
-    /// requests finished.
-    pub fn finish(mut self, hurry: impl Fn() -> bool) -> bool {
+    /// New connections are accepted for the grace period. Then the listener closes, and requests in flight may
+    /// finish until the drain time is over or `abort` returns true. Returns whether all requests finished.
+    pub fn finish(mut self, abort: impl Fn() -> bool) -> bool {
         let timeouts = &self.shared.settings.timeouts;
         gossip::send_heartbeat_to_all(&self.shared);
         let grace_over = || {
             let age = self.shared.drain.age(self.shared.clock.now());
             age.is_none_or(|age| age >= timeouts.drain_grace.0)
         };
-        while !grace_over() && !hurry() {
+        while !grace_over() && !abort() {
             thread::sleep(background::TICK);
         }
         self.callers.stop();
@@ -144,11 +143,11 @@
             let age = self.shared.drain.age(self.shared.clock.now());
             age.is_none_or(|age| age >= timeouts.drain.0)
         };
-        while self.callers.open() > 0 && !over() && !hurry() {
+        while self.callers.open() > 0 && !over() && !abort() {
             thread::sleep(background::TICK);
         }
         let clean = self.callers.open() == 0;
-        while self.shared.claims.deferred() > 0 && !over() && !hurry() {
+        while self.shared.claims.deferred() > 0 && !over() && !abort() {
             thread::sleep(background::TICK);
         }
         self.stop_all();
@@ -158,7 +157,7 @@
     fn stop_all(&mut self) {
         self.shared.drain.stop();
         self.peers.stop();
-        // The operators' server ends with its channel either way.
+        // The operators' server also stops when the channel closes, so a failed send does not matter.
         let _ = self.operators_stop.send(());
         if let Some(thread) = self.operators_thread.take() {
             let _ = thread.join();
@@ -185,11 +184,11 @@
         .with_context(|| format!("cannot listen for other instances on {listen}"))
 }
 
-fn serve_callers(shared: &Arc<Shared>, most: usize) -> anyhow::Result<Listener> {
+fn serve_callers(shared: &Arc<Shared>, max_connections: usize) -> anyhow::Result<Listener> {
     let listen = shared.settings.listen.callers;
     let (serving, refusing) = (Arc::clone(shared), Arc::clone(shared));
     let serve = move |conn| entry::serve(&serving, conn);
     let refuse = move |conn| entry::refuse_connection(&refusing, conn);
-    Listener::bind(listen, shared.clock.clone(), most, serve, refuse)
+    Listener::bind(listen, shared.clock.clone(), max_connections, serve, refuse)
         .with_context(|| format!("cannot listen for callers on {listen}"))
 }
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one instance share.
+//! State that the parts of one instance share.
 
 use std::{
     collections::HashMap,
@@ -37,45 +37,45 @@
     },
 };
 
-/// What the parts of one instance share.
+/// State that the parts of one instance share.
 pub struct Shared {
-    /// Settings.
+    /// Settings of the instance.
     pub settings: Settings,
     /// Tag of the instance's id.
     pub tag: Tag,
     /// Start of the process, in seconds since 1970.
     pub incarnation: u32,
-    /// Clock.
+    /// Source of the time.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of the instance.
     pub metrics: Metrics,
-    /// Counts control bytes into the metrics.
+    /// Counter of the bytes of control traffic, for the metrics.
     pub traffic: Traffic,
-    /// The platform.
+    /// Table, object store and membership list of the platform.
     pub platform: Platform,
-    /// Links to other instances.
+    /// Connections to other instances.
     pub peers: PeerLinks,
-    /// Links to backend servers.
+    /// Connections to backend servers.
     pub backends: BackendLinks,
-    /// The file in force, ready for requests.
+    /// The active file, indexed for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
-    /// Which file is in force.
+    /// The active revision and the newest one known.
     pub active_revision: Mutex<ActiveRevision>,
-    /// Objects of the file in force and the one before.
+    /// Objects of the active file.
     pub objects: ObjectCache,
-    /// Which instance is the home of which shard.
+    /// Mapping of shards to home instances.
     pub home_table: Mutex<HomeTable>,
-    /// Which instances are live.
+    /// Known instances and their state.
     pub membership: Mutex<Membership>,
-    /// The entry's permits.
+    /// Permits that this instance requests and holds as an entry.
     pub desk: Desk,
-    /// The homes held here.
+    /// Homes held here.
     pub homes: HomeShards,
     /// Streams between entries and homes.
     pub permit_streams: PermitStreams,
-    /// Orders to the engines of the shards held here.
+    /// State of the orders to the engines of the shards held here.
     pub orders: Orders,
-    /// When the file in force came into force.
+    /// When the active revision was installed.
     pub installed_at: Mutex<Option<Instant>>,
     /// Claims of idempotency keys.
     pub claims: Claims,
@@ -83,19 +83,19 @@
     pub budgets: Mutex<HashMap<ServiceId, RetryBudget>>,
     /// Baselines by service.
     pub baselines: Mutex<HashMap<ServiceId, Baseline>>,
-    /// Where other instances reach this one, once it listens.
+    /// Address at which other instances reach this one; set once it listens.
     pub advertised: OnceLock<SocketAddr>,
-    /// How far a drain has come.
+    /// State of the drain.
     pub drain: DrainState,
-    /// Use of the limits.
+    /// Usage of the limits.
     pub usage: Usage,
-    /// Numbers requests.
+    /// Number of the next request.
     pub request_counter: AtomicU64,
-    /// Asks the configuration thread to look now.
+    /// Wakes the configuration thread to poll now.
     pub wake_config: Arc<dyn Fn() + Send + Sync>,
 }
 
-/// How far a drain has come.
+/// State of the drain of an instance.
 #[derive(Debug, Default)]
 pub struct DrainState {
     draining: AtomicBool,
@@ -104,7 +104,7 @@
 }
 
 impl DrainState {
-    /// Starts the drain; a second start changes nothing.
+    /// Starts the drain; has no effect if it has started.
     pub fn start(&self, now: Instant) {
         if !self.draining.swap(true, Ordering::SeqCst) {
             *lock(&self.since) = Some(now);
@@ -116,34 +116,34 @@
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Returns how long the instance has been draining.
+    /// Returns the time since the drain started.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         lock(&self.since).map(|since| now.saturating_duration_since(since))
     }
 
-    /// Ends the instance's background work.
+    /// Stops the instance's background work.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Returns whether the background work is to end.
+    /// Returns whether the background work is to stop.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::SeqCst)
     }
 }
 
 impl Shared {
-    /// Returns the revision in force; zero when there is none.
+    /// Returns the active revision; zero if there is none.
     pub fn revision(&self) -> Revision {
         lock(&self.active_revision).revision()
     }
 
-    /// Returns when the file in force came into force here; now, when there is none.
+    /// Returns when the active revision was installed here; the current time if there is none.
     pub fn installed_at(&self) -> Instant {
         lock(&self.installed_at).unwrap_or_else(|| self.clock.now())
     }
 
-    /// Returns the greeting of the moment.
+    /// Returns the current `Hello` of this instance.
     pub fn hello(&self) -> Hello {
         Hello {
             from: self.tag,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Takes in a greeting: its sender is alive, and may know a newer revision.
+    /// Applies a `Hello`: its sender is alive, and may have a newer revision.
     pub fn note_hello(&self, hello: &Hello) {
         let now = self.clock.now();
         lock(&self.membership).note_contact(
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Returns the home of `shard` by this instance's view.
+    /// Returns the home of `shard` by this instance's own view of the membership.
     pub fn home_of(&self, shard: &Shard) -> Tag {
         let Some(snapshot) = self.snapshot.load_full() else { return self.tag };
         let now = self.clock.now();
@@ -175,8 +175,8 @@
         table.home_of(now, &lock(&self.membership), &snapshot, shard)
     }
 
-    /// Returns who is to hold the replica of what is remembered of `shard`: the next home in line,
-    /// or the home itself when that is another instance.
+    /// Returns the instance to replicate the chat locations of `shard` to: the home if that is another instance, else
+    /// the next one in rendezvous order.
     pub fn replica_of(&self, shard: &Shard) -> Option<Tag> {
         let now = self.clock.now();
         let membership = lock(&self.membership);
@@ -185,18 +185,18 @@
         home_of(shard.id, shard.zone.as_ref(), others).map(|c| c.tag)
     }
 
-    /// Returns the home of the shard named, if the file in force has it.
+    /// Returns the home of a shard, if the active file has the shard.
     pub fn home_of_id(&self, id: ShardId) -> Option<Tag> {
         let snapshot = self.snapshot.load_full()?;
         Some(self.home_of(snapshot.shard(id)?))
     }
 
-    /// Returns whether the instance may be given callers: it has a file and is not leaving.
+    /// Returns whether the instance is ready for callers: it has a file and is not draining.
     pub fn is_ready(&self) -> bool {
         self.snapshot.load().is_some() && !self.drain.is_draining()
     }
 
-    /// Returns a fresh request id.
+    /// Returns a new request id.
     pub fn next_request_id(&self) -> String {
         let number = self.request_counter.fetch_add(1, Ordering::SeqCst);
         format!("{}-{:x}-{number:x}", self.tag, self.incarnation)
