--- a/tests/suite/config.rs
+++ b/tests/suite/config.rs
@@ -1,4 +1,5 @@
-//! What operators apply is what runs: apply, spread, boot, audit, under faults of the platform.
+//! Apply of the operators' file, its propagation, start-up from peers and the audit trail, also under faults of the
+//! platform.
 
 use std::{
     collections::HashMap,
@@ -24,28 +25,28 @@
 
 use crate::support::{eventually, fleet, plain_call, send, small};
 
-fn three() -> Fleet {
+fn fleet_of_three() -> Fleet {
     let mut spec = small();
     spec.routers = 3;
     fleet(spec)
 }
 
-/// Posts to a router's operators' interface and returns status and body.
+/// Posts to the operators' interface of a router; returns status and body.
 fn post(
     fleet: &Fleet,
     router: usize,
     path: &str,
     credential: &str,
-    who: &str,
+    operator: &str,
     body: &str,
 ) -> (u16, String) {
     let url = format!("http://{}{path}", fleet.routers[router].operators);
     let mut response = agent(Duration::from_secs(20))
         .post(url)
         .header("authorization", format!("Bearer {credential}"))
-        .header("cartvane-operator", who)
+        .header("cartvane-operator", operator)
         .send(body)
-        .expect("an answer");
+        .expect("a response");
     (response.status().as_u16(), response.body_mut().read_to_string().expect("a body"))
 }
 
@@ -56,22 +57,22 @@
         .get(url)
         .header("authorization", credential)
         .call()
-        .expect("an answer");
+        .expect("a response");
     serde_json::from_slice(&response.body_mut().read_to_vec().expect("a body"))
-        .expect("as expected")
+        .expect("a response of the expected type")
 }
 
 fn apply_as(
     fleet: &Fleet,
     router: usize,
-    who: &str,
+    operator: &str,
     query: &str,
     body: &str,
 ) -> Result<Applied, Problem> {
     let (status, text) =
-        post(fleet, router, &format!("/v1/apply{query}"), OPERATOR_CREDENTIAL, who, body);
+        post(fleet, router, &format!("/v1/apply{query}"), OPERATOR_CREDENTIAL, operator, body);
     match status {
-        200 => Ok(serde_json::from_str(&text).expect("applied")),
+        200 => Ok(serde_json::from_str(&text).expect("the result of an apply")),
         _ => Err(serde_json::from_str(&text).expect("a problem")),
     }
 }
@@ -87,7 +88,7 @@
     get(fleet, 0, "/v1/audit")
 }
 
-fn all_at(fleet: &Fleet, revision: Revision) -> bool {
+fn all_at_revision(fleet: &Fleet, revision: Revision) -> bool {
     fleet.status(0).is_ok_and(|s| {
         s.instances.len() == fleet.routers.len()
             && s.instances.iter().all(|i| i.revision == revision)
@@ -95,8 +96,8 @@
 }
 
 #[test]
-fn a_file_is_in_force_everywhere_or_refused_as_a_whole() {
-    let fleet = three();
+fn a_file_is_applied_everywhere_or_rejected_as_a_whole() {
+    let fleet = fleet_of_three();
     let applied =
         apply_as(&fleet, 1, "rana", "", &file_with_team(&fleet, "night")).expect("applied");
     assert_eq!(applied.revision, Revision(2));
@@ -104,7 +105,7 @@
         applied.changes.iter().map(ToString::to_string).collect::<Vec<_>>(),
         ["+ team/night"]
     );
-    eventually("in force everywhere", || all_at(&fleet, Revision(2)));
+    eventually("the revision is active on all routers", || all_at_revision(&fleet, Revision(2)));
     let again =
         apply_as(&fleet, 2, "rana", "", &file_with_team(&fleet, "night")).expect("the same again");
     assert_eq!(
@@ -113,9 +114,9 @@
         "the same file changes nothing"
     );
     let faulty = file_with_team(&fleet, "day").replace("kind = \"model\"", "kind = \"modle\"");
-    let problem = apply_as(&fleet, 0, "rana", "", &faulty).expect_err("refused");
+    let problem = apply_as(&fleet, 0, "rana", "", &faulty).expect_err("a rejection");
     assert!(problem.detail.contains("did you mean \"model\""), "{}", problem.detail);
-    assert!(all_at(&fleet, Revision(2)), "nothing of a refused file is in force");
+    assert!(all_at_revision(&fleet, Revision(2)), "no part of a rejected file is active");
     let call =
         |team: &str| standins::caller::Call::post("/app/x", &standins::fleet::team_key(team), "x");
     assert_eq!(send(&fleet, 0, &call("night")).status, 200);
@@ -123,8 +124,8 @@
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_is_told_by_whom() {
-    let fleet = three();
+fn of_two_concurrent_applies_one_succeeds_and_the_other_names_its_operator() {
+    let fleet = fleet_of_three();
     for round in 0..5_u64 {
         let base = 1 + round;
         let results: Vec<(String, Result<Applied, Problem>)> = thread::scope(|scope| {
@@ -136,71 +137,73 @@
                 }
             };
             let (a, b) = (scope.spawn(apply(0, "hana")), scope.spawn(apply(1, "salim")));
-            vec![a.join().expect("an end"), b.join().expect("an end")]
+            vec![a.join().expect("the apply ends"), b.join().expect("the apply ends")]
         });
         let winners: Vec<&String> =
             results.iter().filter(|(_, r)| r.is_ok()).map(|(who, _)| who).collect();
         assert_eq!(winners.len(), 1, "{results:?}");
-        let problem = results.iter().find_map(|(_, r)| r.as_ref().err()).expect("a loser");
-        let told = format!("revision {} by {} is in force, not {base}", base + 1, winners[0]);
+        let problem = results.iter().find_map(|(_, r)| r.as_ref().err()).expect("a rejected apply");
+        let expected = format!("revision {} by {} is in force, not {base}", base + 1, winners[0]);
         assert!(
-            problem.detail.contains(&told) && problem.detail.contains("--base"),
+            problem.detail.contains(&expected) && problem.detail.contains("--base"),
             "{}",
             problem.detail
         );
-        eventually("in force everywhere", || all_at(&fleet, Revision(base + 1)));
+        eventually("the revision is active on all routers", || {
+            all_at_revision(&fleet, Revision(base + 1))
+        });
     }
 }
 
-/// What an apply under a platform fault may end as.
+/// Expected result of an apply under a platform fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    Accepted,
-    Refused,
+enum Expected {
+    Applied,
+    Rejected,
 }
 
 #[test]
-fn an_apply_under_a_fault_of_the_platform_ends_as_it_says() {
+fn the_result_of_an_apply_is_accurate_under_platform_faults() {
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     let cut = PlatformFaults { cut: true, ..PlatformFaults::default() };
     let lost = |n| PlatformFaults { lose_replies: n, ..PlatformFaults::default() };
     let slow = PlatformFaults { slow: Duration::from_millis(100), ..PlatformFaults::default() };
     let table = [
-        ("down", down, End::Refused),
-        ("cut", cut, End::Refused),
-        ("slow", slow, End::Accepted),
-        // Losing the reply to the first object, to all objects, and to the conditional write.
-        ("first reply lost", lost(1), End::Refused),
-        ("last reply lost", lost(0), End::Accepted),
+        ("down", down, Expected::Rejected),
+        ("cut", cut, Expected::Rejected),
+        ("slow", slow, Expected::Applied),
+        // The reply to the first object is lost. The other case loses none; the test below covers the head write.
+        ("first reply lost", lost(1), Expected::Rejected),
+        ("no reply lost", lost(0), Expected::Applied),
     ];
-    let fleet = three();
+    let fleet = fleet_of_three();
     let mut revision = Revision(1);
-    for (at, (name, faults, end)) in table.into_iter().enumerate() {
+    for (at, (name, faults, expected)) in table.into_iter().enumerate() {
         let file = file_with_team(&fleet, &format!("fault-{at}"));
         fleet.platform.set_faults(faults);
         let result = apply_as(&fleet, 0, "rana", "", &file);
         fleet.platform.set_faults(PlatformFaults::default());
-        match (&result, end) {
-            (Ok(applied), End::Accepted) => {
+        match (&result, expected) {
+            (Ok(applied), Expected::Applied) => {
                 revision = revision.next();
                 assert_eq!(applied.revision, revision, "{name}");
             }
-            (Err(_), End::Refused) => {}
+            (Err(_), Expected::Rejected) => {}
             other => panic!("{name}: {other:?}"),
         }
-        eventually(name, || all_at(&fleet, revision));
-        // Whatever happened, applying again ends with the file in force.
+        eventually(name, || all_at_revision(&fleet, revision));
+        // Whatever the first result, applying the file again makes it active.
         let again = apply_as(&fleet, 1, "rana", "", &file).expect("applied");
         revision = again.revision;
-        eventually("in force everywhere", || all_at(&fleet, revision));
+        eventually("the revision is active on all routers", || all_at_revision(&fleet, revision));
     }
 }
 
 #[test]
-fn the_lost_reply_to_the_deciding_write_is_read_back() {
-    let fleet = three();
-    let mut accepted = 0;
-    // The writes of an apply: new chunks, manifest, text, then the deciding transaction.
+fn a_lost_reply_to_the_head_write_is_read_back() {
+    let fleet = fleet_of_three();
+    let mut successes = 0;
+    // The writes of an apply: new chunks, manifest, text, then the transaction that writes the head.
     for lost_after in 0..6 {
         let file = file_with_team(&fleet, &format!("lost-{lost_after}"));
         let before = fleet.platform.counts().1;
@@ -212,23 +215,29 @@
             fleet
                 .platform
                 .set_faults(PlatformFaults { lose_replies: 1, ..PlatformFaults::default() });
-            let result = apply.join().expect("an end");
+            let result = apply.join().expect("the apply ends");
             fleet.platform.set_faults(PlatformFaults::default());
             result
         });
         if let Ok(applied) = &result {
-            accepted += 1;
-            eventually("in force everywhere", || all_at(&fleet, applied.revision));
+            successes += 1;
+            eventually("the revision is active on all routers", || {
+                all_at_revision(&fleet, applied.revision)
+            });
         }
         let rows = audit(&fleet);
         let applied =
             rows.iter().filter(|r| matches!(r.action, AuditAction::Applied { .. })).count();
-        assert_eq!(applied, 1 + accepted, "accepted and told as accepted are the same: {result:?}");
+        assert_eq!(
+            applied,
+            1 + successes,
+            "an apply succeeds if and only if it is in the audit trail: {result:?}"
+        );
     }
 }
 
 #[test]
-fn a_revision_accepted_just_before_the_store_goes_down_still_spreads() {
+fn a_revision_applied_just_before_the_store_goes_down_reaches_all_routers() {
     let mut spec = small();
     spec.routers = 4;
     let fleet = fleet(spec);
@@ -236,18 +245,20 @@
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     let applied = apply_as(&fleet, 2, "rana", "", &file).expect("applied");
     fleet.platform.set_faults(down);
-    eventually("in force everywhere", || all_at(&fleet, applied.revision));
+    eventually("the revision is active on all routers", || {
+        all_at_revision(&fleet, applied.revision)
+    });
 }
 
 #[test]
-fn a_new_instance_boots_from_peers_while_the_store_is_down_and_alone_is_not_ready() {
-    let mut fleet = three();
+fn a_new_instance_starts_from_peers_while_the_store_is_down_and_without_peers_is_not_ready() {
+    let mut fleet = fleet_of_three();
     fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
     fleet.routers[1].kill();
-    fleet.replace_router(1, "router-91").expect("a router");
-    eventually("it is ready", || fleet.is_ready(1));
+    fleet.replace_router(1, "router-91").expect("a started router");
+    eventually("the new router is ready", || fleet.is_ready(1));
     assert_eq!(send(&fleet, 1, &plain_call("/x", "through the new one")).status, 200);
-    eventually("the others know it", || {
+    eventually("the other routers list the new one", || {
         fleet.status(0).is_ok_and(|s| s.instances.iter().any(|i| i.id.as_str() == "router-91"))
     });
     let platform = fleet.platform.address();
@@ -259,23 +270,23 @@
         &[],
         &fleet.spec.settings,
     )
-    .expect("a router");
+    .expect("a started router");
     thread::sleep(Duration::from_millis(500));
-    let answer = plain_call("/x", "nobody").send(alone.callers);
-    assert_eq!((answer.status, answer.outcome()), (503, "not-run"), "{}", answer.text());
+    let response = plain_call("/x", "nobody").send(alone.callers);
+    assert_eq!((response.status, response.outcome()), (503, "not-run"), "{}", response.text());
 }
 
 #[test]
-fn a_frozen_router_catches_up_and_no_router_ever_steps_back() {
-    let fleet = three();
+fn a_suspended_router_catches_up_and_no_router_reverts_to_an_older_revision() {
+    let fleet = fleet_of_three();
     let mut seen: HashMap<String, Revision> = HashMap::new();
-    let mut watch = |fleet: &Fleet, at: usize| {
+    let mut check_status = |fleet: &Fleet, at: usize| {
         let Ok(status) = fleet.status(at) else { return };
         for instance in status.instances {
             let before = seen.insert(instance.id.to_string(), instance.revision);
             assert!(
                 before.is_none_or(|before| before <= instance.revision),
-                "{} stepped back",
+                "{} reverted to an older revision",
                 instance.id
             );
         }
@@ -284,29 +295,29 @@
     for n in 0..4 {
         apply_as(&fleet, 0, "rana", "", &file_with_team(&fleet, &format!("step-{n}")))
             .expect("applied");
-        watch(&fleet, 0);
+        check_status(&fleet, 0);
     }
     fleet.routers[2].signal(Signal::CONT);
     let until = Instant::now() + Duration::from_secs(15);
-    while !all_at(&fleet, Revision(5)) {
-        assert!(Instant::now() < until, "it does not catch up");
-        watch(&fleet, 1);
+    while !all_at_revision(&fleet, Revision(5)) {
+        assert!(Instant::now() < until, "the suspended router does not catch up");
+        check_status(&fleet, 1);
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_corrupt_chunk_in_the_store_is_not_taken() {
-    let mut fleet = three();
+fn a_corrupt_manifest_in_the_store_is_not_installed() {
+    let mut fleet = fleet_of_three();
     let rows = fleet.platform.data().scan("revision/", "", 10);
     let row: cartvane::audit::RevisionRow = serde_json::from_slice(&rows[0].value).expect("a row");
     let key = format!("config/{}", row.manifest);
-    let sound = fleet.platform.data().get_object(&key).expect("the manifest");
-    let mut corrupt = sound.clone();
+    let intact = fleet.platform.data().get_object(&key).expect("the manifest");
+    let mut corrupt = intact.clone();
     corrupt[3] ^= 1;
     assert_ne!(Digest::of(&corrupt), row.manifest);
     fleet.platform.data().put_object(&key, &corrupt);
-    // Without peers it has the corrupt store only.
+    // Without peers, the corrupt store is the only source of the new router.
     fleet.routers.iter_mut().for_each(standins::fleet::Router::kill);
     let platform = fleet.platform.address();
     let alone = standins::fleet::Router::spawn(
@@ -317,30 +328,30 @@
         &[],
         &fleet.spec.settings,
     )
-    .expect("a router");
+    .expect("a started router");
     thread::sleep(Duration::from_millis(700));
-    let answer = plain_call("/x", "corrupt").send(alone.callers);
+    let response = plain_call("/x", "corrupt").send(alone.callers);
     assert_eq!(
-        (answer.status, answer.outcome()),
+        (response.status, response.outcome()),
         (503, "not-run"),
-        "it does not run on corrupt data"
+        "the router does not serve requests with a corrupt configuration"
     );
-    fleet.platform.data().put_object(&key, &sound);
-    eventually("it starts once the store is sound", || {
+    fleet.platform.data().put_object(&key, &intact);
+    eventually("the router becomes ready once the store is intact", || {
         plain_call("/x", "sound").send(alone.callers).status == 200
     });
 }
 
 #[test]
-fn the_trail_tells_who_did_what_and_older_files_can_be_shown_and_applied_again() {
-    let fleet = three();
+fn the_audit_trail_names_operators_and_actions_and_older_files_can_be_shown_and_applied_again() {
+    let fleet = fleet_of_three();
     apply_as(&fleet, 0, "rana", "", &file_with_team(&fleet, "night")).expect("applied");
-    apply_as(&fleet, 1, "yusuf", "", "nonsense = 1").expect_err("refused");
+    apply_as(&fleet, 1, "yusuf", "", "nonsense = 1").expect_err("a rejection");
     let first: Shown = get(&fleet, 2, "/v1/show?revision=1");
     let back = apply_as(&fleet, 2, "rana", "?base=2", &first.text).expect("applied");
-    assert_eq!(back.revision, Revision(3), "going back is a new revision");
+    assert_eq!(back.revision, Revision(3), "applying an older file makes a new revision");
     let rows = audit(&fleet);
-    let told: Vec<(String, &'static str)> = rows
+    let actions: Vec<(String, &'static str)> = rows
         .iter()
         .map(|row| {
             let action = match &row.action {
@@ -354,15 +365,15 @@
         .collect();
     let expected =
         [("operator", "applied"), ("rana", "applied"), ("yusuf", "refused"), ("rana", "applied")];
-    assert_eq!(told, expected.map(|(who, what)| (who.to_owned(), what)));
+    assert_eq!(actions, expected.map(|(operator, action)| (operator.to_owned(), action)));
     let of_yusuf: Vec<AuditRow> = get(&fleet, 0, "/v1/audit?by=yusuf");
     assert_eq!(of_yusuf.len(), 1);
     let of_night: Vec<AuditRow> = get(&fleet, 0, "/v1/audit?entity=team/night");
-    assert_eq!(of_night.len(), 2, "added and taken away");
+    assert_eq!(of_night.len(), 2, "the rows of its addition and its removal");
 }
 
 #[test]
-fn credentials_say_who_may_read_and_who_may_apply() {
+fn only_an_operators_credential_may_apply() {
     let mut spec = small();
     spec.settings = format!("readers = [\"env:FLEET_READERS\"]\n{}", spec.settings);
     let fleet = fleet(spec);
@@ -374,49 +385,50 @@
         (OPERATOR_CREDENTIAL, 200),
     ];
     for (credential, status) in table {
-        let (seen, body) = post(&fleet, 0, "/v1/apply", credential, "x", &file);
-        assert_eq!(seen, status, "{credential}: {body}");
+        let (actual, body) = post(&fleet, 0, "/v1/apply", credential, "x", &file);
+        assert_eq!(actual, status, "{credential}: {body}");
     }
 }
 
 #[test]
-fn claims_keep_their_promise_while_the_platform_fails() {
+fn a_request_with_a_key_runs_at_most_once_while_the_platform_fails() {
     let fleet = fleet(small());
     let call = |id: &str| plain_call("/x", id).with("idempotency-key", id).with("x-run-id", id);
     let runs = |id: &str| fleet.plains.values().map(|p| p.runs.of(id)).sum::<u32>();
     fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
-    let answer = send(&fleet, 0, &call("table-out"));
+    let response = send(&fleet, 0, &call("table-out"));
     assert_eq!(
-        (answer.status, answer.outcome(), runs("table-out")),
+        (response.status, response.outcome(), runs("table-out")),
         (503, "not-run", 0),
         "{}",
-        answer.text()
+        response.text()
     );
     fleet.platform.set_faults(PlatformFaults::default());
     assert_eq!(
         (send(&fleet, 0, &call("table-out")).status, runs("table-out")),
         (200, 1),
-        "the same key again"
+        "the same key runs once the table is back"
     );
-    // The reply to the claim is lost after it took effect: it is read back, and the request runs.
+    // The reply to the claim is lost after the claim took effect: the claim is read back, and the request runs.
     fleet.platform.set_faults(PlatformFaults { lose_replies: 1, ..PlatformFaults::default() });
-    let answer = send(&fleet, 0, &call("claim-lost"));
-    assert_eq!((answer.status, runs("claim-lost")), (200, 1), "{}", answer.text());
-    // The table goes out between claim and result: the answer still comes, a repeat never runs.
+    let response = send(&fleet, 0, &call("claim-lost"));
+    assert_eq!((response.status, runs("claim-lost")), (200, 1), "{}", response.text());
+    // The table goes down between claim and result: the caller still gets its response, and a repeated request does
+    // not run again.
     fleet.faults.push([standins::fault::Fault::Late(Duration::from_millis(400))]);
-    let answer = thread::scope(|scope| {
+    let response = thread::scope(|scope| {
         let sent = scope.spawn(|| send(&fleet, 0, &call("result-lost")));
-        eventually("it runs", || runs("result-lost") == 1);
+        eventually("the request runs", || runs("result-lost") == 1);
         fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
-        sent.join().expect("an answer")
+        sent.join().expect("a response")
     });
-    assert_eq!(answer.status, 200, "{}", answer.text());
+    assert_eq!(response.status, 200, "{}", response.text());
     fleet.platform.set_faults(PlatformFaults::default());
-    eventually("the result is written late", || {
+    eventually("the result is stored after the table is back", || {
         send(&fleet, 1, &call("result-lost")).status == 200
     });
     assert_eq!(runs("result-lost"), 1);
-    // Slow writes and a limit on them change no promise.
+    // A limit on the rate of writes: a request either runs once or is rejected without running.
     fleet.platform.set_write_rate(Rate(5.0));
     let statuses: Vec<u16> =
         (0..12).map(|n| send(&fleet, n % 2, &call(&format!("limited-{n}"))).status).collect();
@@ -428,13 +440,13 @@
 }
 
 #[test]
-fn half_of_the_routers_cut_off_catch_up_and_step_back_nowhere() {
+fn a_suspended_half_of_the_routers_catches_up_and_rejects_a_stale_apply() {
     let mut spec = small();
     spec.routers = 4;
     let fleet = fleet(spec);
-    // Frozen routers neither hear nor answer, as if a switch had gone between the halves.
-    for cut_off in [2, 3] {
-        fleet.routers[cut_off].signal(Signal::STOP);
+    // Suspended routers neither receive nor reply, as if the network between the halves were down.
+    for suspended in [2, 3] {
+        fleet.routers[suspended].signal(Signal::STOP);
     }
     let mut last = Revision(1);
     for n in 0..3 {
@@ -442,12 +454,12 @@
         last = apply_as(&fleet, n % 2, "rana", "", &file).expect("applied").revision;
     }
     let at = |router: usize| get::<Shown>(&fleet, router, "/v1/show").revision;
-    eventually("in force at the other half", || at(0) == last && at(1) == last);
-    for cut_off in [2, 3] {
-        fleet.routers[cut_off].signal(Signal::CONT);
+    eventually("the revision is active on the other half", || at(0) == last && at(1) == last);
+    for suspended in [2, 3] {
+        fleet.routers[suspended].signal(Signal::CONT);
     }
-    eventually("in force everywhere", || all_at(&fleet, last));
+    eventually("the revision is active on all routers", || all_at_revision(&fleet, last));
     let stale = apply_as(&fleet, 3, "salim", "?base=1", &file_with_team(&fleet, "late"))
-        .expect_err("refused");
+        .expect_err("a rejection");
     assert!(stale.detail.contains(&format!("revision {last} by rana")), "{}", stale.detail);
 }
--- a/tests/suite/drain.rs
+++ b/tests/suite/drain.rs
@@ -1,4 +1,4 @@
-//! Drains, kills and freezes of router processes; backend servers that leave.
+//! Drained, killed and suspended router processes; leaving backend servers.
 
 use std::{net::TcpStream, thread, time::Duration};
 
@@ -18,16 +18,16 @@
 
 use crate::support::{chat, chat_call, eventually, fleet, plain_call, send, small};
 
-fn slow_engines(step_ms: u64) -> Fleet {
+fn fleet_with_step(step_ms: u64) -> Fleet {
     let mut spec = small();
     spec.engine.step = Duration::from_millis(step_ms);
     spec.plain_lines = "non_idempotent = [\"POST /once/*\"]".to_owned();
     fleet(spec)
 }
 
-fn assert_whole(answer: &Answer, chat: &ChatRequest) {
-    let events = read_events(&answer.text());
-    assert!(answer.whole && events.done, "{}", answer.text());
+fn assert_complete(response: &Answer, chat: &ChatRequest) {
+    let events = read_events(&response.text());
+    assert!(response.whole && events.done, "{}", response.text());
     assert_eq!(events.text, chat.expected_answer());
 }
 
@@ -38,13 +38,13 @@
     })
 }
 
-/// Drains router 1 while streams and a kept connection are open, by the means given.
-fn drain_with_streams(drain: impl Fn(&Fleet)) {
-    let mut fleet = slow_engines(40);
+/// Drains router 1 by `drain` while streams and a persistent connection are open, and checks that no request is cut.
+fn check_drain(drain: impl Fn(&Fleet)) {
+    let mut fleet = fleet_with_step(40);
     let callers = fleet.routers[1].callers;
-    let mut kept =
+    let mut persistent =
         Conn::connect(callers, Duration::from_secs(1), &Clock::system()).expect("a connection");
-    assert_eq!(plain_call("/x", "before").send_on(&mut kept).status, 200);
+    assert_eq!(plain_call("/x", "before").send_on(&mut persistent).status, 200);
     let chats: Vec<ChatRequest> = (0..5).map(|n| chat(&format!("drained {n}"), 30)).collect();
     thread::scope(|scope| {
         let fleet_ref = &fleet;
@@ -52,25 +52,25 @@
             .iter()
             .map(|chat| scope.spawn(move || send(fleet_ref, 1, &chat_call(chat))))
             .collect();
-        eventually("the streams are under way", || in_flight(&fleet, 1) == 5);
+        eventually("the streams are in flight", || in_flight(&fleet, 1) == 5);
         drain(&fleet);
-        eventually("it is not ready", || !fleet.is_ready(1));
-        // The platform's balancer lags: new connections and kept ones are still answered.
+        eventually("the draining router is not ready", || !fleet.is_ready(1));
+        // The platform's load balancer lags: requests on new and on persistent connections still get responses.
         let late = send(&fleet, 1, &plain_call("/x", "late"));
         assert_eq!((late.status, late.header("connection")), (200, "close"));
-        let last = plain_call("/x", "on the kept connection").send_on(&mut kept);
+        let last = plain_call("/x", "on the kept connection").send_on(&mut persistent);
         assert_eq!((last.status, last.header("connection")), (200, "close"));
         for (stream, chat) in streams.into_iter().zip(&chats) {
-            assert_whole(&stream.join().expect("an answer"), chat);
+            assert_complete(&stream.join().expect("a response"), chat);
         }
     });
     assert_eq!(
         fleet.routers[1].wait(Duration::from_secs(10)),
         Some(0),
-        "it ends by itself, and well"
+        "the drained router exits by itself, with status 0"
     );
     assert!(TcpStream::connect(callers).is_err());
-    eventually("every permit is back", || {
+    eventually("all permits are released", || {
         fleet.status(0).is_ok_and(|s| {
             let shards = s.instances.iter().flat_map(|i| &i.shards);
             shards.flat_map(|s| &s.engines).all(|e| e.permits == 0)
@@ -80,43 +80,43 @@
 
 #[test]
 fn a_signal_drains_and_cuts_no_request() {
-    drain_with_streams(|fleet| fleet.routers[1].signal(Signal::TERM));
+    check_drain(|fleet| fleet.routers[1].signal(Signal::TERM));
 }
 
 #[test]
 fn an_operators_drain_cuts_no_request() {
-    drain_with_streams(|fleet| {
+    check_drain(|fleet| {
         let _: serde_json::Value =
             fleet.post(0, "/v1/drain?target=router-01", "").expect("drained");
     });
 }
 
 #[test]
-fn a_second_signal_ends_at_once() {
-    let mut fleet = slow_engines(100);
+fn a_second_signal_stops_the_router_at_once() {
+    let mut fleet = fleet_with_step(100);
     let chat = chat("never ends", 1000);
     thread::scope(|scope| {
         let fleet_ref = &mut fleet;
         let callers = fleet_ref.routers[1].callers;
         let call = chat_call(&chat);
         let stream = scope.spawn(move || call.send(callers));
-        eventually("the stream is under way", || in_flight(fleet_ref, 1) == 1);
+        eventually("the stream is in flight", || in_flight(fleet_ref, 1) == 1);
         fleet_ref.routers[1].signal(Signal::TERM);
-        eventually("it is not ready", || !fleet_ref.is_ready(1));
+        eventually("the draining router is not ready", || !fleet_ref.is_ready(1));
         fleet_ref.routers[1].signal(Signal::TERM);
         assert_eq!(
             fleet_ref.routers[1].wait(Duration::from_secs(5)),
             Some(1),
-            "it says that it was not clean"
+            "the exit status shows that a request was cut"
         );
-        let answer = stream.join().expect("an answer");
-        assert!(!answer.whole, "a cut answer does not look whole");
+        let response = stream.join().expect("a response");
+        assert!(!response.whole, "the cut response is not complete");
     });
 }
 
 #[test]
-fn a_killed_router_cuts_only_its_own_callers_and_leaves_no_load_behind() {
-    let mut fleet = slow_engines(40);
+fn a_killed_router_cuts_only_its_own_callers_and_its_permits_are_released() {
+    let mut fleet = fleet_with_step(40);
     let chats: Vec<ChatRequest> = (0..4).map(|n| chat(&format!("kill {n}"), 40)).collect();
     let call_to =
         |router: usize, chat: &ChatRequest| (fleet.routers[router].callers, chat_call(chat));
@@ -124,13 +124,15 @@
     thread::scope(|scope| {
         let kept = scope.spawn(move || kept.1.send(kept.0));
         let lost = scope.spawn(move || lost.1.send(lost.0));
-        eventually("both are under way", || in_flight(&fleet, 0) + in_flight(&fleet, 1) == 2);
+        eventually("both requests are in flight", || {
+            in_flight(&fleet, 0) + in_flight(&fleet, 1) == 2
+        });
         fleet.routers[1].kill();
-        assert_whole(&kept.join().expect("an answer"), &chats[0]);
-        assert!(!lost.join().expect("an answer").whole);
+        assert_complete(&kept.join().expect("a response"), &chats[0]);
+        assert!(!lost.join().expect("a response").whole);
     });
-    assert_whole(&send(&fleet, 0, &chat_call(&chats[2])), &chats[2]);
-    eventually("its permits end", || {
+    assert_complete(&send(&fleet, 0, &chat_call(&chats[2])), &chats[2]);
+    eventually("the permits of the killed router are released", || {
         fleet.status(0).is_ok_and(|s| {
             let shards = s.instances.iter().flat_map(|i| &i.shards);
             shards.flat_map(|s| &s.engines).all(|e| e.permits == 0)
@@ -139,15 +141,15 @@
 }
 
 #[test]
-fn a_request_whose_router_dies_at_any_step_never_runs_twice_by_its_key() {
-    // What the backend server does just as the router is killed decides how far the request came.
+fn a_request_with_a_key_never_runs_twice_when_its_router_is_killed() {
+    // The fault at the backend server and the pause decide at which step of the request the router is killed.
     let steps = [
         Fault::Late(Duration::from_millis(400)),
         Fault::CloseAfterRun,
         Fault::StallHead(Duration::from_secs(2)),
         Fault::None,
     ];
-    let mut fleet = slow_engines(5);
+    let mut fleet = fleet_with_step(5);
     for (at, fault) in steps.into_iter().enumerate() {
         for pause_ms in [0, 15, 60] {
             let id = format!("death-{at}-{pause_ms}");
@@ -159,7 +161,7 @@
             let sent = thread::spawn(move || first.send(callers));
             thread::sleep(Duration::from_millis(pause_ms));
             fleet.routers[1].kill();
-            sent.join().expect("the caller ends");
+            sent.join().expect("the caller returns");
             fleet.faults.clear();
             let again = send(&fleet, 0, &call);
             let runs: u32 = fleet.plains.values().map(|plain| plain.runs.of(&id)).sum();
@@ -176,64 +178,71 @@
 }
 
 #[test]
-fn a_frozen_home_is_passed_over_and_comes_back() {
-    let fleet = slow_engines(5);
-    // Whichever router is the home, one of the two asks it.
-    for frozen in [0, 1] {
-        let asked = 1 - frozen;
-        fleet.routers[frozen].signal(Signal::STOP);
-        let chat = chat(&format!("frozen {frozen}"), 5);
-        let answer = send(&fleet, asked, &chat_call(&chat));
-        fleet.routers[frozen].signal(Signal::CONT);
-        assert_whole(&answer, &chat);
-        eventually("it answers again", || send(&fleet, frozen, &chat_call(&chat)).whole);
+fn a_suspended_home_is_bypassed_and_responds_again_later() {
+    let fleet = fleet_with_step(5);
+    // Whichever router is the home, one of the two cases suspends it.
+    for suspended in [0, 1] {
+        let other = 1 - suspended;
+        fleet.routers[suspended].signal(Signal::STOP);
+        let chat = chat(&format!("frozen {suspended}"), 5);
+        let response = send(&fleet, other, &chat_call(&chat));
+        fleet.routers[suspended].signal(Signal::CONT);
+        assert_complete(&response, &chat);
+        eventually("the resumed router responds again", || {
+            send(&fleet, suspended, &chat_call(&chat)).whole
+        });
     }
 }
 
-fn leaving_member(fleet: &Fleet, id: &str, state: MemberState) -> Member {
+fn member(fleet: &Fleet, id: &str, state: MemberState) -> Member {
     let zone = fleet.spec.zones[0].parse().expect("a zone");
     Member { id: id.to_owned(), kind: MemberKind::BackendServer, address: any_port(), zone, state }
 }
 
-/// Streams through both routers until told, and checks that `id` gets nothing new after a while.
-fn leaves(leave: impl Fn(&Fleet)) {
-    let fleet = slow_engines(20);
+/// Streams from engine-00 while it leaves by `leave`, and checks that it gets no new request from 3 s after that on and
+/// that the stream is complete.
+fn check_leaving_engine(leave: impl Fn(&Fleet)) {
+    let fleet = fleet_with_step(20);
     let long = chat("in flight when the engine leaves", 100);
     thread::scope(|scope| {
         let stream =
             scope.spawn(|| send(&fleet, 0, &chat_call(&long).with("cartvane-chat", "long")));
-        eventually("it is under way", || fleet.engines.values().any(|e| e.load() > 0));
+        eventually("the stream is in flight", || fleet.engines.values().any(|e| e.load() > 0));
         let (id, _) =
             fleet.engines.iter().find(|(_, e)| e.load() > 0).expect("an engine with load");
-        assert_eq!(id, "engine-00", "the hint below names it");
+        assert_eq!(id, "engine-00", "the stream runs on the engine that leaves");
         leave(&fleet);
         thread::sleep(Duration::from_secs(3));
         let before = fleet.engines["engine-00"].prompt_tokens().0;
         for n in 0..12 {
             let chat = chat(&format!("new {n}"), 3);
-            assert_whole(&send(&fleet, n % 2, &chat_call(&chat)), &chat);
+            assert_complete(&send(&fleet, n % 2, &chat_call(&chat)), &chat);
         }
-        assert_eq!(fleet.engines["engine-00"].prompt_tokens().0, before, "it got nothing new");
-        assert_whole(&stream.join().expect("an answer"), &long);
+        assert_eq!(
+            fleet.engines["engine-00"].prompt_tokens().0,
+            before,
+            "the leaving engine got no new request"
+        );
+        assert_complete(&stream.join().expect("a response"), &long);
     });
 }
 
 #[test]
-fn an_engine_the_list_calls_leaving_gets_nothing_new_and_is_not_cut() {
-    leaves(|fleet| {
-        fleet.platform.set_member(leaving_member(fleet, "engine-00", MemberState::Leaving))
+fn an_engine_listed_as_leaving_gets_no_new_requests_and_is_not_cut() {
+    check_leaving_engine(|fleet| {
+        fleet.platform.set_member(member(fleet, "engine-00", MemberState::Leaving))
     });
 }
 
 #[test]
-fn an_engine_the_operators_drain_gets_nothing_new_and_is_not_cut() {
-    leaves(|fleet| {
+fn an_engine_that_operators_drain_gets_no_new_requests_and_is_not_cut() {
+    check_leaving_engine(|fleet| {
         let _: serde_json::Value =
             fleet.post(1, "/v1/drain?target=engine-00", "").expect("drained");
     });
 }
 
 #[test]
-fn an_engine_that_says_itself_that_it_leaves_gets_nothing_new_and_is_not_cut() {
-    leaves(|fleet| fleet.engines["engine-00"].set_leaving(true));
+fn an_engine_that_announces_that_it_is_leaving_gets_no_new_requests_and_is_not_cut() {
+    check_leaving_engine(|fleet| fleet.engines["engine-00"].set_leaving(true));
 }
--- a/tests/suite/whole_path.rs
+++ b/tests/suite/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path: caller, router processes, engines and plain servers, platform.
+//! End to end: caller, router processes, engines and plain servers, platform.
 
 use std::time::Duration;
 
@@ -7,42 +7,42 @@
 use crate::support::{chat, chat_call, fleet, plain_call, send, small, wait_idle};
 
 #[test]
-fn a_stream_and_a_plain_answer_come_whole_through_every_router() {
+fn a_stream_and_a_plain_response_are_complete_through_every_router() {
     let mut spec = small();
-    // Slow enough that tokens do not run together on a busy machine.
+    // Slow enough that tokens arrive separately on a busy machine.
     spec.engine.step = Duration::from_millis(50);
     let fleet = fleet(spec);
     for router in 0..2 {
         let chat = chat(&format!("inventory of router {router}"), 12);
-        let answer = send(&fleet, router, &chat_call(&chat));
+        let response = send(&fleet, router, &chat_call(&chat));
         assert_eq!(
-            (answer.status, answer.whole, answer.outcome()),
+            (response.status, response.whole, response.outcome()),
             (200, true, "run"),
             "{}",
-            answer.text()
+            response.text()
         );
-        let events = read_events(&answer.text());
+        let events = read_events(&response.text());
         assert_eq!(events.text, chat.expected_answer());
         assert!(events.done && !events.error);
         assert!(
-            answer.pieces.len() > 6,
-            "tokens come one by one, not in a heap: {:?}",
-            answer.pieces
+            response.pieces.len() > 6,
+            "tokens arrive one by one, not all at once: {:?}",
+            response.pieces
         );
 
-        let answer = send(&fleet, router, &plain_call("/bookings?day=3", "two vans"));
+        let response = send(&fleet, router, &plain_call("/bookings?day=3", "two vans"));
         assert_eq!(
-            (answer.status, answer.whole, answer.outcome()),
+            (response.status, response.whole, response.outcome()),
             (200, true, "run"),
             "{}",
-            answer.text()
+            response.text()
         );
-        assert_eq!(answer.text(), expected_answer("POST", "/bookings?day=3", b"two vans"));
+        assert_eq!(response.text(), expected_answer("POST", "/bookings?day=3", b"two vans"));
     }
 }
 
 #[test]
-fn a_returning_chat_finds_its_context_through_another_router() {
+fn a_returning_chat_reuses_its_context_through_another_router() {
     let fleet = fleet(small());
     let chat = chat("a long inventory with a piano", 8);
     let call = chat_call(&chat).with("cartvane-chat", "c1");
