--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -80,7 +80,7 @@
         if id.entry == tag {
             shared.desk.take_own(id, reply);
         } else {
-            shared.permit_streams.reply(shared.hello(), id, reply);
+            shared.permit_streams.send_reply(shared.hello(), id, reply);
         }
     });
     let shared = Arc::new(Shared {
@@ -135,7 +135,7 @@
         }),
         cut: Box::new(move |home| {
             if let Some(shared) = upgrade(&cut_this) {
-                shared.permit_streams.cut(home);
+                shared.permit_streams.close(home);
             }
         }),
     }
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -25,7 +25,7 @@
     units::Revision,
 };
 
-/// Attempts to write the head, each after reading it anew.
+/// Attempts to write the head if no base was stated, each after reading it anew.
 const WRITE_ATTEMPTS: u32 = 5;
 
 /// Attempts to read the head together with its file, repeated while newer revisions become active in between. The
@@ -169,7 +169,7 @@
 ) -> Result<(), ApplyError> {
     let objects = &shared.platform.objects;
     for (name, bytes) in &stored.chunks {
-        // Cached objects belong to a revision that has been stored already.
+        // An object in the cache has already been stored by the instance that applied it.
         if shared.objects.get(name).is_none() {
             objects.put(&object_key(name), bytes)?;
         }
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -79,7 +79,7 @@
     let from_store = match shared.platform.table.get(HEAD_KEY) {
         Ok(row) => row.and_then(|row| decode::<Head>(&row.value).ok()).into_iter().collect(),
         Err(fault) => {
-            let heads = heads_of_peers(shared);
+            let heads = fetch_peer_heads(shared);
             if heads.is_empty() && shared.snapshot.load().is_none() {
                 return Err(SyncError::NoHead(fault));
             }
@@ -95,7 +95,7 @@
 ///
 /// See [`SyncError`]; the active revision stays.
 pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncError> {
-    install_newest(shared, heads_of_peers(shared))
+    install_newest(shared, fetch_peer_heads(shared))
 }
 
 fn install_newest(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncError> {
@@ -112,7 +112,7 @@
     }
 }
 
-fn heads_of_peers(shared: &Shared) -> Vec<Head> {
+fn fetch_peer_heads(shared: &Shared) -> Vec<Head> {
     let fetch_head = |address| {
         let reply =
             shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &FetchRequest::Head);
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -43,20 +43,20 @@
 /// Time for which the state of a shard is kept after its home has moved, as the home may move back.
 const MOVED_SHARD_RETENTION: Duration = Duration::from_secs(60);
 
-/// Most engines checked concurrently.
+/// Most engines whose status is checked at a time.
 const CONCURRENT_CALLS: usize = 8;
 
 /// Renews the leases of the shards whose home this instance is, and sends the orders that are due.
 pub fn process_orders(shared: &Shared) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
     let ordered = snapshot.services().filter(|view| !view.service.models.is_empty());
-    let mine: Vec<(&Service, &Shard)> = ordered
+    let own_shards: Vec<(&Service, &Shard)> = ordered
         .flat_map(|view| view.shards.iter().map(|shard| (&view.service, shard)))
         .filter(|(_, shard)| !shared.drain.is_draining() && shared.home_of(shard) == shared.tag)
         .collect();
     let now = shared.clock.now();
     shared.orders.evict_moved(now, MOVED_SHARD_RETENTION);
-    for (service, shard) in mine {
+    for (service, shard) in own_shards {
         process_shard(shared, &snapshot, service, shard);
     }
 }
@@ -108,22 +108,22 @@
     orders.last_renewal = Some(now);
     let key = format!("{ORDERS_PREFIX}{shard}");
     let Ok(row) = shared.platform.table.get(&key) else { return };
-    let seen = match &row {
+    let stored = match &row {
         None => None,
-        // A row that cannot be decoded was written by another version; it is left to expire.
+        // A row that cannot be decoded was written by another version; it is left unchanged.
         Some(row) => match decode::<LeaseRow>(&row.value) {
             Ok(lease) => Some((lease, row.version)),
             Err(_) => return,
         },
     };
-    let LeaseStep::Write(lease, version) = orders.lease.step(now, seen) else { return };
-    let began = shared.clock.now();
+    let LeaseStep::Write(lease, version) = orders.lease.step(now, stored) else { return };
+    let write_started = shared.clock.now();
     let expect = version.map_or(Expect::Absent, Expect::Version);
     let write = Operation { key, expect, write: Write::Put(encode(&lease)) };
     match shared.platform.table.transact(vec![write]) {
         Ok(TransactReply::Committed) => {
-            orders.lease.note_written(began, &lease);
-            orders.held_since.get_or_insert(began);
+            orders.lease.note_written(write_started, &lease);
+            orders.held_since.get_or_insert(write_started);
         }
         // If only the reply was lost, the next renewal finds this instance's own row.
         Ok(TransactReply::Conflict { .. }) | Err(_) => {
@@ -153,9 +153,9 @@
         .filter(|server| server.reports_load && !server.leaving)
         .map(|server| TargetEngine { server, state: desired_state(&snapshot.fleet, server) })
         .collect();
-    let seen = map_concurrently(&targets, |target| check_engine(shared, target));
+    let observations = map_concurrently(&targets, |target| check_engine(shared, target));
     let engines: Vec<(Tag, Observation)> =
-        targets.iter().zip(seen).map(|(t, seen)| (t.server.id.tag(), seen)).collect();
+        targets.iter().zip(observations).map(|(t, seen)| (t.server.id.tag(), seen)).collect();
     let limits = RolloutLimits {
         loads_at_once: service.loads_at_once as usize,
         min_serving: service.min_serving,
--- a/src/instance/homes/permit_streams.rs
+++ b/src/instance/homes/permit_streams.rs
@@ -52,7 +52,7 @@
     }
 
     /// Closes the stream to a home.
-    pub fn cut(&self, home: Tag) {
+    pub fn close(&self, home: Tag) {
         let slot = lock(&self.homes).get(&home).cloned();
         if let Some(end) = slot.and_then(|slot| lock(&slot).take()) {
             end.sender.cut();
@@ -73,7 +73,7 @@
 
     /// Sends a reply that was not ready with its batch to the entry that requested the permit, with `hello` if
     /// it has changed.
-    pub fn reply(&self, hello: Hello, id: PermitId, reply: Reply) {
+    pub fn send_reply(&self, hello: Hello, id: PermitId, reply: Reply) {
         let end = lock(&self.entries).get(&id.entry).cloned();
         // An entry whose stream has closed repeats its request with the same number.
         let Some(end) = end else { return };
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -116,12 +116,12 @@
                 );
             }
             if let Some(Announcement { held, pending }) = batch.announce {
-                let full = |number: u32| hello.permit(number).number;
+                let full_number = |number: u32| hello.permit(number).number;
                 let held = held
                     .into_iter()
-                    .map(|h| AnnouncedPermit { number: full(short(h.number)), ..h })
+                    .map(|h| AnnouncedPermit { number: full_number(short(h.number)), ..h })
                     .collect();
-                let pending = pending.into_iter().map(full).collect();
+                let pending = pending.into_iter().map(full_number).collect();
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
             }
             if let Some(held) = batch.held {
@@ -142,17 +142,17 @@
         let now = self.clock.now();
         for (id, slot) in self.all_slots() {
             let shard = snapshot.shard(id);
-            let ours = shard.is_some_and(&is_home);
+            let is_own = shard.is_some_and(&is_home);
             let mut actions = Vec::new();
             let idle = {
                 let mut home = lock(&slot.home);
-                actions.extend(home.handle(now, Event::Role(ours)));
+                actions.extend(home.handle(now, Event::Role(is_own)));
                 actions.extend(home.handle(now, Event::Tick));
                 home.permits() == 0 && home.queued() == 0
             };
             self.dispatch(actions, None);
             let unused = now.duration_since(*lock(&slot.last_used)) > IDLE_HOME_RETENTION;
-            if idle && unused && !ours {
+            if idle && unused && !is_own {
                 lock(&self.slots).remove(&id);
             }
         }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -46,11 +46,12 @@
         }
     };
     let end = Arc::new(StreamEnd::new(sender));
-    let (weak, slot_of, read_end) = (Arc::downgrade(shared), Arc::clone(&slot), Arc::clone(&end));
+    let (weak, reader_slot, reader_end) =
+        (Arc::downgrade(shared), Arc::clone(&slot), Arc::clone(&end));
     let spawned = thread::Builder::new()
         .name("home-stream".to_owned())
         .stack_size(READER_STACK_BYTES)
-        .spawn(move || read_replies(&weak, home, receiver, &slot_of, &read_end));
+        .spawn(move || read_replies(&weak, home, receiver, &reader_slot, &reader_end));
     if let Err(fault) = spawned {
         log::warn!("cannot start the reader thread of the permit stream to a home: {fault}");
         return None;
