--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -92,11 +92,11 @@
     shared: &Shared,
     address: SocketAddr,
     order: &EngineOrder,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<(), OrderError> {
     let body = serde_json::to_vec(order).unwrap_or_default();
-    let answer = call_engine(shared, address, &Method::POST, ORDERS_PATH, &body, time);
-    match answer.map_err(OrderError::Attempt)?.0 {
+    let response = call_engine(shared, address, &Method::POST, ORDERS_PATH, &body, timeout);
+    match response.map_err(OrderError::Attempt)?.0 {
         StatusCode::OK => Ok(()),
         StatusCode::CONFLICT => Err(OrderError::Fenced),
         other => Err(OrderError::Refused(other)),
@@ -114,9 +114,9 @@
 ) -> bool {
     let chats: Vec<String> = chats.iter().map(ToString::to_string).collect();
     let body = serde_json::json!({ "from": source, "chats": chats }).to_string();
-    let answer =
+    let response =
         call_engine(shared, target, &Method::POST, IMPORT_PATH, body.as_bytes(), IMPORT_TIMEOUT);
-    answer.is_ok_and(|(status, _)| status == StatusCode::OK)
+    response.is_ok_and(|(status, _)| status == StatusCode::OK)
 }
 
 fn call_engine(
@@ -125,25 +125,26 @@
     method: &Method,
     target: &str,
     body: &[u8],
-    time: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Vec<u8>), AttemptFault> {
     let headers = HeaderMap::new();
-    let until = shared.clock.now() + time;
+    let until = shared.clock.now() + timeout;
     let fresh = *method != Method::GET;
     let attempt =
         Attempt { address, method, target, headers: &headers, body, id: "control", fresh, until };
     shared.traffic.sent(Purpose::Probe, attempt.bytes().len());
-    let mut answer = shared.backends.send(&attempt, &mut || true)?;
+    let mut response = shared.backends.send(&attempt, &mut || true)?;
     let mut bytes = Vec::new();
-    while let Some(piece) = answer.next(until, &mut || true)? {
-        bytes.extend_from_slice(&piece);
+    while let Some(chunk) = response.next(until, &mut || true)? {
+        bytes.extend_from_slice(&chunk);
         if bytes.len() > RESPONSE_MAX_BYTES {
             return Err(AttemptFault::Garbage);
         }
     }
-    let head: usize = answer.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-    shared.traffic.received(Purpose::Probe, RESPONSE_FRAMING_BYTES + head + bytes.len());
-    let status = answer.head.status;
-    shared.backends.finish(answer);
+    let head_bytes: usize =
+        response.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
+    shared.traffic.received(Purpose::Probe, RESPONSE_FRAMING_BYTES + head_bytes + bytes.len());
+    let status = response.head.status;
+    shared.backends.finish(response);
     Ok((status, bytes))
 }
--- a/src/instance/homes/order_state.rs
+++ b/src/instance/homes/order_state.rs
@@ -42,7 +42,7 @@
 #[derive(Default)]
 struct Shards {
     idle: HashMap<ShardId, ShardOrders>,
-    /// Status of the shards in processing, as it was before processing began; operators are shown it.
+    /// Last status of the shards that are being processed, for operators.
     in_progress: HashMap<ShardId, OrdersStatus>,
 }
 
