--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -15,8 +15,8 @@
     adapter,
     contract::outcome::Outcome,
     link::{
-        caller::{Served, linger},
-        http1::{BodyReader, Conn, HeadFault, ReadFault, RequestHead, body::BodyFraming},
+        http1::{BodyReader, Conn, HeadError, ReadError, RequestHead, body::BodyFraming},
+        listener::{ConnOutcome, lingering_close},
     },
     names::TeamName,
     routing::{Intent, Route},
@@ -69,22 +69,22 @@
 }
 
 /// Serves the requests of a connection until it closes or the next request does not follow at once.
-pub fn serve(gateway: &Gateway, mut conn: Conn) -> Served {
+pub fn serve(gateway: &Gateway, mut conn: Conn) -> ConnOutcome {
     // After a start, the intent and the server list arrive within some hundredths of a second.
     gateway.cluster_state.wait_complete(STARTUP_WAIT_MAX);
     loop {
-        conn.give_back_buffer();
-        match conn.first_byte(gateway.clock.now() + NEXT_REQUEST_WAIT) {
+        conn.release_buffer();
+        match conn.wait_for_data(gateway.clock.now() + NEXT_REQUEST_WAIT) {
             Ok(true) => {}
-            Ok(false) => return Served::Waits(conn),
-            Err(_) => return Served::Ended,
+            Ok(false) => return ConnOutcome::Idle(conn),
+            Err(_) => return ConnOutcome::Closed,
         }
         match serve_one(gateway, &mut conn) {
             Disposition::KeepAlive => {}
-            Disposition::Close => return Served::Ended,
+            Disposition::Close => return ConnOutcome::Closed,
             Disposition::LingeringClose => {
-                linger(&mut conn);
-                return Served::Ended;
+                lingering_close(&mut conn);
+                return ConnOutcome::Closed;
             }
         }
     }
@@ -160,18 +160,18 @@
     }
 }
 
-fn refuse_head(conn: &mut Conn, fault: &HeadFault) -> Disposition {
+fn refuse_head(conn: &mut Conn, fault: &HeadError) -> Disposition {
     let refusal = match fault {
-        HeadFault::Read(ReadFault::Timeout) => {
+        HeadError::Read(ReadError::Timeout) => {
             LocalResponse::new(StatusCode::REQUEST_TIMEOUT, "the head did not come in time")
         }
-        HeadFault::Read(_) => return Disposition::Close,
-        HeadFault::TooLarge => LocalResponse::new(
+        HeadError::Read(_) => return Disposition::Close,
+        HeadError::TooLarge => LocalResponse::new(
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             "the head is larger than allowed; send fewer or shorter headers",
         ),
-        HeadFault::Bad(reason) => LocalResponse::new(StatusCode::BAD_REQUEST, reason),
-        HeadFault::Coding => LocalResponse::new(
+        HeadError::Invalid(reason) => LocalResponse::new(StatusCode::BAD_REQUEST, reason),
+        HeadError::UnsupportedCoding => LocalResponse::new(
             StatusCode::NOT_IMPLEMENTED,
             "only the transfer coding chunked is understood",
         ),
@@ -211,13 +211,13 @@
     let timeout = gateway.cluster_state.idle_time().max(IDLE_TIMEOUT_DEFAULT);
     let mut body = Vec::new();
     loop {
-        let piece = match reader.next_by(conn, |conn| conn.fill_beside(received_at + timeout, None))
-        {
-            Ok(Some(piece)) => piece,
-            Ok(None) => return Ok(body),
-            Err(ReadFault::TooLarge) => return Err(too_large()),
-            Err(fault) => return Err(body_refusal(&fault)),
-        };
+        let piece =
+            match reader.next_with(conn, |conn| conn.fill_until(received_at + timeout, None)) {
+                Ok(Some(piece)) => piece,
+                Ok(None) => return Ok(body),
+                Err(ReadError::TooLarge) => return Err(too_large()),
+                Err(fault) => return Err(body_refusal(&fault)),
+            };
         if body.len() + piece.len() > max_bytes {
             return Err(too_large());
         }
@@ -231,8 +231,8 @@
     }
 }
 
-fn body_refusal(fault: &ReadFault) -> LocalResponse {
-    if matches!(fault, ReadFault::Timeout) {
+fn body_refusal(fault: &ReadError) -> LocalResponse {
+    if matches!(fault, ReadError::Timeout) {
         return LocalResponse::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time");
     }
     LocalResponse::new(StatusCode::BAD_REQUEST, "the body was cut or is not framed")
--- a/src/gateway/server_conns.rs
+++ b/src/gateway/server_conns.rs
@@ -103,7 +103,7 @@
         keep_alive_for: Option<Duration>,
         max_connections: u32,
     ) {
-        conn.give_back_buffer();
+        conn.release_buffer();
         let max_age = keep_alive_for.map_or(IDLE_MAX_AGE, |time| time.mul_f64(KEEP_ALIVE_FRACTION));
         // Half of an instance's share stays free for requests in flight.
         let share = max_connections as usize / (2 * self.instances.load(Ordering::Relaxed));
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -24,12 +24,12 @@
         shared::{DrainState, Shared},
     },
     link::{
-        backend::BackendLinks,
-        peer::PeerLinks,
-        traffic::{Purpose, Traffic},
+        backend::BackendPool,
+        peer::PeerClient,
+        traffic::{Purpose, TrafficCounter},
     },
     metrics::Metrics,
-    platform::{Platform, embedded::Embedded, http::HttpPlatform},
+    platform::{Platform, embedded::EmbeddedPlatform, http::HttpPlatform},
     utils::usage::Usage,
     zone::homes::Candidate,
 };
@@ -37,15 +37,15 @@
 /// Opens the platform that the settings name; `traffic` counts the bytes of every call to it.
 pub(super) fn open_platform(settings: &Settings, traffic: &Traffic) -> Platform {
     match settings.platform {
-        PlatformSettings::Embedded => Embedded::new().platform(),
+        PlatformSettings::Embedded => EmbeddedPlatform::new().platform(),
         PlatformSettings::Http { table, objects, members } => {
             let timeout = settings.timeouts.platform.0;
             let credential = settings.credentials.platform.clone();
             let traffic = traffic.clone();
             HttpPlatform { table, objects, members, timeout, credential }.connect(
                 move |sent, received| {
-                    traffic.sent(Purpose::Platform, sent);
-                    traffic.received(Purpose::Platform, received);
+                    traffic.count_sent(Purpose::Platform, sent);
+                    traffic.count_received(Purpose::Platform, received);
                 },
             )
         }
@@ -66,7 +66,7 @@
     let incarnation = u32::try_from(clock.wall_millis() / 1000).unwrap_or(u32::MAX);
     let credential = settings.credentials.peers[0].clone();
     let peers =
-        PeerLinks::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
+        PeerClient::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
     let own = Candidate { id: settings.id.clone(), tag, zone: settings.zone.clone() };
     let waker = Arc::clone(waker);
     // The desk and the homes reach each other through the shared state, which owns both.
@@ -86,7 +86,7 @@
     let shared = Arc::new(Shared {
         tag,
         incarnation,
-        backends: BackendLinks::new(clock.clone(), settings.timeouts.connect.0),
+        backends: BackendPool::new(clock.clone(), settings.timeouts.connect.0),
         claims: Claims::new(platform.table.clone(), clock.clone()),
         settings,
         clock,
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -21,7 +21,7 @@
         },
         shared::Shared,
     },
-    platform::{Expect, Operation, PlatformFault, Row, TransactReply, Write},
+    platform::{Expect, Operation, PlatformError, Row, TransactReply, Write},
     units::Revision,
 };
 
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -14,9 +14,9 @@
     },
     link::{
         traffic::Purpose,
-        wire::{FETCH, FetchReply, FetchRequest},
+        wire::{FETCH_PATH, FetchReply, FetchRequest},
     },
-    platform::PlatformFault,
+    platform::PlatformError,
     utils::sync::lock,
 };
 
@@ -171,7 +171,7 @@
     }
     for address in peer_addresses(shared, OBJECT_PEERS) {
         let request = FetchRequest::Object(*name);
-        let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &request);
+        let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH_PATH, &request);
         if let Ok(FetchReply::Object(Some(bytes))) = reply
             && shared.objects.put(*name, bytes.to_vec())
         {
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -7,8 +7,8 @@
     link::{
         traffic::Purpose,
         wire::{
-            FETCH, FetchReply, FetchRequest, HEARTBEAT, Heartbeat, LOADS, LoadsMessage, MEMORY,
-            Memory, MemoryMessage,
+            CHAT_LOCATIONS_PATH, ChatLocationsMessage, FETCH_PATH, FetchReply, FetchRequest,
+            HEARTBEAT_PATH, Heartbeat, LOADS_PATH, LoadsMessage, ShardChatLocations,
         },
     },
     names::Tag,
@@ -59,7 +59,8 @@
     let (settings, address) = (&shared.settings, own.address);
     for seed in settings.listen.seeds.iter().filter(|seed| **seed != address) {
         let request = FetchRequest::Members(own.clone());
-        let reply = shared.peers.call::<FetchReply>(Purpose::Heartbeat, *seed, FETCH, &request);
+        let reply =
+            shared.peers.call::<FetchReply>(Purpose::Heartbeat, *seed, FETCH_PATH, &request);
         if let Ok(FetchReply::Members(members)) = reply {
             let now = shared.clock.now();
             let mut membership = lock(&shared.membership);
@@ -135,7 +136,7 @@
         return;
     };
     let heartbeat = own_heartbeat(shared, now);
-    match shared.peers.call::<Heartbeat>(Purpose::Heartbeat, address, HEARTBEAT, &heartbeat) {
+    match shared.peers.call::<Heartbeat>(Purpose::Heartbeat, address, HEARTBEAT_PATH, &heartbeat) {
         Ok(reply) => {
             handle_heartbeat(shared, &reply);
         }
--- a/src/instance/cluster_state/peer_server.rs
+++ b/src/instance/cluster_state/peer_server.rs
@@ -10,8 +10,9 @@
     link::{
         traffic::Purpose,
         wire::{
-            DRAIN, EXPLAIN, FETCH, FetchReply, FetchRequest, HEARTBEAT, Heartbeat, LOADS,
-            LoadsMessage, MEMORY, MemoryMessage, STATUS,
+            CHAT_LOCATIONS_PATH, ChatLocationsMessage, DRAIN_PATH, EXPLAIN_PATH, FETCH_PATH,
+            FetchReply, FetchRequest, HEARTBEAT_PATH, Heartbeat, LOADS_PATH, LoadsMessage,
+            STATUS_PATH,
         },
     },
     utils::sync::lock,
@@ -53,7 +54,7 @@
             let name = decode(body).map_err(bad_request)?;
             explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|fault| fault.status())
         }
-        DRAIN => {
+        DRAIN_PATH => {
             shared.drain.start(shared.clock.now());
             Ok(encode(&()))
         }
@@ -64,11 +65,11 @@
 /// Returns the purpose of the messages on `path`, for the traffic metrics.
 pub fn purpose(path: &str) -> Purpose {
     match path {
-        HEARTBEAT => Purpose::Heartbeat,
-        LOADS => Purpose::Loads,
-        MEMORY => Purpose::Memory,
-        FETCH => Purpose::Config,
-        STATUS | DRAIN | EXPLAIN => Purpose::Operators,
+        HEARTBEAT_PATH => Purpose::Heartbeat,
+        LOADS_PATH => Purpose::Loads,
+        CHAT_LOCATIONS_PATH => Purpose::ChatLocations,
+        FETCH_PATH => Purpose::Config,
+        STATUS_PATH | DRAIN_PATH | EXPLAIN_PATH => Purpose::Operators,
         _ => Purpose::Permits,
     }
 }
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -254,7 +254,7 @@
         let Some(slot) = self.slot(memory.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
-        lock(&slot.home).handle(now, Event::ReplicatedChats(memory.places));
+        lock(&slot.home).handle(now, Event::ReplicatedChats(memory.locations));
     }
 
     fn all_slots(&self) -> Vec<(ShardId, Arc<HomeSlot>)> {
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -81,7 +81,7 @@
             break;
         }
     }
-    end.sender.cut();
+    end.sender.shutdown();
     let Some(hello) = entry else { return };
     if shared.permit_streams.remove_entry(hello.from, &end) {
         shared.homes.notify_all(|_| vec![Event::EntryDisconnected(hello.from)]);
@@ -125,7 +125,7 @@
         }
         shared.desk.take(home, message);
     }
-    end.sender.cut();
+    end.sender.shutdown();
     {
         let mut opened = lock(slot);
         if opened.as_ref().is_some_and(|registered| Arc::ptr_eq(registered, end)) {
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -27,7 +27,7 @@
     configs::settings::Settings,
     context::Context,
     link::{
-        caller::Listener,
+        listener::Listener,
         peer::{self, PeerService},
     },
     metrics::Metrics,
@@ -171,7 +171,7 @@
     let serve = move |conn| {
         let shared = &serving;
         let service = PeerService {
-            accepted: Some(&shared.settings.credentials.peers),
+            credentials: Some(&shared.settings.credentials.peers),
             timeout: shared.settings.timeouts.peer.0,
             traffic: &shared.traffic,
             answer: |path: &str, body: &[u8]| peer_server::handle_call(shared, path, body),
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -24,7 +24,7 @@
         },
         requests::{claims::Claims, desk::Desk},
     },
-    link::{backend::BackendLinks, peer::PeerLinks, traffic::Traffic, wire::Hello},
+    link::{backend::BackendPool, peer::PeerClient, traffic::TrafficCounter, wire::Hello},
     metrics::Metrics,
     names::{ServiceId, Tag},
     platform::Platform,
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -14,8 +14,8 @@
 
 use cartvane::{
     contract::token_bucket::TokenBucket,
-    link::caller::Listener,
-    platform::{Member, MembersPage, Transaction, embedded::Embedded},
+    link::listener::Listener,
+    platform::{Member, MemberChanges, Transaction, embedded::EmbeddedPlatform},
     units::Rate,
     utils::sync::lock,
 };
@@ -39,7 +39,7 @@
 }
 
 struct State {
-    data: Arc<Embedded>,
+    data: Arc<EmbeddedPlatform>,
     faults: Mutex<PlatformFaults>,
     writes: Mutex<Option<TokenBucket>>,
     list: Mutex<Vec<(Instant, Member)>>,
@@ -62,7 +62,7 @@
     /// The address cannot be listened on.
     pub fn spawn(address: SocketAddr) -> io::Result<PlatformServer> {
         let state = Arc::new(State {
-            data: Embedded::new(),
+            data: EmbeddedPlatform::new(),
             faults: Mutex::default(),
             writes: Mutex::default(),
             list: Mutex::default(),
@@ -102,7 +102,7 @@
     }
 
     /// Returns the data.
-    pub fn data(&self) -> &Arc<Embedded> {
+    pub fn data(&self) -> &Arc<EmbeddedPlatform> {
         &self.state.data
     }
 
@@ -122,7 +122,7 @@
         thread::sleep(faults.slow);
     }
     if faults.cut {
-        conn.cut();
+        conn.shutdown();
         return Next::Close;
     }
     if faults.down {
@@ -136,7 +136,7 @@
     }
     let reply = answer(state, &received);
     if writes && lose_reply(state) {
-        conn.cut();
+        conn.shutdown();
         return Next::Close;
     }
     send(conn, &reply.bytes(), Next::KeepAlive)
@@ -186,7 +186,7 @@
     }
 }
 
-fn members(state: &State, received: &Received) -> MembersPage {
+fn members(state: &State, received: &Received) -> MemberChanges {
     let lag = *lock(&state.lag);
     let mut list = lock(&state.list);
     // Entries that are old enough become visible, in their order.
