--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -35,7 +35,7 @@
 };
 
 /// Opens the platform that the settings name; `traffic` counts the bytes of every call to it.
-pub(super) fn open_platform(settings: &Settings, traffic: &Traffic) -> Platform {
+pub(super) fn open_platform(settings: &Settings, traffic: &TrafficCounter) -> Platform {
     match settings.platform {
         PlatformSettings::Embedded => EmbeddedPlatform::new().platform(),
         PlatformSettings::Http { table, objects, members } => {
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -72,8 +72,8 @@
     Unknown(String),
 }
 
-impl From<PlatformFault> for ApplyError {
-    fn from(fault: PlatformFault) -> ApplyError {
+impl From<PlatformError> for ApplyError {
+    fn from(fault: PlatformError) -> ApplyError {
         ApplyError::Store(fault.to_string())
     }
 }
@@ -242,8 +242,8 @@
 
 /// Determines after a lost reply whether the write took effect. The audit row of this apply shows it, even if
 /// another apply has followed.
-fn read_back(shared: &Shared, head: &Head, fault: &PlatformFault) -> Result<bool, ApplyError> {
-    let unknown = |e: PlatformFault| ApplyError::Unknown(e.to_string());
+fn read_back(shared: &Shared, head: &Head, fault: &PlatformError) -> Result<bool, ApplyError> {
+    let unknown = |e: PlatformError| ApplyError::Unknown(e.to_string());
     let audit = shared.platform.table.get(&audit_key(head.at, &head.apply)).map_err(unknown)?;
     if audit.is_some() {
         return Ok(true);
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -58,7 +58,7 @@
 pub enum SyncError {
     /// Neither the store nor a peer returned a head.
     #[error("no head was learned: {0}; the instance is ready once the store or a peer answers")]
-    NoHead(PlatformFault),
+    NoHead(PlatformError),
     /// An object is available neither at the peers asked nor in the store.
     #[error("object {0} is at no peer and not in the store; it is looked for again")]
     Missing(Digest),
@@ -114,8 +114,12 @@
 
 fn fetch_peer_heads(shared: &Shared) -> Vec<Head> {
     let fetch_head = |address| {
-        let reply =
-            shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH, &FetchRequest::Head);
+        let reply = shared.peers.call::<FetchReply>(
+            Purpose::Config,
+            address,
+            FETCH_PATH,
+            &FetchRequest::Head,
+        );
         match reply {
             Ok(FetchReply::Head(head)) => head,
             _ => None,
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -194,7 +194,7 @@
         };
         let message = LoadsMessage { hello: shared.hello(), loads };
         // The next message replaces a lost one.
-        let _ = shared.peers.call::<()>(Purpose::Loads, address, LOADS, &message);
+        let _ = shared.peers.call::<()>(Purpose::Loads, address, LOADS_PATH, &message);
     }
 }
 
@@ -214,18 +214,19 @@
     let unreplicated = shared
         .homes
         .take_unreplicated(&snapshot, REPLICATED_CHATS_MAX, |shard| shared.replica_of(shard));
-    for (to, memory) in unreplicated {
+    for (to, chat_locations) in unreplicated {
         let Some(address) = lock(&shared.membership).peer(to).map(|p| p.address) else { continue };
-        let message = MemoryMessage { hello: shared.hello(), memories: vec![memory] };
+        let message = ChatLocationsMessage { hello: shared.hello(), shards: vec![chat_locations] };
         // A lost message is not repeated: the replica learns its locations once it is the home and the chats return.
-        let _ = shared.peers.call::<()>(Purpose::Memory, address, MEMORY, &message);
+        let _ =
+            shared.peers.call::<()>(Purpose::ChatLocations, address, CHAT_LOCATIONS_PATH, &message);
     }
 }
 
 /// Applies chat locations received from other instances.
-pub fn apply_replicated_chats(shared: &Shared, memories: Vec<Memory>) {
+pub fn apply_replicated_chats(shared: &Shared, shards: Vec<ShardChatLocations>) {
     let Some(snapshot) = shared.snapshot.load_full() else { return };
-    for memory in memories {
-        shared.homes.apply_replicated(memory, &snapshot);
+    for chat_locations in shards {
+        shared.homes.apply_replicated(chat_locations, &snapshot);
     }
 }
--- a/src/instance/cluster_state/peer_server.rs
+++ b/src/instance/cluster_state/peer_server.rs
@@ -32,25 +32,25 @@
 pub fn handle_call(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
     let bad_request = |_| BAD_REQUEST;
     match path {
-        HEARTBEAT => {
+        HEARTBEAT_PATH => {
             let heartbeat: Heartbeat = decode(body).map_err(bad_request)?;
             Ok(encode(&gossip::handle_heartbeat(shared, &heartbeat)))
         }
-        LOADS => {
+        LOADS_PATH => {
             let message: LoadsMessage = decode(body).map_err(bad_request)?;
             shared.note_hello(&message.hello);
             gossip::apply_loads(shared, &message.loads);
             Ok(encode(&()))
         }
-        MEMORY => {
-            let message: MemoryMessage = decode(body).map_err(bad_request)?;
+        CHAT_LOCATIONS_PATH => {
+            let message: ChatLocationsMessage = decode(body).map_err(bad_request)?;
             shared.note_hello(&message.hello);
-            gossip::apply_replicated_chats(shared, message.memories);
+            gossip::apply_replicated_chats(shared, message.shards);
             Ok(encode(&()))
         }
-        FETCH => Ok(encode(&fetch(shared, &decode(body).map_err(bad_request)?))),
-        STATUS => Ok(encode(&status::own(shared))),
-        EXPLAIN => {
+        FETCH_PATH => Ok(encode(&fetch(shared, &decode(body).map_err(bad_request)?))),
+        STATUS_PATH => Ok(encode(&status::own(shared))),
+        EXPLAIN_PATH => {
             let name = decode(body).map_err(bad_request)?;
             explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|fault| fault.status())
         }
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -128,14 +128,22 @@
     timeout: Duration,
 ) -> Result<(StatusCode, Vec<u8>), AttemptFault> {
     let headers = HeaderMap::new();
-    let until = shared.clock.now() + timeout;
-    let fresh = *method != Method::GET;
-    let attempt =
-        Attempt { address, method, target, headers: &headers, body, id: "control", fresh, until };
-    shared.traffic.sent(Purpose::Probe, attempt.bytes().len());
+    let deadline = shared.clock.now() + timeout;
+    let new_connection = *method != Method::GET;
+    let attempt = Attempt {
+        address,
+        method,
+        target,
+        headers: &headers,
+        body,
+        id: "control",
+        new_connection,
+        head_deadline: deadline,
+    };
+    shared.traffic.count_sent(Purpose::Probe, attempt.bytes().len());
     let mut response = shared.backends.send(&attempt, &mut || true)?;
     let mut bytes = Vec::new();
-    while let Some(chunk) = response.next(until, &mut || true)? {
+    while let Some(chunk) = response.next(deadline, &mut || true)? {
         bytes.extend_from_slice(&chunk);
         if bytes.len() > RESPONSE_MAX_BYTES {
             return Err(AttemptFault::Garbage);
@@ -143,7 +151,9 @@
     }
     let head_bytes: usize =
         response.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-    shared.traffic.received(Purpose::Probe, RESPONSE_FRAMING_BYTES + head_bytes + bytes.len());
+    shared
+        .traffic
+        .count_received(Purpose::Probe, RESPONSE_FRAMING_BYTES + head_bytes + bytes.len());
     let status = response.head.status;
     shared.backends.finish(response);
     Ok((status, bytes))
--- a/src/instance/homes/permit_streams.rs
+++ b/src/instance/homes/permit_streams.rs
@@ -9,7 +9,7 @@
     contract::permit::{PermitId, Reply},
     link::{
         peer::StreamSender,
-        wire::{Hello, HomeMessage, NumberedReply, ReplyWire, short},
+        wire::{Hello, HomeMessage, NumberedReply, ReplyWire, wire_number},
     },
     names::Tag,
     utils::sync::lock,
@@ -55,7 +55,7 @@
     pub fn close(&self, home: Tag) {
         let slot = lock(&self.homes).get(&home).cloned();
         if let Some(end) = slot.and_then(|slot| lock(&slot).take()) {
-            end.sender.cut();
+            end.sender.shutdown();
         }
     }
 
@@ -77,12 +77,12 @@
         let end = lock(&self.entries).get(&id.entry).cloned();
         // An entry whose stream has closed repeats its request with the same number.
         let Some(end) = end else { return };
-        let reply = NumberedReply { number: short(id.number), reply: ReplyWire::of(reply) };
+        let reply = NumberedReply { number: wire_number(id.number), reply: ReplyWire::new(reply) };
         let hello = end.hello_if_changed(hello);
         end.sender.send(&HomeMessage {
             hello,
             replies: vec![reply],
-            want_announcement: Vec::new(),
+            request_announcement: Vec::new(),
         });
     }
 }
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -10,7 +10,9 @@
     clock::Clock,
     contract::permit::{AnnouncedPermit, PermitId, Reply},
     instance::cluster_state::snapshot::Snapshot,
-    link::wire::{Announcement, Hello, Memory, NumberedReply, ReplyWire, ShardBatch, short},
+    link::wire::{
+        Announcement, Hello, NumberedReply, ReplyWire, ShardBatch, ShardChatLocations, wire_number,
+    },
     names::Tag,
     utils::sync::lock,
     zone::{
@@ -38,7 +40,7 @@
     /// Replies to the permit requests of the batch, and to earlier ones of the same entry.
     pub replies: Vec<NumberedReply>,
     /// Whether the entry is to announce all permits that it holds.
-    pub want_announcement: bool,
+    pub request_announcement: bool,
 }
 
 type Deliver = dyn Fn(PermitId, Reply) + Send + Sync;
@@ -119,7 +121,7 @@
                 let full_number = |number: u32| hello.permit(number).number;
                 let held = held
                     .into_iter()
-                    .map(|h| AnnouncedPermit { number: full_number(short(h.number)), ..h })
+                    .map(|h| AnnouncedPermit { number: full_number(wire_number(h.number)), ..h })
                     .collect();
                 let pending = pending.into_iter().map(full_number).collect();
                 actions.extend(home.handle(now, Event::Announce(hello.from, held, pending)));
@@ -127,9 +129,11 @@
             if let Some(held) = batch.held {
                 actions.extend(home.handle(now, Event::HeldCount(hello.from, held as usize)));
             }
-            for ask in batch.asks {
-                let policy = snapshot.team_policy(ask.team);
-                actions.extend(home.handle(now, Event::PermitRequest(ask.into_ask(hello), policy)));
+            for request in batch.requests {
+                let policy = snapshot.team_policy(request.team);
+                actions.extend(
+                    home.handle(now, Event::PermitRequest(request.into_request(hello), policy)),
+                );
             }
         }
         Some(self.dispatch(actions, Some(hello.from)))
@@ -233,7 +237,7 @@
         snapshot: &Snapshot,
         count_max: usize,
         replica_of: impl Fn(&Shard) -> Option<Tag>,
-    ) -> Vec<(Tag, Memory)> {
+    ) -> Vec<(Tag, ShardChatLocations)> {
         let mut changed = Vec::new();
         for (id, slot) in self.all_slots() {
             let Some(to) = snapshot.shard(id).and_then(&replica_of) else { continue };
@@ -241,20 +245,20 @@
             if lock(&slot.replica).replace(to) != Some(to) {
                 home.chat_locations_mut().mark_all_unreplicated();
             }
-            let places = home.chat_locations_mut().take_unreplicated(count_max);
-            if !places.is_empty() {
-                changed.push((to, Memory { shard: id, places }));
+            let locations = home.chat_locations_mut().take_unreplicated(count_max);
+            if !locations.is_empty() {
+                changed.push((to, ShardChatLocations { shard: id, locations }));
             }
         }
         changed
     }
 
     /// Applies chat locations received from another instance.
-    pub fn apply_replicated(&self, memory: Memory, snapshot: &Snapshot) {
-        let Some(slot) = self.slot(memory.shard, snapshot) else { return };
+    pub fn apply_replicated(&self, chat_locations: ShardChatLocations, snapshot: &Snapshot) {
+        let Some(slot) = self.slot(chat_locations.shard, snapshot) else { return };
         let now = self.clock.now();
         *lock(&slot.last_used) = now;
-        lock(&slot.home).handle(now, Event::ReplicatedChats(memory.locations));
+        lock(&slot.home).handle(now, Event::ReplicatedChats(chat_locations.locations));
     }
 
     fn all_slots(&self) -> Vec<(ShardId, Arc<HomeSlot>)> {
@@ -333,10 +337,12 @@
         let mut batch_reply = BatchReply::default();
         for action in actions {
             match action {
-                Action::RequestAnnouncement(_) => batch_reply.want_announcement = true,
+                Action::RequestAnnouncement(_) => batch_reply.request_announcement = true,
                 Action::Reply(id, reply) if Some(id.entry) == current_entry => {
-                    let reply = ReplyWire::of(reply);
-                    batch_reply.replies.push(NumberedReply { number: short(id.number), reply });
+                    let reply = ReplyWire::new(reply);
+                    batch_reply
+                        .replies
+                        .push(NumberedReply { number: wire_number(id.number), reply });
                 }
                 Action::Reply(id, reply) => (self.deliver)(id, reply),
             }
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -76,7 +76,7 @@
         reply.hello = end.hello_if_changed(shared.hello());
         let has_content = reply.hello.is_some()
             || !reply.replies.is_empty()
-            || !reply.want_announcement.is_empty();
+            || !reply.request_announcement.is_empty();
         if has_content && !end.sender.send(&reply) {
             break;
         }
@@ -94,12 +94,12 @@
     let snapshot = shared.snapshot.load_full();
     for batch in batches {
         let shard = batch.shard;
-        let numbers: Vec<u32> = batch.asks.iter().map(|ask| ask.number).collect();
+        let numbers: Vec<u32> = batch.requests.iter().map(|request| request.number).collect();
         match snapshot.as_ref().and_then(|s| shared.homes.handle_batch(hello, batch, s)) {
             Some(reply) => {
                 message.replies.extend(reply.replies);
-                if reply.want_announcement {
-                    message.want_announcement.push(shard);
+                if reply.request_announcement {
+                    message.request_announcement.push(shard);
                 }
             }
             // The sender has a newer revision, which this instance is still fetching.
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -143,10 +143,10 @@
             let age = self.shared.drain.age(self.shared.clock.now());
             age.is_none_or(|age| age >= timeouts.drain.0)
         };
-        while self.callers.open() > 0 && !over() && !abort() {
+        while self.callers.open_connections() > 0 && !over() && !abort() {
             thread::sleep(background::TICK);
         }
-        let clean = self.callers.open() == 0;
+        let clean = self.callers.open_connections() == 0;
         while self.shared.claims.deferred() > 0 && !over() && !abort() {
             thread::sleep(background::TICK);
         }
@@ -174,8 +174,8 @@
             credentials: Some(&shared.settings.credentials.peers),
             timeout: shared.settings.timeouts.peer.0,
             traffic: &shared.traffic,
-            answer: |path: &str, body: &[u8]| peer_server::handle_call(shared, path, body),
-            stream: |sender, receiver| streams::serve(shared, sender, receiver),
+            handle_call: |path: &str, body: &[u8]| peer_server::handle_call(shared, path, body),
+            handle_stream: |sender, receiver| streams::serve(shared, sender, receiver),
             purpose: peer_server::purpose,
         };
         peer::serve(conn, &service);
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -240,7 +240,7 @@
             "CONNECT and TRACE are not passed on",
         )));
     }
-    let team = head.bearer().and_then(|key| snapshot.team_by_key(key)).cloned();
+    let team = head.bearer_token().and_then(|key| snapshot.team_by_key(key)).cloned();
     let Some(team) = team else {
         return Err(not_taken(Refusal::not_run(
             401,
--- a/src/instance/shared.rs
+++ b/src/instance/shared.rs
@@ -50,13 +50,13 @@
     /// Metrics of the instance.
     pub metrics: Metrics,
     /// Counter of the bytes of control traffic, for the metrics.
-    pub traffic: Traffic,
+    pub traffic: TrafficCounter,
     /// Table, object store and membership list of the platform.
     pub platform: Platform,
     /// Connections to other instances.
-    pub peers: PeerLinks,
+    pub peers: PeerClient,
     /// Connections to backend servers.
-    pub backends: BackendLinks,
+    pub backends: BackendPool,
     /// The active file, indexed for requests.
     pub snapshot: ArcSwapOption<Snapshot>,
     /// The active revision and the newest one known.
