--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -114,15 +114,15 @@
 }
 
 fn config_loop(shared: &Arc<Shared>, waker: &Waker) -> Duration {
-    if let Err(fault) = config::sync(shared) {
-        log::debug!("cannot update the configuration: {fault}");
+    if let Err(error) = config::sync(shared) {
+        log::debug!("cannot update the configuration: {error}");
     }
     let ready = shared.snapshot.load().is_some();
     let pause = if ready { jittered(shared.settings.timeouts.revision_poll.0) } else { TICK };
     if waker.wait(pause)
-        && let Err(fault) = config::sync_from_peers(shared)
+        && let Err(error) = config::sync_from_peers(shared)
     {
-        log::debug!("cannot update the configuration from peers: {fault}");
+        log::debug!("cannot update the configuration from peers: {error}");
     }
     Duration::ZERO
 }
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -73,8 +73,8 @@
 }
 
 impl From<PlatformError> for ApplyError {
-    fn from(fault: PlatformError) -> ApplyError {
-        ApplyError::Store(fault.to_string())
+    fn from(error: PlatformError) -> ApplyError {
+        ApplyError::Store(error.to_string())
     }
 }
 
@@ -102,8 +102,8 @@
         Ok(fleet) => apply_fleet(shared, text, &fleet, base, by),
         Err(faults) => Err(ApplyError::Faults(faults)),
     };
-    if let Err(fault) = &result {
-        audit_refusal(shared, by, fault);
+    if let Err(error) = &result {
+        audit_refusal(shared, by, error);
     }
     result
 }
@@ -235,14 +235,14 @@
     match shared.platform.table.transact(operations) {
         Ok(TransactReply::Committed) => Ok(true),
         Ok(TransactReply::Conflict { .. }) => Ok(false),
-        Err(fault) if fault.may_have_taken_effect() => read_back(shared, head, &fault),
-        Err(fault) => Err(fault.into()),
+        Err(error) if error.may_have_taken_effect() => read_back(shared, head, &error),
+        Err(error) => Err(error.into()),
     }
 }
 
 /// Determines after a lost reply whether the write took effect. The audit row of this apply shows it, even if
 /// another apply has followed.
-fn read_back(shared: &Shared, head: &Head, fault: &PlatformError) -> Result<bool, ApplyError> {
+fn read_back(shared: &Shared, head: &Head, error: &PlatformError) -> Result<bool, ApplyError> {
     let unknown = |e: PlatformError| ApplyError::Unknown(e.to_string());
     let audit = shared.platform.table.get(&audit_key(head.at, &head.apply)).map_err(unknown)?;
     if audit.is_some() {
@@ -254,21 +254,21 @@
         // Another apply has written this revision, so this write can no longer take effect.
         return Ok(false);
     }
-    Err(ApplyError::Unknown(fault.to_string()))
+    Err(ApplyError::Unknown(error.to_string()))
 }
 
 fn activate(shared: &Shared, head: Head) {
     let head_revision = head.revision;
-    if let Err(fault) = config::install(shared, head) {
+    if let Err(error) = config::install(shared, head) {
         log::warn!(
-            "revision {head_revision} is stored, but not yet active on this instance: {fault}"
+            "revision {head_revision} is stored, but not yet active on this instance: {error}"
         );
         (shared.wake_config)();
     }
 }
 
-fn audit_refusal(shared: &Shared, by: &str, fault: &ApplyError) {
+fn audit_refusal(shared: &Shared, by: &str, error: &ApplyError) {
     let at = shared.clock.wall_millis();
-    let action = AuditAction::Refused { from: shared.revision(), reason: fault.to_string() };
+    let action = AuditAction::Refused { from: shared.revision(), reason: error.to_string() };
     audit_trail::append(shared, &AuditRow { at, by: by.to_owned(), action });
 }
--- a/src/instance/cluster_state/audit_trail.rs
+++ b/src/instance/cluster_state/audit_trail.rs
@@ -11,10 +11,10 @@
 /// Appends a row to the audit trail; if the store does not accept it, it is only logged.
 pub fn append(shared: &Shared, row: &AuditRow) {
     let key = audit_key(row.at, &shared.next_request_id());
-    if let Err(fault) =
+    if let Err(error) =
         shared.platform.table.transact(vec![Operation::create(key, encode_json(row))])
     {
-        log::warn!("the store did not accept an audit row ({fault}): {row}");
+        log::warn!("the store did not accept an audit row ({error}): {row}");
     }
 }
 
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -78,10 +78,10 @@
 pub fn sync(shared: &Shared) -> Result<(), SyncError> {
     let from_store = match shared.platform.table.get(HEAD_KEY) {
         Ok(row) => row.and_then(|row| decode::<Head>(&row.value).ok()).into_iter().collect(),
-        Err(fault) => {
+        Err(error) => {
             let heads = fetch_peer_heads(shared);
             if heads.is_empty() && shared.snapshot.load().is_none() {
-                return Err(SyncError::NoHead(fault));
+                return Err(SyncError::NoHead(error));
             }
             heads
         }
--- a/src/instance/cluster_state/gossip.rs
+++ b/src/instance/cluster_state/gossip.rs
@@ -32,8 +32,8 @@
             lock(&shared.membership).apply_list(page.version, page.changed);
         }
         Ok(_) => {}
-        Err(fault) => {
-            log::debug!("cannot read the membership list: {fault}");
+        Err(error) => {
+            log::debug!("cannot read the membership list: {error}");
             if lock(&shared.membership).peers().next().is_none() {
                 query_seeds(shared);
             }
@@ -140,8 +140,8 @@
         Ok(reply) => {
             handle_heartbeat(shared, &reply);
         }
-        Err(fault) => {
-            log::debug!("heartbeat failed: {fault}");
+        Err(error) => {
+            log::debug!("heartbeat failed: {error}");
             lock(&shared.membership).note_failure(shared.clock.now(), peer);
         }
     }
--- a/src/instance/cluster_state/peer_server.rs
+++ b/src/instance/cluster_state/peer_server.rs
@@ -52,7 +52,7 @@
         STATUS_PATH => Ok(encode(&status::own(shared))),
         EXPLAIN_PATH => {
             let name = decode(body).map_err(bad_request)?;
-            explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|fault| fault.status())
+            explain::explain_here(shared, &name).map(|e| encode(&e)).map_err(|error| error.status())
         }
         DRAIN_PATH => {
             shared.drain.start(shared.clock.now());
--- a/src/instance/homes/orders.rs
+++ b/src/instance/homes/orders.rs
@@ -212,13 +212,13 @@
             orders.rollout.note_ordered(now, tag);
             "taken".to_owned()
         }
-        Err(fault) => {
+        Err(error) => {
             orders.rollout.note_failure(now, tag);
-            if fault.is_fenced() {
+            if error.is_fenced() {
                 // Another instance holds a newer lease.
                 orders.lease.note_not_written();
             }
-            fault.to_string()
+            error.to_string()
         }
     };
     let models: Vec<String> =
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -40,8 +40,8 @@
     let address = lock(&shared.membership).peer(home).map(|p| p.address)?;
     let (sender, receiver) = match shared.peers.open_stream(Purpose::Permits, address) {
         Ok(stream) => stream,
-        Err(fault) => {
-            log::debug!("cannot open the permit stream to a home: {fault}");
+        Err(error) => {
+            log::debug!("cannot open the permit stream to a home: {error}");
             return None;
         }
     };
@@ -52,8 +52,8 @@
         .name("home-stream".to_owned())
         .stack_size(READER_STACK_BYTES)
         .spawn(move || read_replies(&weak, home, receiver, &reader_slot, &reader_end));
-    if let Err(fault) = spawned {
-        log::warn!("cannot start the reader thread of the permit stream to a home: {fault}");
+    if let Err(error) = spawned {
+        log::warn!("cannot start the reader thread of the permit stream to a home: {error}");
         return None;
     }
     *opened = Some(Arc::clone(&end));
