--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -1,4 +1,4 @@
-//! Builds what the parts of an instance share.
+//! Builds the state that the parts of an instance share.
 
 use std::{
     collections::HashMap,
@@ -12,10 +12,11 @@
     context::Context,
     contract::{membership::Membership, revision::ActiveRevision},
     instance::{
+        cluster_state::{config::Waker, objects::ObjectCache},
         homes::{
-            links::HomeLinks, order_state::Orders, shards::HomeShards, streams, table::HomeTable,
+            order_state::Orders, permit_streams::PermitStreams, shards::HomeShards, streams,
+            table::HomeTable,
         },
-        knowledge::{config::Waker, objects::ObjectCache},
         requests::{
             claims::Claims,
             permit_client::{HomeTransport, PermitClient},
@@ -33,7 +34,7 @@
     zone::homes::Candidate,
 };
 
-/// Opens the platform that the settings name; `traffic` is told the bytes of every exchange.
+/// Opens the platform that the settings name; `traffic` counts the bytes of every call to it.
 pub(super) fn open_platform(settings: &Settings, traffic: &TrafficCounter) -> Platform {
     match settings.platform {
         PlatformSettings::Embedded => EmbeddedPlatform::new().platform(),
@@ -51,7 +52,7 @@
     }
 }
 
-/// Builds what the parts of an instance share; the desk and the homes are given to each other.
+/// Builds the state that the parts of an instance share, and connects the desk and the homes to each other.
 pub(super) fn build_shared(
     settings: Settings,
     context: &Context,
@@ -68,19 +69,19 @@
         PeerClient::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
     let own = Candidate { id: settings.id.clone(), tag, zone: settings.zone.clone() };
     let waker = Arc::clone(waker);
-    // The desk and the homes speak to each other through the instance, which holds both.
+    // The desk and the homes reach each other through the shared state, which owns both.
     let this: Arc<OnceLock<Weak<Shared>>> = Arc::default();
-    let reply_time = settings.timeouts.peer.0;
+    let reply_timeout = settings.timeouts.peer.0;
     let permit_client =
-        PermitClient::new(tag, incarnation, reply_time, clock.clone(), home_transport(&this));
-    let late = Arc::clone(&this);
-    let remembered = settings.limits.remembered_chats as usize;
-    let homes = HomeShards::new(clock.clone(), remembered, move |id, reply| {
-        let Some(shared) = upgrade(&late) else { return };
+        PermitClient::new(tag, incarnation, reply_timeout, clock.clone(), home_transport(&this));
+    let homes_this = Arc::clone(&this);
+    let chats_max = settings.limits.remembered_chats as usize;
+    let homes = HomeShards::new(clock.clone(), chats_max, move |id, reply| {
+        let Some(shared) = upgrade(&homes_this) else { return };
         if id.entry == tag {
             shared.permit_client.handle_own_reply(id, reply);
         } else {
-            shared.home_links.reply(shared.hello(), id, reply);
+            shared.permit_streams.send_reply(shared.hello(), id, reply);
         }
     });
     let shared = Arc::new(Shared {
@@ -95,22 +96,22 @@
         platform,
         peers,
         snapshot: ArcSwapOption::empty(),
-        in_force: Mutex::new(ActiveRevision::default()),
+        active_revision: Mutex::new(ActiveRevision::default()),
         objects: ObjectCache::default(),
         home_table: Mutex::new(HomeTable::default()),
         membership: Mutex::new(Membership::new(own)),
         permit_client,
         homes,
-        home_links: HomeLinks::default(),
+        permit_streams: PermitStreams::default(),
         orders: Orders::default(),
-        installed: Mutex::new(None),
+        installed_at: Mutex::new(None),
         budgets: Mutex::new(HashMap::new()),
         baselines: Mutex::new(HashMap::new()),
         advertised: OnceLock::new(),
         drain: DrainState::default(),
         usage: Usage::default(),
         request_counter: AtomicU64::new(1),
-        wake_sync: Arc::new(move || waker.wake()),
+        wake_config: Arc::new(move || waker.wake()),
     });
     // Set once, here.
     let _ = this.set(Arc::downgrade(&shared));
@@ -122,20 +123,20 @@
 }
 
 fn home_transport(this: &Arc<OnceLock<Weak<Shared>>>) -> HomeTransport {
-    let (sends, cuts) = (Arc::clone(this), Arc::clone(this));
+    let (send_this, cut_this) = (Arc::clone(this), Arc::clone(this));
     HomeTransport {
         send: Box::new(move |home, batches| {
-            let Some(shared) = upgrade(&sends) else { return false };
+            let Some(shared) = upgrade(&send_this) else { return false };
             if home != shared.tag {
                 return streams::send(&shared, home, batches);
             }
-            let answer = streams::take_batches(&shared, &shared.hello(), batches);
-            shared.permit_client.handle_message(home, answer);
+            let reply = streams::handle_batches(&shared, &shared.hello(), batches);
+            shared.permit_client.handle_message(home, reply);
             true
         }),
         disconnect: Box::new(move |home| {
-            if let Some(shared) = upgrade(&cuts) {
-                shared.home_links.cut(home);
+            if let Some(shared) = upgrade(&cut_this) {
+                shared.permit_streams.close(home);
             }
         }),
     }
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -1,4 +1,4 @@
-//! Learns of new revisions, fetches them from peers or the store, and puts them in force.
+//! Polls for new revisions, fetches them from peers or the store, and activates them.
 
 use std::{
     sync::{Arc, Condvar, Mutex},
@@ -9,7 +9,7 @@
     configs::fleet::chunks::{Digest, Manifest, decode, load},
     contract::revision::{HEAD_KEY, Head},
     instance::{
-        knowledge::{gossip, snapshot::Snapshot},
+        cluster_state::{gossip, snapshot::Snapshot},
         shared::Shared,
     },
     link::{
@@ -20,100 +20,100 @@
     utils::sync::lock,
 };
 
-/// Peers asked for an object before the store is.
-const PEERS_ASKED: usize = 2;
+/// Peers that are asked for an object before the store.
+const OBJECT_PEERS: usize = 2;
 
-/// Peers asked for their head when the store does not answer.
+/// Peers that are asked for their head when the store does not reply.
 const HEAD_PEERS: usize = 5;
 
-/// Lets other threads ask the configuration thread to look now.
+/// Wakes the configuration thread before its next poll is due.
 #[derive(Debug, Default)]
 pub struct Waker {
-    asked: Mutex<bool>,
+    requested: Mutex<bool>,
     woken: Condvar,
 }
 
 impl Waker {
-    /// Asks for a look now.
+    /// Requests a poll now.
     pub fn wake(&self) {
-        *lock(&self.asked) = true;
+        *lock(&self.requested) = true;
         self.woken.notify_all();
     }
 
-    /// Waits until asked, at most `most`; returns whether it was asked.
-    pub fn wait(&self, most: Duration) -> bool {
-        let mut asked = lock(&self.asked);
-        if !*asked {
-            asked = match self.woken.wait_timeout(asked, most) {
-                Ok((asked, _)) => asked,
+    /// Waits for a request for at most `timeout`; returns whether there was one.
+    pub fn wait(&self, timeout: Duration) -> bool {
+        let mut requested = lock(&self.requested);
+        if !*requested {
+            requested = match self.woken.wait_timeout(requested, timeout) {
+                Ok((requested, _)) => requested,
                 Err(poisoned) => poisoned.into_inner().0,
             };
         }
-        std::mem::take(&mut *asked)
+        std::mem::take(&mut *requested)
     }
 }
 
-/// Why a revision could not be put in force now.
+/// Why a revision could not be activated now.
 #[derive(Debug, thiserror::Error)]
-pub enum SyncFault {
-    /// Neither the store nor a peer has told a head.
+pub enum SyncError {
+    /// Neither the store nor a peer returned a head.
     #[error("no head was learned: {0}; the instance is ready once the store or a peer answers")]
     NoHead(PlatformError),
-    /// An object is nowhere to be had.
+    /// An object is available neither at the peers asked nor in the store.
     #[error("object {0} is at no peer and not in the store; it is looked for again")]
     Missing(Digest),
-    /// The stored form cannot be read.
+    /// The stored objects cannot be decoded into a file.
     #[error(transparent)]
     Stored(#[from] crate::configs::fleet::chunks::StoredError),
-    /// The manifest cannot be read.
+    /// The manifest cannot be decoded.
     #[error("the manifest cannot be read ({0}); apply the file again with this version")]
     Manifest(#[from] rmp_serde::decode::Error),
 }
 
-/// Looks for a newer revision once, and puts it in force.
+/// Polls once for a newer revision, at the peers if the store fails, and activates it.
 ///
 /// # Errors
 ///
-/// See [`SyncFault`]; what is in force stays.
-pub fn sync(shared: &Shared) -> Result<(), SyncFault> {
+/// See [`SyncError`]; the active revision stays.
+pub fn sync(shared: &Shared) -> Result<(), SyncError> {
     let from_store = match shared.platform.table.get(HEAD_KEY) {
         Ok(row) => row.and_then(|row| decode::<Head>(&row.value).ok()).into_iter().collect(),
-        Err(fault) => {
-            let heads = heads_of_peers(shared);
+        Err(error) => {
+            let heads = fetch_peer_heads(shared);
             if heads.is_empty() && shared.snapshot.load().is_none() {
-                return Err(SyncFault::NoHead(fault));
+                return Err(SyncError::NoHead(error));
             }
             heads
         }
     };
-    learn(shared, from_store)
+    install_newest(shared, from_store)
 }
 
-/// Asks peers that told of a newer revision, without the store.
+/// Polls peers, but not the store, for a newer revision, and activates it.
 ///
 /// # Errors
 ///
-/// See [`SyncFault`]; what is in force stays.
-pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncFault> {
-    learn(shared, heads_of_peers(shared))
+/// See [`SyncError`]; the active revision stays.
+pub fn sync_from_peers(shared: &Shared) -> Result<(), SyncError> {
+    install_newest(shared, fetch_peer_heads(shared))
 }
 
-fn learn(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncFault> {
-    let wanted = {
-        let mut in_force = lock(&shared.in_force);
+fn install_newest(shared: &Shared, heads: Vec<Head>) -> Result<(), SyncError> {
+    let pending = {
+        let mut active_revision = lock(&shared.active_revision);
         for head in heads {
-            in_force.note_head(head);
+            active_revision.note_head(head);
         }
-        in_force.pending().cloned()
+        active_revision.pending().cloned()
     };
-    match wanted {
+    match pending {
         Some(head) => install(shared, head),
         None => Ok(()),
     }
 }
 
-fn heads_of_peers(shared: &Shared) -> Vec<Head> {
-    let ask = |address| {
+fn fetch_peer_heads(shared: &Shared) -> Vec<Head> {
+    let fetch_head = |address| {
         let reply = shared.peers.call::<FetchReply>(
             Purpose::Config,
             address,
@@ -125,55 +125,55 @@
             _ => None,
         }
     };
-    peer_addresses(shared, HEAD_PEERS).into_iter().filter_map(ask).collect()
+    peer_addresses(shared, HEAD_PEERS).into_iter().filter_map(fetch_head).collect()
 }
 
-fn peer_addresses(shared: &Shared, most: usize) -> Vec<std::net::SocketAddr> {
+fn peer_addresses(shared: &Shared, count: usize) -> Vec<std::net::SocketAddr> {
     let now = shared.clock.now();
     let membership = lock(&shared.membership);
     let mut peers: Vec<_> =
         membership.peers().filter(|p| !p.is_suspect(now)).map(|p| p.address).collect();
     fastrand::shuffle(&mut peers);
-    peers.truncate(most);
+    peers.truncate(count);
     peers
 }
 
-/// Fetches what is missing of a revision and puts it in force.
+/// Fetches the missing objects of a revision and activates it.
 ///
 /// # Errors
 ///
-/// See [`SyncFault`]; what is in force stays.
-pub fn install(shared: &Shared, head: Head) -> Result<(), SyncFault> {
-    let manifest_bytes = object(shared, &head.manifest)?;
+/// See [`SyncError`]; the active revision stays.
+pub fn install(shared: &Shared, head: Head) -> Result<(), SyncError> {
+    let manifest_bytes = fetch_object(shared, &head.manifest)?;
     let manifest: Manifest = decode(&manifest_bytes)?;
     for chunk in &manifest.chunks {
-        object(shared, chunk)?;
+        fetch_object(shared, chunk)?;
     }
     let fleet = load(&manifest, |name| shared.objects.get(name))?;
     let snapshot = Arc::new(Snapshot::new(head.clone(), fleet));
     {
-        // Held while the snapshot is swapped, so that an older one never follows a newer one.
-        let mut in_force = lock(&shared.in_force);
-        if !in_force.install(head.clone()) {
+        // Locked while the snapshot is swapped, so that an older one never replaces a newer one.
+        let mut active_revision = lock(&shared.active_revision);
+        if !active_revision.install(head.clone()) {
             return Ok(());
         }
         shared.snapshot.store(Some(Arc::clone(&snapshot)));
-        *lock(&shared.installed) = Some(shared.clock.now());
+        *lock(&shared.installed_at) = Some(shared.clock.now());
     }
     shared.objects.keep_only(&head.manifest, &manifest);
-    shared.homes.install(&snapshot);
+    shared.homes.apply_revision(&snapshot);
     shared.metrics.revision(head.revision.0);
-    log::info!("revision {} in force, applied by {}", head.revision, head.by);
-    gossip::spread_news(shared);
+    log::info!("revision {} is active, applied by {}", head.revision, head.by);
+    gossip::announce_revision(shared);
     Ok(())
 }
 
-/// Returns an object from memory, a peer or the store; its digest is checked wherever it came from.
-fn object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncFault> {
+/// Returns an object from the cache, a peer or the store; its digest is checked wherever it came from.
+fn fetch_object(shared: &Shared, name: &Digest) -> Result<Vec<u8>, SyncError> {
     if let Some(bytes) = shared.objects.get(name) {
         return Ok(bytes);
     }
-    for address in peer_addresses(shared, PEERS_ASKED) {
+    for address in peer_addresses(shared, OBJECT_PEERS) {
         let request = FetchRequest::Object(*name);
         let reply = shared.peers.call::<FetchReply>(Purpose::Config, address, FETCH_PATH, &request);
         if let Ok(FetchReply::Object(Some(bytes))) = reply
@@ -185,7 +185,7 @@
     let stored = shared.platform.objects.get(&object_key(name)).ok().flatten();
     match stored {
         Some(bytes) if shared.objects.put(*name, bytes.clone()) => Ok(bytes),
-        _ => Err(SyncFault::Missing(*name)),
+        _ => Err(SyncError::Missing(*name)),
     }
 }
 
--- a/src/instance/knowledge/peers.rs
+++ b/src/instance/cluster_state/peer_server.rs
@@ -1,9 +1,9 @@
-//! Answers other instances.
+//! Serves the calls of other instances.
 
 use crate::{
     configs::fleet::chunks::{decode, encode},
     instance::{
-        knowledge::gossip,
+        cluster_state::gossip,
         operators::{explain, status},
         shared::Shared,
     },
@@ -18,53 +18,53 @@
     utils::sync::lock,
 };
 
-/// Status told to a peer whose message cannot be read.
-const BAD_MESSAGE: u16 = 400;
+/// HTTP status for a message that cannot be decoded.
+const BAD_REQUEST: u16 = 400;
 
-/// Status told to a peer that asks for something unknown.
-const UNKNOWN: u16 = 404;
+/// HTTP status for an unknown path.
+const NOT_FOUND: u16 = 404;
 
-/// Answers one message.
+/// Handles one call and returns the body of the response.
 ///
 /// # Errors
 ///
-/// The HTTP status to refuse it with.
-pub fn answer(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
-    let bad = |_| BAD_MESSAGE;
+/// The HTTP status to reject the call with.
+pub fn handle_call(shared: &Shared, path: &str, body: &[u8]) -> Result<Vec<u8>, u16> {
+    let bad_request = |_| BAD_REQUEST;
     match path {
         HEARTBEAT_PATH => {
-            let heartbeat: Heartbeat = decode(body).map_err(bad)?;
-            Ok(encode(&gossip::take_heartbeat(shared, &heartbeat)))
+            let heartbeat: Heartbeat = decode(body).map_err(bad_request)?;
+            Ok(encode(&gossip::handle_heartbeat(shared, &heartbeat)))
         }
         LOADS_PATH => {
-            let message: LoadsMessage = decode(body).map_err(bad)?;
-            shared.greeted(&message.hello);
-            gossip::take_loads(shared, &message.loads);
+            let message: LoadsMessage = decode(body).map_err(bad_request)?;
+            shared.note_hello(&message.hello);
+            gossip::apply_loads(shared, &message.loads);
             Ok(encode(&()))
         }
         CHAT_LOCATIONS_PATH => {
-            let message: ChatLocationsMessage = decode(body).map_err(bad)?;
-            shared.greeted(&message.hello);
-            gossip::take_memories(shared, message.shards);
+            let message: ChatLocationsMessage = decode(body).map_err(bad_request)?;
+            shared.note_hello(&message.hello);
+            gossip::apply_replicated_chats(shared, message.shards);
             Ok(encode(&()))
         }
-        FETCH_PATH => Ok(encode(&fetch(shared, &decode(body).map_err(bad)?))),
+        FETCH_PATH => Ok(encode(&fetch(shared, &decode(body).map_err(bad_request)?))),
         STATUS_PATH => Ok(encode(&status::instance_status(shared))),
         EXPLAIN_PATH => {
-            let name = decode(body).map_err(bad)?;
+            let name = decode(body).map_err(bad_request)?;
             explain::explain_locally(shared, &name)
                 .map(|e| encode(&e))
-                .map_err(|fault| fault.status())
+                .map_err(|error| error.status())
         }
         DRAIN_PATH => {
             shared.drain.start(shared.clock.now());
             Ok(encode(&()))
         }
-        _ => Err(UNKNOWN),
+        _ => Err(NOT_FOUND),
     }
 }
 
-/// Returns what a message on `path` is for.
+/// Returns the purpose of the messages on `path`, for the traffic metrics.
 pub fn purpose(path: &str) -> Purpose {
     match path {
         HEARTBEAT_PATH => Purpose::Heartbeat,
@@ -78,9 +78,9 @@
 
 fn fetch(shared: &Shared, request: &FetchRequest) -> FetchReply {
     match request {
-        FetchRequest::Head => FetchReply::Head(lock(&shared.in_force).installed().cloned()),
+        FetchRequest::Head => FetchReply::Head(lock(&shared.active_revision).installed().cloned()),
         FetchRequest::Members(member) => {
-            FetchReply::Members(gossip::take_introduction(shared, member.clone()))
+            FetchReply::Members(gossip::handle_introduction(shared, member.clone()))
         }
         FetchRequest::Object(name) => FetchReply::Object(shared.objects.get(name).map(Into::into)),
     }
--- a/src/instance/homes/table.rs
+++ b/src/instance/homes/table.rs
@@ -1,4 +1,4 @@
-//! Which instance is the home of which shard, worked out once and looked up many times.
+//! Mapping of shards to home instances, cached for lookups.
 
 use std::{
     collections::HashMap,
@@ -7,7 +7,7 @@
 
 use crate::{
     contract::membership::Membership,
-    instance::knowledge::snapshot::Snapshot,
+    instance::cluster_state::snapshot::Snapshot,
     names::Tag,
     units::Revision,
     zone::{
@@ -16,20 +16,20 @@
     },
 };
 
-/// Age at which the table is worked out anew, since suspicions end by time.
-const AGE_MAX: Duration = Duration::from_millis(250);
+/// Age at which the table is rebuilt even without changes, since suspicions of instances expire with time.
+const TABLE_MAX_AGE: Duration = Duration::from_millis(250);
 
-/// Homes of all shards by one view of the members and one revision.
+/// Homes of all shards, computed from one state of the membership and one revision.
 #[derive(Debug, Default)]
 pub struct HomeTable {
     homes: HashMap<ShardId, Tag>,
-    made_of: Option<(u64, Revision, Instant)>,
+    built_from: Option<(u64, Revision, Instant)>,
 }
 
 impl HomeTable {
-    /// Returns the home of a shard by the view of the moment.
+    /// Returns the home of a shard by the current membership.
     ///
-    /// Homes of all shards are worked out when the members or the revision have changed.
+    /// Rebuilds the table when the membership or the revision has changed, or the table is too old.
     pub fn home_of(
         &mut self,
         now: Instant,
@@ -37,19 +37,19 @@
         snapshot: &Snapshot,
         shard: &Shard,
     ) -> Tag {
-        let current = self.made_of.is_some_and(|(changes, revision, at)| {
+        let current = self.built_from.is_some_and(|(changes, revision, at)| {
             changes == members.changes()
                 && revision == snapshot.revision()
-                && now.saturating_duration_since(at) < AGE_MAX
+                && now.saturating_duration_since(at) < TABLE_MAX_AGE
         });
         if !current {
-            self.make(now, members, snapshot);
+            self.rebuild(now, members, snapshot);
         }
-        // A shard of another revision than the one in force is worked out by itself.
+        // A shard that is not in the active revision is computed on its own.
         self.homes.get(&shard.id).copied().unwrap_or_else(|| home(now, members, shard))
     }
 
-    fn make(&mut self, now: Instant, members: &Membership, snapshot: &Snapshot) {
+    fn rebuild(&mut self, now: Instant, members: &Membership, snapshot: &Snapshot) {
         let candidates = members.homes(now);
         let shards = snapshot.services().flat_map(|view| &view.shards);
         self.homes = shards
@@ -58,7 +58,7 @@
                 (shard.id, home.map_or(members.own().tag, |c| c.tag))
             })
             .collect();
-        self.made_of = Some((members.changes(), snapshot.revision(), now));
+        self.built_from = Some((members.changes(), snapshot.revision(), now));
     }
 }
 
--- a/src/instance/operators/api.rs
+++ b/src/instance/operators/api.rs
@@ -10,8 +10,8 @@
     configs::fleet::{Fleet, chunks::Digest, diff::diff},
     contract::revision::HEAD_KEY,
     instance::{
-        knowledge::{
-            apply::{ApplyFault, apply},
+        cluster_state::{
+            apply::{ApplyError, apply},
             audit_trail::append,
             config::object_key,
         },
@@ -50,7 +50,7 @@
     /// What happened and what to do about it.
     pub detail: String,
     /// Why the file was rejected, in responses to an apply or a diff.
-    pub apply: Option<ApplyFault>,
+    pub apply: Option<ApplyError>,
 }
 
 fn problem(status: u16, detail: impl Into<String>) -> Response {
@@ -155,9 +155,9 @@
         Ok(applied) => Response::json(&applied),
         Err(error) => {
             let status = match &error {
-                ApplyFault::Faults(_) => 422,
-                ApplyFault::Moved { .. } => 409,
-                ApplyFault::Store(_) | ApplyFault::Unknown(_) => 503,
+                ApplyError::Faults(_) => 422,
+                ApplyError::Moved { .. } => 409,
+                ApplyError::Store(_) | ApplyError::Unknown(_) => 503,
             };
             Response::json(&Problem { detail: error.to_string(), apply: Some(error) })
                 .with_status_code(status)
@@ -173,7 +173,7 @@
     let fleet = match Fleet::parse(&text) {
         Ok(fleet) => fleet,
         Err(faults) => {
-            let error = ApplyFault::Faults(faults);
+            let error = ApplyError::Faults(faults);
             return Response::json(&Problem { detail: error.to_string(), apply: Some(error) })
                 .with_status_code(422);
         }
@@ -183,7 +183,7 @@
         Some(snapshot) => diff(&snapshot.fleet, &fleet),
         None => diff(&Fleet::default(), &fleet),
     };
-    Response::json(&crate::instance::knowledge::apply::Applied {
+    Response::json(&crate::instance::cluster_state::apply::Applied {
         revision: shared.revision(),
         changes,
     })
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -10,7 +10,7 @@
 use crate::{
     contract::outcome::{Outcome, Refusal},
     instance::{
-        knowledge::snapshot::{ServiceView, Snapshot},
+        cluster_state::snapshot::{ServiceView, Snapshot},
         requests::{
             forward::{self, ForwardResult},
             request::{Request, split_target},
@@ -242,7 +242,7 @@
             "CONNECT and TRACE are not passed on",
         )));
     }
-    let team = head.bearer_token().and_then(|key| snapshot.team_of_key(key)).cloned();
+    let team = head.bearer_token().and_then(|key| snapshot.team_by_key(key)).cloned();
     let Some(team) = team else {
         return Err(rejected(Refusal::not_run(
             401,
--- a/src/instance/requests/forward.rs
+++ b/src/instance/requests/forward.rs
@@ -16,7 +16,7 @@
         retry::{RetryBudget, backoff},
     },
     instance::{
-        knowledge::snapshot::{ServiceView, Snapshot},
+        cluster_state::snapshot::{ServiceView, Snapshot},
         requests::{
             caller_watch::CallerWatch,
             claims::{ClaimDecision, HeldClaim},
