--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    Command, CommandFault, CommandResult, Options,
+    Command, CommandError, CommandResult, Options,
     operator::Operator,
     options::{print_json, read_file},
 };
@@ -76,7 +76,7 @@
         }
         if cx.clock.now() >= until {
             let names: Vec<String> = missing.iter().map(ToString::to_string).collect();
-            return Err(CommandFault::Unreachable(format!(
+            return Err(CommandError::Unreachable(format!(
                 "revision {revision} is accepted; not yet in force at {}; see `cartvane status`",
                 names.join(", ")
             )));
--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -1,7 +1,7 @@
 //! `cartvane audit`: who changed what, when.
 
 use super::{
-    Command, CommandFault, CommandResult, Options, operator::Operator, options::print_json,
+    Command, CommandError, CommandResult, Options, operator::Operator, options::print_json,
 };
 use crate::{audit::AuditRow, context::Context};
 
@@ -44,9 +44,9 @@
     Ok(())
 }
 
-fn millis_of(text: &str) -> Result<String, CommandFault> {
+fn millis_of(text: &str) -> Result<String, CommandError> {
     let time = humantime::parse_rfc3339_weak(text).map_err(|_| {
-        CommandFault::Usage(format!("--since {text:?}: write a time such as 2026-12-02T08:00:00Z"))
+        CommandError::Usage(format!("--since {text:?}: write a time such as 2026-12-02T08:00:00Z"))
     })?;
     let since = time.duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     Ok(since.as_millis().to_string())
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `cartvane check`: checks an operators' file without an instance.
 
 use super::{
-    Command, CommandFault, CommandResult, Options,
+    Command, CommandError, CommandResult, Options,
     options::{print_json, read_file},
 };
 use crate::{configs::fleet::Fleet, context::Context};
@@ -48,7 +48,7 @@
             let count = faults.0.len();
             let lines: Vec<String> =
                 faults.0.iter().map(|fault| format!("{path}:{fault}")).collect();
-            Err(CommandFault::Refused(format!("{count} faults\n{}", lines.join("\n"))))
+            Err(CommandError::Refused(format!("{count} faults\n{}", lines.join("\n"))))
         }
     }
 }
--- a/src/cli/completions.rs
+++ b/src/cli/completions.rs
@@ -1,6 +1,6 @@
 //! `cartvane completions`: completions for a shell.
 
-use super::{COMMANDS, Command, CommandFault, CommandResult, Options};
+use super::{COMMANDS, Command, CommandError, CommandResult, Options};
 use crate::context::Context;
 
 pub(super) const COMMAND: Command = Command {
@@ -22,7 +22,7 @@
         }
         "fish" => fish(),
         other => {
-            return Err(CommandFault::Usage(format!(
+            return Err(CommandError::Usage(format!(
                 "{other:?} is no shell known here; use bash, zsh or fish"
             )));
         }
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,7 +1,7 @@
 //! `cartvane explain`: where a chat would go now, and why.
 
 use super::{
-    Command, CommandFault, CommandResult, Options, operator::Operator, options::print_json,
+    Command, CommandError, CommandResult, Options, operator::Operator, options::print_json,
 };
 use crate::{context::Context, instance::operators::explain::Explanation};
 
@@ -20,8 +20,8 @@
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let mut needed = |name: &'static str| -> Result<String, CommandFault> {
-        options.value(name)?.ok_or_else(|| CommandFault::Usage(format!("{name} is missing")))
+    let mut needed = |name: &'static str| -> Result<String, CommandError> {
+        options.value(name)?.ok_or_else(|| CommandError::Usage(format!("{name} is missing")))
     };
     let (service, team, chat) = (needed("--service")?, needed("--team")?, needed("--chat")?);
     let operator = Operator::open(&mut options, cx)?;
--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -5,7 +5,7 @@
     iterator::Signals,
 };
 
-use super::{Command, CommandFault, CommandResult, Options};
+use super::{Command, CommandError, CommandResult, Options};
 use crate::{
     adapter::settings,
     context::Context,
@@ -31,12 +31,12 @@
     options.done()?;
     // Signals are taken over before anything else, so that none ends the process by default.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
-        .map_err(|e| CommandFault::Refused(format!("cannot watch signals: {e}")))?;
-    let settings = settings::read(cx).map_err(|e| CommandFault::Refused(e.to_string()))?;
+        .map_err(|e| CommandError::Refused(format!("cannot watch signals: {e}")))?;
+    let settings = settings::read(cx).map_err(|e| CommandError::Refused(e.to_string()))?;
     log_sink::start(settings.node.as_str(), level, &cx.clock)
-        .map_err(|e| CommandFault::Refused(e.to_string()))?;
+        .map_err(|e| CommandError::Refused(e.to_string()))?;
     let instance = GatewayHandle::spawn(settings, &cx.clock)
-        .map_err(|e| CommandFault::Refused(format!("{e:#}")))?;
+        .map_err(|e| CommandError::Refused(format!("{e:#}")))?;
     for signal in signals.forever() {
         if signal != SIGHUP {
             break;
--- a/src/cli/hash_key.rs
+++ b/src/cli/hash_key.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read as _;
 
-use super::{Command, CommandFault, CommandResult, Options, options::print_json};
+use super::{Command, CommandError, CommandResult, Options, options::print_json};
 use crate::{configs::fleet::team::KeyHash, context::Context};
 
 pub(super) const COMMAND: Command = Command {
@@ -21,9 +21,9 @@
     let json = options.flag("--json");
     let salt: Option<String> = options.value("--salt")?;
     options.done()?;
-    let salt = salt.ok_or_else(|| CommandFault::Usage("--salt SALT is missing".to_owned()))?;
+    let salt = salt.ok_or_else(|| CommandError::Usage("--salt SALT is missing".to_owned()))?;
     let mut key = String::new();
-    std::io::stdin().read_to_string(&mut key).map_err(|e| CommandFault::Refused(e.to_string()))?;
+    std::io::stdin().read_to_string(&mut key).map_err(|e| CommandError::Refused(e.to_string()))?;
     let hash = KeyHash::of(&salt, key.trim());
     if json {
         return print_json(&serde_json::json!({ "hash": hash.as_str() }));
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -24,7 +24,7 @@
 
 /// How a command ended.
 #[derive(Debug, thiserror::Error)]
-pub enum CommandFault {
+pub enum CommandError {
     /// What was asked was refused, or found faulty.
     #[error("{0}")]
     Refused(String),
@@ -36,19 +36,19 @@
     Unreachable(String),
 }
 
-impl CommandFault {
+impl CommandError {
     /// Returns the process's exit code.
     pub fn code(&self) -> u8 {
         match self {
-            CommandFault::Refused(_) => 1,
-            CommandFault::Usage(_) => 2,
-            CommandFault::Unreachable(_) => 3,
+            CommandError::Refused(_) => 1,
+            CommandError::Usage(_) => 2,
+            CommandError::Unreachable(_) => 3,
         }
     }
 }
 
 /// What a command returns.
-pub type CommandResult = Result<(), CommandFault>;
+pub type CommandResult = Result<(), CommandError>;
 
 /// One command.
 pub struct Command {
@@ -123,7 +123,7 @@
     let mut args = pico_args::Arguments::from_vec(args);
     let name = match args.subcommand() {
         Ok(name) => name,
-        Err(e) => return Err(CommandFault::Usage(e.to_string())),
+        Err(e) => return Err(CommandError::Usage(e.to_string())),
     };
     let Some(name) = name else {
         if args.contains("--version") {
@@ -134,12 +134,12 @@
             print!("{}", overview());
             return Ok(());
         }
-        return Err(CommandFault::Usage(format!("no command given\n\n{}", overview())));
+        return Err(CommandError::Usage(format!("no command given\n\n{}", overview())));
     };
     let Some(command) = COMMANDS.iter().find(|command| command.name == name) else {
         let near = nearest(&name, COMMANDS.iter().map(|c| c.name));
         let hint = near.map_or_else(String::new, |near| format!("; did you mean {near:?}?"));
-        return Err(CommandFault::Usage(format!(
+        return Err(CommandError::Usage(format!(
             "{name:?} is no command{hint} See cartvane --help"
         )));
     };
--- a/src/cli/operator.rs
+++ b/src/cli/operator.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use ureq::{Agent, Body};
 
-use super::{CommandFault, Options, options::read_file};
+use super::{CommandError, Options, options::read_file};
 use crate::{context::Context, instance::operators::api::Problem, platform::http::agent};
 
 /// Longest wait for an answer; an apply of a large file stores many objects.
@@ -25,15 +25,15 @@
 
 impl Operator {
     /// Takes the address, credential and name from options and environment.
-    pub(super) fn open(options: &mut Options, cx: &Context) -> Result<Operator, CommandFault> {
+    pub(super) fn open(options: &mut Options, cx: &Context) -> Result<Operator, CommandError> {
         let address: Option<SocketAddr> = options.value("--at")?;
         let address = match (address, cx.variable("CARTVANE_AT")) {
             (Some(address), _) => address,
             (None, Some(text)) => text.parse().map_err(|_| {
-                CommandFault::Usage(format!("CARTVANE_AT={text:?} is no address; write IP:PORT"))
+                CommandError::Usage(format!("CARTVANE_AT={text:?} is no address; write IP:PORT"))
             })?,
             (None, None) => {
-                return Err(CommandFault::Usage(
+                return Err(CommandError::Usage(
                     "state an instance's operator address with --at or CARTVANE_AT".to_owned(),
                 ));
             }
@@ -43,7 +43,7 @@
             (Some(path), _) => read_file(&path)?.trim().to_owned(),
             (None, Some(credential)) => credential,
             (None, None) => {
-                return Err(CommandFault::Usage(
+                return Err(CommandError::Usage(
                     "state the credential with --credential-file or CARTVANE_CREDENTIAL".to_owned(),
                 ));
             }
@@ -58,7 +58,7 @@
         &self,
         path: &str,
         query: &[(&str, &str)],
-    ) -> Result<T, CommandFault> {
+    ) -> Result<T, CommandError> {
         let mut request = self.agent.get(self.url(path));
         for (name, value) in query {
             request = request.query(name, value);
@@ -75,7 +75,7 @@
         path: &str,
         query: &[(&str, &str)],
         body: &str,
-    ) -> Result<T, CommandFault> {
+    ) -> Result<T, CommandError> {
         let mut request = self.agent.post(self.url(path));
         for (name, value) in query {
             request = request.query(name, value);
@@ -94,10 +94,10 @@
     fn answer<T: DeserializeOwned>(
         &self,
         result: Result<Response<Body>, ureq::Error>,
-    ) -> Result<T, CommandFault> {
+    ) -> Result<T, CommandError> {
         let address = self.address;
         let lost = |e: ureq::Error| {
-            CommandFault::Unreachable(format!(
+            CommandError::Unreachable(format!(
                 "no answer from the instance at {address} ({e}); check --at and that it runs"
             ))
         };
@@ -107,7 +107,7 @@
             response.body_mut().with_config().limit(ANSWER_MAX).read_to_vec().map_err(lost)?;
         if status == 200 {
             return serde_json::from_slice(&body).map_err(|e| {
-                CommandFault::Unreachable(format!(
+                CommandError::Unreachable(format!(
                     "the instance at {address} speaks another version ({e})"
                 ))
             });
@@ -115,9 +115,9 @@
         let problem: Option<Problem> = serde_json::from_slice(&body).ok();
         let detail = problem.map_or_else(|| format!("status {status}"), |p| p.detail);
         Err(if status == 503 {
-            CommandFault::Unreachable(detail)
+            CommandError::Unreachable(detail)
         } else {
-            CommandFault::Refused(detail)
+            CommandError::Refused(detail)
         })
     }
 }
--- a/src/cli/options.rs
+++ b/src/cli/options.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt::Display, fs, str::FromStr};
 
-use super::{Command, CommandFault};
+use super::{Command, CommandError};
 use crate::utils::nearest::nearest;
 
 /// The options given to a command.
@@ -24,26 +24,26 @@
     }
 
     /// Takes an option with a value.
-    pub fn value<T>(&mut self, name: &'static str) -> Result<Option<T>, CommandFault>
+    pub fn value<T>(&mut self, name: &'static str) -> Result<Option<T>, CommandError>
     where
         T: FromStr,
         T::Err: Display,
     {
-        self.args.opt_value_from_str(name).map_err(|e| CommandFault::Usage(format!("{name}: {e}")))
+        self.args.opt_value_from_str(name).map_err(|e| CommandError::Usage(format!("{name}: {e}")))
     }
 
     /// Takes an option that may be given several times.
-    pub fn values(&mut self, name: &'static str) -> Result<Vec<String>, CommandFault> {
-        self.args.values_from_str(name).map_err(|e| CommandFault::Usage(format!("{name}: {e}")))
+    pub fn values(&mut self, name: &'static str) -> Result<Vec<String>, CommandError> {
+        self.args.values_from_str(name).map_err(|e| CommandError::Usage(format!("{name}: {e}")))
     }
 
     /// Takes the next free argument.
     ///
     /// Call this after every option has been taken.
-    pub fn free(&mut self, what: &str) -> Result<String, CommandFault> {
-        let missing = || CommandFault::Usage(format!("{what} is missing\n\nusage: {}", self.usage));
+    pub fn free(&mut self, what: &str) -> Result<String, CommandError> {
+        let missing = || CommandError::Usage(format!("{what} is missing\n\nusage: {}", self.usage));
         let text: Option<String> =
-            self.args.opt_free_from_str().map_err(|e| CommandFault::Usage(e.to_string()))?;
+            self.args.opt_free_from_str().map_err(|e| CommandError::Usage(e.to_string()))?;
         let text = text.ok_or_else(missing)?;
         if text.starts_with('-') && text.len() > 1 {
             return Err(self.unknown(&text));
@@ -54,7 +54,7 @@
     /// Takes every free argument that is left, and ends the reading.
     ///
     /// Call this after every option has been taken.
-    pub fn rest(self) -> Result<Vec<String>, CommandFault> {
+    pub fn rest(self) -> Result<Vec<String>, CommandError> {
         let (known, usage) = (self.known, self.usage);
         let words = self.args.finish().into_iter().map(|word| word.to_string_lossy().into_owned());
         words
@@ -66,7 +66,7 @@
     }
 
     /// Ends the reading: anything left over is refused.
-    pub fn done(self) -> Result<(), CommandFault> {
+    pub fn done(self) -> Result<(), CommandError> {
         let known = self.known;
         let usage = self.usage;
         match self.args.finish().first() {
@@ -75,21 +75,21 @@
         }
     }
 
-    fn unknown(&self, word: &str) -> CommandFault {
+    fn unknown(&self, word: &str) -> CommandError {
         unknown(word, &self.known, &self.usage)
     }
 }
 
-fn unknown(word: &str, known: &[&'static str], usage: &str) -> CommandFault {
+fn unknown(word: &str, known: &[&'static str], usage: &str) -> CommandError {
     let near = nearest(word, known.iter().copied());
     let hint = near.map_or_else(String::new, |near| format!("; did you mean {near}?"));
-    CommandFault::Usage(format!("{word:?} is not known here{hint}\n\nusage: {usage}"))
+    CommandError::Usage(format!("{word:?} is not known here{hint}\n\nusage: {usage}"))
 }
 
 /// Reads a file named on the command line.
-pub(super) fn read_file(path: &str) -> Result<String, CommandFault> {
+pub(super) fn read_file(path: &str) -> Result<String, CommandError> {
     let bytes = fs::read(path).map_err(|e| {
-        CommandFault::Unreachable(format!(
+        CommandError::Unreachable(format!(
             "cannot read {path}: {e}; correct the path or its rights"
         ))
     })?;
@@ -97,16 +97,16 @@
         let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
         let line = good.iter().filter(|&&b| b == b'\n').count() + 1;
         let column = good.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
-        CommandFault::Refused(format!(
+        CommandError::Refused(format!(
             "1 faults\n{path}:{line}:{column}: not UTF-8; save the file as text in UTF-8"
         ))
     })
 }
 
 /// Prints a value as JSON.
-pub(super) fn print_json(value: &impl serde::Serialize) -> Result<(), CommandFault> {
+pub(super) fn print_json(value: &impl serde::Serialize) -> Result<(), CommandError> {
     let text =
-        serde_json::to_string_pretty(value).map_err(|e| CommandFault::Refused(e.to_string()))?;
+        serde_json::to_string_pretty(value).map_err(|e| CommandError::Refused(e.to_string()))?;
     println!("{text}");
     Ok(())
 }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -5,7 +5,7 @@
     io::{BufRead, BufReader, Read},
 };
 
-use super::{Command, CommandFault, CommandResult, Options, options::print_json};
+use super::{Command, CommandError, CommandResult, Options, options::print_json};
 use crate::{
     context::Context,
     report::{Story, Summary, chart},
@@ -39,9 +39,9 @@
     let mut summary = Summary::default();
     each_line(&files, |line| summary.take(line))?;
     if let Some(path) = svg {
-        let picture = chart::svg(&summary).map_err(|e| CommandFault::Refused(e.to_string()))?;
+        let picture = chart::svg(&summary).map_err(|e| CommandError::Refused(e.to_string()))?;
         fs::write(&path, picture).map_err(|e| {
-            CommandFault::Unreachable(format!(
+            CommandError::Unreachable(format!(
                 "cannot write {path}: {e}; correct the path or its rights"
             ))
         })?;
@@ -58,7 +58,7 @@
     each_line(files, |line| story.take(line))?;
     let lines = story.lines();
     if lines.is_empty() {
-        return Err(CommandFault::Refused(format!(
+        return Err(CommandError::Refused(format!(
             "no line tells of request {id}; give the logs of all instances, and the id as the caller sent it"
         )));
     }
@@ -77,7 +77,7 @@
     }
     for path in files {
         let file = File::open(path).map_err(|e| {
-            CommandFault::Unreachable(format!(
+            CommandError::Unreachable(format!(
                 "cannot read {path}: {e}; correct the path or its rights"
             ))
         })?;
@@ -92,7 +92,7 @@
         buf.clear();
         let read = from.by_ref().take(LINE_MAX).read_until(b'\n', &mut buf);
         let read = read.map_err(|e| {
-            CommandFault::Unreachable(format!("cannot read on in {name}: {e}; read it again"))
+            CommandError::Unreachable(format!("cannot read on in {name}: {e}; read it again"))
         })?;
         if read == 0 {
             return Ok(());
--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use super::{Command, CommandFault, CommandResult, Options, options::read_file};
+use super::{Command, CommandError, CommandResult, Options, options::read_file};
 use crate::{
     configs::settings::{self, Settings},
     context::Context,
@@ -38,26 +38,26 @@
     let path: Option<String> = options.value("--settings")?;
     let overrides = options.values("--set")?;
     options.done()?;
-    let path = path.ok_or_else(|| CommandFault::Usage("--settings FILE is missing".to_owned()))?;
+    let path = path.ok_or_else(|| CommandError::Usage("--settings FILE is missing".to_owned()))?;
     let mut text = read_file(&path)?;
     for pair in overrides {
         let (key, value) = pair
             .split_once('=')
-            .ok_or_else(|| CommandFault::Usage(format!("--set {pair:?}: write KEY=VALUE")))?;
-        text = settings::set(&text, key, value).map_err(|e| CommandFault::Usage(e.to_string()))?;
+            .ok_or_else(|| CommandError::Usage(format!("--set {pair:?}: write KEY=VALUE")))?;
+        text = settings::set(&text, key, value).map_err(|e| CommandError::Usage(e.to_string()))?;
     }
     let settings = Settings::parse(&text, cx)
-        .map_err(|faults| CommandFault::Refused(format!("{path} is refused:\n{faults}")))?;
+        .map_err(|faults| CommandError::Refused(format!("{path} is refused:\n{faults}")))?;
     let started = logging::start(&settings.logging, settings.id.as_str(), cx.clock.clone());
-    started.map_err(|e| CommandFault::Refused(e.to_string()))?;
+    started.map_err(|e| CommandError::Refused(e.to_string()))?;
     serve(settings, cx)
 }
 
 fn serve(settings: Settings, cx: &Context) -> CommandResult {
     let signals =
-        count_signals().map_err(|e| CommandFault::Refused(format!("cannot watch signals: {e}")))?;
+        count_signals().map_err(|e| CommandError::Refused(format!("cannot watch signals: {e}")))?;
     let instance =
-        Instance::spawn(settings, cx).map_err(|e| CommandFault::Refused(format!("{e:#}")))?;
+        Instance::spawn(settings, cx).map_err(|e| CommandError::Refused(format!("{e:#}")))?;
     println!(
         "ready callers={} peers={} operators={}",
         instance.callers(),
@@ -75,7 +75,7 @@
     if clean {
         Ok(())
     } else {
-        Err(CommandFault::Refused("ended before every request had finished".to_owned()))
+        Err(CommandError::Refused("ended before every request had finished".to_owned()))
     }
 }
 
