--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -41,13 +41,13 @@
             );
             Ok(())
         }
-        Err(faults) => {
+        Err(errors) => {
             if json {
-                print_json(&faults)?;
+                print_json(&errors)?;
             }
-            let count = faults.0.len();
+            let count = errors.0.len();
             let lines: Vec<String> =
-                faults.0.iter().map(|fault| format!("{path}:{fault}")).collect();
+                errors.0.iter().map(|error| format!("{path}:{error}")).collect();
             Err(CommandError::Refused(format!("{count} faults\n{}", lines.join("\n"))))
         }
     }
--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -47,7 +47,7 @@
         text = settings::set(&text, key, value).map_err(|e| CommandError::Usage(e.to_string()))?;
     }
     let settings = Settings::parse(&text, cx)
-        .map_err(|faults| CommandError::Refused(format!("{path} is refused:\n{faults}")))?;
+        .map_err(|errors| CommandError::Refused(format!("{path} is refused:\n{errors}")))?;
     let started = logging::start(&settings.logging, settings.id.as_str(), cx.clock.clone());
     started.map_err(|e| CommandError::Refused(e.to_string()))?;
     serve(settings, cx)
--- a/src/configs/fleet/backend_server.rs
+++ b/src/configs/fleet/backend_server.rs
@@ -52,11 +52,11 @@
         let zone: Option<ZoneId> = table.required("zone");
         if let Some(service) = service.as_ref().filter(|id| !services.contains_key(*id)) {
             let near = nearest(service.as_str(), services.keys().map(ServiceId::as_str));
-            table.fault("service", unknown("service", service.as_str(), near));
+            table.add_error("service", unknown("service", service.as_str(), near));
         }
         if let Some(zone) = zone.as_ref().filter(|id| !zones.contains_key(*id)) {
             let near = nearest(zone.as_str(), zones.keys().map(ZoneId::as_str));
-            table.fault("zone", unknown("zone", zone.as_str(), near));
+            table.add_error("zone", unknown("zone", zone.as_str(), near));
         }
         let capacity = table.whole("capacity", 1, 1_000_000).unwrap_or(64) as u32;
         let weight = table.number("weight", 0.001, 1000.0).unwrap_or(1.0);
@@ -77,7 +77,7 @@
             leaving,
         };
         if server.address.port() == 0 {
-            table.fault("address", "has port 0; state the port it listens on");
+            table.add_error("address", "has port 0; state the port it listens on");
         }
         Some(server)
     }
--- a/src/configs/fleet/mod.rs
+++ b/src/configs/fleet/mod.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    configs::reader::{Faults, Reader, TableReader},
+    configs::reader::{ConfigErrors, Reader, TableReader},
     names::{BackendId, ModelId, ServiceId, Tag, TeamId, ZoneId},
 };
 
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Every fault of the file, with line, column and remedy; nothing of a faulty file is used.
-    pub fn parse(text: &str) -> Result<Fleet, Faults> {
+    pub fn parse(text: &str) -> Result<Fleet, ConfigErrors> {
         let reader = Reader::new(text);
         let parsed = reader.parse();
         let mut fleet = Fleet::default();
@@ -106,7 +106,7 @@
         let Some(server) = server else { return };
         let twin = self.backend_servers.values().find(|b| b.address == server.address);
         if let Some(twin) = twin {
-            table.fault(
+            table.add_error(
                 "address",
                 format!("{} is also the address of {}; give each its own", server.address, twin.id),
             );
@@ -118,7 +118,7 @@
         for team in self.teams.values() {
             for key in &team.keys {
                 if let Some(other) = seen.insert(key.as_str(), &team.id) {
-                    root.fault(
+                    root.add_error(
                         "team",
                         format!(
                             "teams {other} and {} hold the same key; give each team its own",
@@ -136,7 +136,7 @@
         for share in &self.shares {
             *sums.entry(&share.service).or_default() += share.share;
             if !pairs.insert((&share.service, &share.zone)) {
-                root.fault(
+                root.add_error(
                     "share",
                     format!("{} in {} has two shares; keep one", share.service, share.zone),
                 );
@@ -144,7 +144,7 @@
         }
         for (service, sum) in sums {
             if (sum - 1.0).abs() > SHARE_SUM_SLACK {
-                root.fault(
+                root.add_error(
                     "share",
                     format!("the shares of {service} add up to {sum:.3}; make them add up to 1"),
                 );
@@ -157,14 +157,14 @@
             let zones: Vec<&ZoneId> = self.shares_of(&service.id).map(|s| &s.zone).collect();
             let mut servers = self.backend_servers.values().filter(|b| b.service == service.id);
             if servers.clone().next().is_none() {
-                root.fault(
+                root.add_error(
                     "service",
                     format!("{} has no backend server; add one or remove the service", service.id),
                 );
             }
             let stray = servers.find(|b| !zones.is_empty() && !zones.contains(&&b.zone));
             if let Some(server) = stray {
-                root.fault(
+                root.add_error(
                     "share",
                     format!(
                         "{} has no share for {}, where {} stands; add one",
@@ -195,7 +195,7 @@
     let Some(value) = value else { return };
     let id = id_of(&value);
     if map.contains_key(&id) {
-        table.fault("id", format!("{id} stands twice; rename or remove one"));
+        table.add_error("id", format!("{id} stands twice; rename or remove one"));
         return;
     }
     map.insert(id, value);
@@ -210,7 +210,7 @@
     let mut seen: HashMap<Tag, &K> = HashMap::new();
     for id in ids {
         if let Some(twin) = seen.insert(tag_of(id), id) {
-            root.fault(kind, format!("{id} and {twin} have the same 32-bit hash; rename one"));
+            root.add_error(kind, format!("{id} and {twin} have the same 32-bit hash; rename one"));
         }
     }
 }
--- a/src/configs/fleet/service.rs
+++ b/src/configs/fleet/service.rs
@@ -65,12 +65,12 @@
     type Err = RuleError;
 
     fn from_str(text: &str) -> Result<RequestRule, RuleError> {
-        let fault = || RuleError(text.to_owned());
-        let (method, path) = text.split_once(' ').ok_or_else(fault)?;
+        let invalid = || RuleError(text.to_owned());
+        let (method, path) = text.split_once(' ').ok_or_else(invalid)?;
         let method_fits =
             method == "*" || (!method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase()));
         if !method_fits || !path.starts_with('/') || path.contains(char::is_whitespace) {
-            return Err(fault());
+            return Err(invalid());
         }
         Ok(RequestRule { method: method.to_owned(), path: path.to_owned() })
     }
@@ -141,7 +141,7 @@
         let deadline = table.text("deadline").unwrap_or(Span::secs(30));
         let max_deadline = table.text("max_deadline").unwrap_or(Span::secs(300));
         if deadline > max_deadline {
-            table.fault(
+            table.add_error(
                 "deadline",
                 format!("is over max_deadline ({max_deadline}); lower it or raise that"),
             );
@@ -167,7 +167,7 @@
             placement: table.choice("placement", &PLACEMENTS).unwrap_or(Placement::Permit),
         };
         for model in service.models.iter().filter(|model| !models.contains_key(*model)) {
-            table.fault(
+            table.add_error(
                 "models",
                 format!("{model} is no model of this file; add a [[model]] or remove it here"),
             );
--- a/src/configs/fleet/share.rs
+++ b/src/configs/fleet/share.rs
@@ -33,14 +33,14 @@
         let zone: Option<ZoneId> = table.required("zone");
         let share = table.number("share", 0.0, 1.0);
         if share.is_none() {
-            table.fault("share", "needs a number from 0 to 1");
+            table.add_error("share", "needs a number from 0 to 1");
         }
         let share = Share { service: service?, zone: zone?, share: share? };
         if !services.contains_key(&share.service) {
-            table.fault("service", unknown("service", share.service.as_str(), None));
+            table.add_error("service", unknown("service", share.service.as_str(), None));
         }
         if !zones.contains_key(&share.zone) {
-            table.fault("zone", unknown("zone", share.zone.as_str(), None));
+            table.add_error("zone", unknown("zone", share.zone.as_str(), None));
         }
         Some(share)
     }
--- a/src/configs/fleet/team.rs
+++ b/src/configs/fleet/team.rs
@@ -82,7 +82,10 @@
         let classes = [("normal", Priority::Normal), ("reserved", Priority::Reserved)];
         let priority = table.choice("priority", &classes).unwrap_or(Priority::Normal);
         if table.is_empty_list("keys") {
-            table.fault("keys", "needs at least one key hash; make one with `cartvane hash-key`");
+            table.add_error(
+                "keys",
+                "needs at least one key hash; make one with `cartvane hash-key`",
+            );
         }
         Some(Team {
             id: id?,
--- a/src/configs/reader.rs
+++ b/src/configs/reader.rs
@@ -12,7 +12,7 @@
 
 /// One fault in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ConfigError {
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
@@ -23,7 +23,7 @@
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: ", self.line, self.column)?;
         if !self.path.is_empty() {
@@ -35,15 +35,15 @@
 
 /// Every fault of one file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, fault) in self.0.iter().enumerate() {
+        for (i, error) in self.0.iter().enumerate() {
             if i > 0 {
                 f.write_str("\n")?;
             }
-            fault.fmt(f)?;
+            error.fmt(f)?;
         }
         Ok(())
     }
@@ -52,13 +52,13 @@
 /// The file being read and the faults found so far.
 pub struct Reader<'a> {
     text: &'a str,
-    faults: RefCell<Vec<Fault>>,
+    errors: RefCell<Vec<ConfigError>>,
 }
 
 impl<'a> Reader<'a> {
     /// Returns a reader of `text`.
     pub fn new(text: &'a str) -> Reader<'a> {
-        Reader { text, faults: RefCell::default() }
+        Reader { text, errors: RefCell::default() }
     }
 
     /// Parses the text as TOML; a text that is not TOML is a fault and yields `None`.
@@ -67,14 +67,14 @@
             Ok(table) => Some(table),
             Err(e) => {
                 let message = format!("not TOML: {}", e.message().trim_end());
-                self.fault(e.span().unwrap_or(0..0), String::new(), message);
+                self.add_error(e.span().unwrap_or(0..0), String::new(), message);
                 None
             }
         }
     }
 
     /// Adds a fault at `span`.
-    pub fn fault(&self, span: Range<usize>, path: String, message: impl Into<String>) {
+    pub fn add_error(&self, span: Range<usize>, path: String, message: impl Into<String>) {
         let mut start = span.start.min(self.text.len());
         while !self.text.is_char_boundary(start) {
             start -= 1;
@@ -83,14 +83,14 @@
         let line = before.matches('\n').count() + 1;
         let line_start = before.rfind('\n').map_or(0, |at| at + 1);
         let column = before[line_start..].chars().count() + 1;
-        self.faults.borrow_mut().push(Fault { line, column, path, message: message.into() });
+        self.errors.borrow_mut().push(ConfigError { line, column, path, message: message.into() });
     }
 
     /// Returns `value` when nothing was wrong, else every fault in the order of the file.
-    pub fn finish<T>(self, value: T) -> Result<T, Faults> {
-        let mut faults = self.faults.into_inner();
-        faults.sort_by_key(|f| (f.line, f.column));
-        if faults.is_empty() { Ok(value) } else { Err(Faults(faults)) }
+    pub fn finish<T>(self, value: T) -> Result<T, ConfigErrors> {
+        let mut errors = self.errors.into_inner();
+        errors.sort_by_key(|f| (f.line, f.column));
+        if errors.is_empty() { Ok(value) } else { Err(ConfigErrors(errors)) }
     }
 }
 
@@ -143,13 +143,13 @@
     }
 
     /// Adds a fault at the value of `key`, or at the table when the key is absent.
-    pub fn fault(&self, key: &str, message: impl Into<String>) {
+    pub fn add_error(&self, key: &str, message: impl Into<String>) {
         let span = self.table.get(key).map_or(self.span.clone(), Spanned::span);
-        self.reader.fault(span, self.path_of(key), message);
+        self.reader.add_error(span, self.path_of(key), message);
     }
 
     fn wrong_type(&self, key: &str, want: &str, got: &DeValue<'_>) {
-        self.fault(key, format!("is {} where {want} is needed", got.type_str()));
+        self.add_error(key, format!("is {} where {want} is needed", got.type_str()));
     }
 
     /// Reads a text and parses it; absent is `None`, unreadable is a fault and `None`.
@@ -166,7 +166,7 @@
         match text.parse() {
             Ok(parsed) => Some(parsed),
             Err(e) => {
-                self.fault(key, e.to_string());
+                self.add_error(key, e.to_string());
                 None
             }
         }
@@ -179,7 +179,7 @@
         T::Err: fmt::Display,
     {
         if self.table.get(key).is_none() {
-            self.fault(key, "is missing; add it");
+            self.add_error(key, "is missing; add it");
         }
         self.text(key)
     }
@@ -208,7 +208,7 @@
         match number {
             Some(n) if (least..=most).contains(&n) => Some(n),
             _ => {
-                self.fault(key, format!("needs a whole number from {least} to {most}"));
+                self.add_error(key, format!("needs a whole number from {least} to {most}"));
                 None
             }
         }
@@ -225,7 +225,7 @@
         match text.parse::<f64>() {
             Ok(n) if (least..=most).contains(&n) => Some(n),
             _ => {
-                self.fault(key, format!("needs a number from {least} to {most}"));
+                self.add_error(key, format!("needs a number from {least} to {most}"));
                 None
             }
         }
@@ -251,7 +251,7 @@
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let hint = nearest(word, names.iter().copied());
         let hint = hint.map_or(String::new(), |name| format!("; did you mean {name:?}?"));
-        self.fault(key, format!("{word:?} is not one of {}{hint}", names.join(", ")));
+        self.add_error(key, format!("{word:?} is not one of {}{hint}", names.join(", ")));
         None
     }
 
@@ -263,7 +263,7 @@
     ) -> Option<T> {
         if self.table.get(key).is_none() {
             let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
-            self.fault(key, format!("is missing; add one of {}", names.join(", ")));
+            self.add_error(key, format!("is missing; add one of {}", names.join(", ")));
         }
         self.choice(key, choices)
     }
@@ -284,8 +284,8 @@
             let path = format!("{}[{i}]", self.path_of(key));
             match item.get_ref().as_str().map(str::parse::<T>) {
                 Some(Ok(text)) => texts.push(text),
-                Some(Err(e)) => self.reader.fault(item.span(), path, e.to_string()),
-                None => self.reader.fault(item.span(), path, "needs to be a text in quotes"),
+                Some(Err(e)) => self.reader.add_error(item.span(), path, e.to_string()),
+                None => self.reader.add_error(item.span(), path, "needs to be a text in quotes"),
             }
         }
         texts
@@ -313,7 +313,7 @@
             let path = format!("{}[{i}]", self.path_of(key));
             match item.get_ref().as_table() {
                 Some(table) => tables.push(self.child(table, item.span(), path)),
-                None => self.reader.fault(item.span(), path, "needs to be a table"),
+                None => self.reader.add_error(item.span(), path, "needs to be a table"),
             }
         }
         tables
@@ -340,7 +340,7 @@
                 Some(near) => format!("; did you mean {near:?}?"),
                 None => format!("; known here: {}", known.join(", ")),
             };
-            self.reader.fault(key.span(), self.path_of(name), format!("unknown key{hint}"));
+            self.reader.add_error(key.span(), self.path_of(name), format!("unknown key{hint}"));
         }
     }
 }
--- a/src/configs/settings/credentials.rs
+++ b/src/configs/settings/credentials.rs
@@ -26,7 +26,7 @@
     /// Reads `[credentials]`; each entry is `env:NAME` or `file:PATH`.
     pub fn read(root: &TableReader<'_, '_>, context: &Context) -> Option<Credentials> {
         let Some(table) = root.table("credentials") else {
-            root.fault(
+            root.add_error(
                 "credentials",
                 "is missing; name the credentials as \"env:NAME\" or \"file:PATH\"",
             );
@@ -51,13 +51,13 @@
 ) -> Vec<Secret> {
     let sources: Vec<String> = table.texts(key);
     if sources.is_empty() && needed {
-        table.fault(key, "needs at least one credential, as \"env:NAME\" or \"file:PATH\"");
+        table.add_error(key, "needs at least one credential, as \"env:NAME\" or \"file:PATH\"");
     }
     let mut secrets = Vec::new();
     for source in sources {
         match resolve(&source, context) {
             Ok(secret) => secrets.push(secret),
-            Err(message) => table.fault(key, message),
+            Err(message) => table.add_error(key, message),
         }
     }
     secrets
--- a/src/configs/settings/limits.rs
+++ b/src/configs/settings/limits.rs
@@ -62,7 +62,7 @@
             }
         }
         if limits.buffered < limits.body {
-            table.fault(
+            table.add_error(
                 "buffered",
                 format!("is under body ({}); raise it, or no such body can be taken", limits.body),
             );
--- a/src/configs/settings/listen.rs
+++ b/src/configs/settings/listen.rs
@@ -31,7 +31,7 @@
     /// Reads `[listen]`.
     pub fn read(root: &TableReader<'_, '_>) -> Option<Listen> {
         let Some(table) = root.table("listen") else {
-            root.fault(
+            root.add_error(
                 "listen",
                 "is missing; state the addresses for callers, peers and operators",
             );
@@ -42,13 +42,16 @@
         let operators = table.required_address("operators");
         let advertised = table.address("advertised");
         if peers.is_some_and(|a| a.ip().is_unspecified()) && advertised.is_none() {
-            table.fault(
+            table.add_error(
                 "advertised",
                 "is needed when peers listens on every address; state where others reach it",
             );
         }
         if advertised.is_some_and(|a| a.ip().is_unspecified()) {
-            table.fault("advertised", "is no address to connect to; state one that others reach");
+            table.add_error(
+                "advertised",
+                "is no address to connect to; state one that others reach",
+            );
         }
         let seeds = table.texts::<Address>("seeds").into_iter().map(|seed| seed.0).collect();
         table.done();
--- a/src/configs/settings/mod.rs
+++ b/src/configs/settings/mod.rs
@@ -9,7 +9,7 @@
 pub mod timeouts;
 
 use crate::{
-    configs::reader::{Faults, Reader, TableReader},
+    configs::reader::{ConfigErrors, Reader, TableReader},
     context::Context,
     names::{InstanceId, RegionId, ZoneId},
 };
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Every fault of the text, with line, column and remedy.
-    pub fn parse(text: &str, context: &Context) -> Result<Settings, Faults> {
+    pub fn parse(text: &str, context: &Context) -> Result<Settings, ConfigErrors> {
         let reader = Reader::new(text);
         let parsed = reader.parse();
         let settings = parsed.as_ref().and_then(|table| {
@@ -61,8 +61,8 @@
         });
         match (reader.finish(()), settings) {
             (Ok(()), Some(settings)) => Ok(settings),
-            (Err(faults), _) => Err(faults),
-            (Ok(()), None) => Err(Faults(Vec::new())),
+            (Err(errors), _) => Err(errors),
+            (Ok(()), None) => Err(ConfigErrors(Vec::new())),
         }
     }
 
--- a/src/configs/settings/timeouts.rs
+++ b/src/configs/settings/timeouts.rs
@@ -68,7 +68,7 @@
         for (name, slot) in timeouts.fields_mut() {
             if let Some(span) = table.text::<Span>(name) {
                 if span.0.is_zero() {
-                    table.fault(name, "is zero; give it a time");
+                    table.add_error(name, "is zero; give it a time");
                 }
                 *slot = span;
             }
--- a/src/instance/knowledge/apply.rs
+++ b/src/instance/knowledge/apply.rs
@@ -11,7 +11,7 @@
             chunks::{Digest, decode, encode, store},
             diff::{Change, diff},
         },
-        reader::Faults,
+        reader::ConfigErrors,
     },
     contract::revision::{HEAD_KEY, Head},
     instance::{
@@ -47,7 +47,7 @@
 pub enum ApplyFault {
     /// The file has faults.
     #[error("the file is refused as a whole; correct these and apply it again:\n{0}")]
-    Faults(Faults),
+    Faults(ConfigErrors),
     /// Another file was put in force since the base.
     #[error(
         "revision {revision} by {by} is in force, not {base}; look at `cartvane diff`, then apply again with --base {revision}"
