--- a/src/configs/fleet/chunks.rs
+++ b/src/configs/fleet/chunks.rs
@@ -97,7 +97,7 @@
     #[error(
         "a stored entity has the unknown kind {0:?}; every instance must run this version or a newer one"
     )]
-    Kind(String),
+    UnknownKind(String),
     /// A chunk is missing.
     #[error("chunk {0} is missing; it is fetched again")]
     Missing(Digest),
@@ -137,7 +137,7 @@
 }
 
 /// Returns the stored form of a file.
-pub fn store(fleet: &Fleet) -> StoredFleet {
+pub fn to_chunks(fleet: &Fleet) -> StoredFleet {
     let entities = entities(fleet);
     let bits =
         (entities.len() / ENTITIES_PER_CHUNK + 1).next_power_of_two().ilog2().min(CHUNK_BITS_MAX);
@@ -158,7 +158,7 @@
 /// # Errors
 ///
 /// A chunk is missing, corrupt or unreadable; nothing of the file is used then.
-pub fn load(
+pub fn from_chunks(
     manifest: &Manifest,
     chunk: impl Fn(&Digest) -> Option<Vec<u8>>,
 ) -> Result<Fleet, StoredError> {
@@ -202,7 +202,7 @@
             let model: super::Model = decode(bytes)?;
             fleet.models.insert(model.id.clone(), model);
         }
-        kind => return Err(StoredError::Kind(kind.to_owned())),
+        kind => return Err(StoredError::UnknownKind(kind.to_owned())),
     }
     Ok(())
 }
--- a/src/instance/knowledge/apply.rs
+++ b/src/instance/knowledge/apply.rs
@@ -8,7 +8,7 @@
     configs::{
         fleet::{
             Fleet,
-            chunks::{Digest, decode, encode, store},
+            chunks::{Digest, decode, encode, to_chunks},
             diff::{Change, diff},
         },
         reader::ConfigErrors,
@@ -115,7 +115,7 @@
     base: Option<Revision>,
     by: &str,
 ) -> Result<Applied, ApplyFault> {
-    let stored = store(fleet);
+    let stored = to_chunks(fleet);
     let manifest = Digest::of(&stored.manifest);
     let id = shared.next_request_id();
     put_objects(shared, &stored, manifest, text)?;
--- a/src/instance/knowledge/config.rs
+++ b/src/instance/knowledge/config.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    configs::fleet::chunks::{Digest, Manifest, decode, load},
+    configs::fleet::chunks::{Digest, Manifest, decode, from_chunks},
     contract::revision::{HEAD_KEY, Head},
     instance::{
         knowledge::{gossip, snapshot::Snapshot},
@@ -149,7 +149,7 @@
     for chunk in &manifest.chunks {
         object(shared, chunk)?;
     }
-    let fleet = load(&manifest, |name| shared.objects.get(name))?;
+    let fleet = from_chunks(&manifest, |name| shared.objects.get(name))?;
     let snapshot = Arc::new(Snapshot::new(head.clone(), fleet));
     {
         // Held while the snapshot is swapped, so that an older one never follows a newer one.
--- a/standins/src/measure/config.rs
+++ b/standins/src/measure/config.rs
@@ -9,7 +9,7 @@
 use cartvane::{
     configs::fleet::{
         Fleet as FleetFile,
-        chunks::{Manifest, decode, load, store},
+        chunks::{Manifest, decode, from_chunks, to_chunks},
         team::KeyHash,
     },
     contract::revision::Head,
@@ -116,11 +116,12 @@
     let check = began.elapsed();
     let before = resident_mib(std::process::id());
     let began = Instant::now();
-    let stored = store(&file);
+    let stored = to_chunks(&file);
     let chunked = began.elapsed();
     let manifest: Manifest = decode(&stored.manifest).expect("just encoded");
     let began = Instant::now();
-    let loaded = load(&manifest, |name| stored.chunks.get(name).cloned()).expect("just stored");
+    let loaded =
+        from_chunks(&manifest, |name| stored.chunks.get(name).cloned()).expect("just stored");
     let head = Head {
         revision: Revision(1),
         manifest: cartvane::configs::fleet::chunks::Digest::of(&stored.manifest),
@@ -136,7 +137,7 @@
     if let Some(team) = changed.teams.values_mut().last() {
         team.weight += 1;
     }
-    let next = store(&changed);
+    let next = to_chunks(&changed);
     let new: usize = next
         .chunks
         .iter()
--- a/tests/suite/files.rs
+++ b/tests/suite/files.rs
@@ -7,7 +7,7 @@
     configs::{
         fleet::{
             Fleet,
-            chunks::{Digest, Manifest, StoredError, decode, load, store},
+            chunks::{Digest, Manifest, StoredError, decode, from_chunks, to_chunks},
             diff::diff,
         },
         settings::{Settings, reference, set},
@@ -77,20 +77,21 @@
 fn a_file_comes_back_from_its_chunks_and_a_change_touches_one() {
     for name in ["hanbit.toml", "al-harthy.toml"] {
         let fleet = Fleet::parse(&example(name)).expect("sound");
-        let stored = store(&fleet);
+        let stored = to_chunks(&fleet);
         let manifest: Manifest = decode(&stored.manifest).expect("a manifest");
-        let back = load(&manifest, |name| stored.chunks.get(name).cloned()).expect("whole");
+        let back = from_chunks(&manifest, |name| stored.chunks.get(name).cloned()).expect("whole");
         assert!(diff(&fleet, &back).is_empty());
-        assert_eq!(store(&back), stored, "the same file has the same digests");
+        assert_eq!(to_chunks(&back), stored, "the same file has the same digests");
         let mut changed = fleet.clone();
         changed.teams[0].weight += 1;
-        let changed = store(&changed);
+        let changed = to_chunks(&changed);
         let new = changed.chunks.keys().filter(|name| !stored.chunks.contains_key(*name)).count();
         assert_eq!(new, 1);
         let first = manifest.chunks[0];
-        let missing = load(&manifest, |name| (*name != first).then(|| stored.chunks[name].clone()));
+        let missing =
+            from_chunks(&manifest, |name| (*name != first).then(|| stored.chunks[name].clone()));
         assert!(matches!(missing, Err(StoredError::Missing(name)) if name == first));
-        let corrupt = load(&manifest, |name| {
+        let corrupt = from_chunks(&manifest, |name| {
             let mut bytes = stored.chunks[name].clone();
             bytes[0] ^= u8::from(*name == first);
             Some(bytes)
