--- a/src/configs/fleet/service.rs
+++ b/src/configs/fleet/service.rs
@@ -104,7 +104,7 @@
     /// Most requests waiting at a home.
     pub queue: u32,
     /// Longest wait of a returning chat for the engine that holds its context.
-    pub patience: Span,
+    pub affinity_wait: Span,
     /// Models its engines hold.
     pub models: Vec<ModelId>,
     /// Most engines of a shard that load models at once, for the weight store's sake.
@@ -116,7 +116,7 @@
 }
 
 /// Default patience of model services; the figures behind it are in docs/MEASUREMENTS.md.
-const PATIENCE: Span = Span::millis(700);
+const AFFINITY_WAIT: Span = Span::millis(700);
 
 const KINDS: [(&str, ServiceKind); 2] =
     [("model", ServiceKind::Model), ("plain", ServiceKind::Plain)];
@@ -146,26 +146,25 @@
                 format!("is over max_deadline ({max_deadline}); lower it or raise that"),
             );
         }
-        let service = Service {
-            id: id?,
-            kind: kind?,
-            load_bound,
-            deadline,
-            max_deadline,
-            non_idempotent: table.texts("non_idempotent"),
-            attempts: table.whole("attempts", 1, 10).unwrap_or(3) as u32,
-            retry_budget: table.number("retry_budget", 0.0, 1.0).unwrap_or(0.1),
-            queue: table.whole("queue", 0, 100_000).unwrap_or(1000) as u32,
-            patience: table.text("patience").unwrap_or(if kind == Some(ServiceKind::Model) {
-                PATIENCE
-            } else {
-                Span::secs(0)
-            }),
-            models: table.texts("models"),
-            loads_at_once: table.whole("loads_at_once", 1, 1000).unwrap_or(2) as u32,
-            min_serving: table.number("min_serving", 0.0, 1.0).unwrap_or(0.75),
-            placement: table.choice("placement", &PLACEMENTS).unwrap_or(Placement::Permit),
-        };
+        let service =
+            Service {
+                id: id?,
+                kind: kind?,
+                load_bound,
+                deadline,
+                max_deadline,
+                non_idempotent: table.texts("non_idempotent"),
+                attempts: table.whole("attempts", 1, 10).unwrap_or(3) as u32,
+                retry_budget: table.number("retry_budget", 0.0, 1.0).unwrap_or(0.1),
+                queue: table.whole("queue", 0, 100_000).unwrap_or(1000) as u32,
+                affinity_wait: table.text("patience").unwrap_or(
+                    if kind == Some(ServiceKind::Model) { AFFINITY_WAIT } else { Span::secs(0) },
+                ),
+                models: table.texts("models"),
+                loads_at_once: table.whole("loads_at_once", 1, 1000).unwrap_or(2) as u32,
+                min_serving: table.number("min_serving", 0.0, 1.0).unwrap_or(0.75),
+                placement: table.choice("placement", &PLACEMENTS).unwrap_or(Placement::Permit),
+            };
         for model in service.models.iter().filter(|model| !models.contains_key(*model)) {
             table.add_error(
                 "models",
--- a/src/instance/homes/shards.rs
+++ b/src/instance/homes/shards.rs
@@ -320,7 +320,7 @@
             load_bound: service.load_bound,
             queue_max: service.queue as usize,
             chats_max: self.remembered,
-            affinity_wait: service.patience.0,
+            affinity_wait: service.affinity_wait.0,
         })
     }
 
