--- a/src/configs/fleet/backend_server.rs
+++ b/src/configs/fleet/backend_server.rs
@@ -52,13 +52,13 @@
         let zone: Option<ZoneId> = table.required("zone");
         if let Some(service) = service.as_ref().filter(|id| !services.contains_key(*id)) {
             let near = nearest(service.as_str(), services.keys().map(ServiceId::as_str));
-            table.add_error("service", unknown("service", service.as_str(), near));
+            table.add_error("service", unknown_reference("service", service.as_str(), near));
         }
         if let Some(zone) = zone.as_ref().filter(|id| !zones.contains_key(*id)) {
             let near = nearest(zone.as_str(), zones.keys().map(ZoneId::as_str));
-            table.add_error("zone", unknown("zone", zone.as_str(), near));
+            table.add_error("zone", unknown_reference("zone", zone.as_str(), near));
         }
-        let capacity = table.whole("capacity", 1, 1_000_000).unwrap_or(64) as u32;
+        let capacity = table.integer("capacity", 1, 1_000_000).unwrap_or(64) as u32;
         let weight = table.number("weight", 0.001, 1000.0).unwrap_or(1.0);
         let checks_fencing = table.flag("checks_fencing").unwrap_or(false);
         let reports_load = table.flag("reports_load").unwrap_or(false);
@@ -84,7 +84,7 @@
 }
 
 /// Returns the message for a reference to a thing that the file lacks.
-pub fn unknown(kind: &str, name: &str, near: Option<&str>) -> String {
+pub fn unknown_reference(kind: &str, name: &str, near: Option<&str>) -> String {
     match near {
         Some(near) => format!("{name} is no {kind} of this file; did you mean {near}?"),
         None => format!("{name} is no {kind} of this file; add a [[{kind}]] or correct the name"),
--- a/src/configs/fleet/diff.rs
+++ b/src/configs/fleet/diff.rs
@@ -51,8 +51,8 @@
             Some(_) => None,
         })
         .collect();
-    let gone = old.keys().filter(|key| !new.contains_key(*key));
-    changes.extend(gone.map(|key| Change { entity: key.clone(), kind: ChangeKind::Removed }));
+    let removed = old.keys().filter(|key| !new.contains_key(*key));
+    changes.extend(removed.map(|key| Change { entity: key.clone(), kind: ChangeKind::Removed }));
     changes.sort_by(|a, b| a.entity.cmp(&b.entity));
     changes
 }
--- a/src/configs/fleet/mod.rs
+++ b/src/configs/fleet/mod.rs
@@ -27,7 +27,7 @@
 pub use zone::Zone;
 
 /// How far the shares of one service may be from one in sum.
-const SHARE_SUM_SLACK: f64 = 0.001;
+const SHARE_SUM_TOLERANCE: f64 = 0.001;
 
 /// A whole, checked operators' file.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
@@ -68,30 +68,30 @@
         self.key_salt = root.required("key_salt").unwrap_or_default();
         for table in root.tables("zone") {
             insert(&mut self.zones, &table, Zone::read(&table), |z| z.id.clone());
-            table.done();
+            table.finish();
         }
         for table in root.tables("team") {
             insert(&mut self.teams, &table, Team::read(&table), |t| t.id.clone());
-            table.done();
+            table.finish();
         }
         for table in root.tables("model") {
             insert(&mut self.models, &table, Model::read(&table), |m| m.id.clone());
-            table.done();
+            table.finish();
         }
         for table in root.tables("service") {
             let service = Service::read(&table, &self.models);
             insert(&mut self.services, &table, service, |s| s.id.clone());
-            table.done();
+            table.finish();
         }
         for table in root.tables("backend_server") {
             let server = BackendServer::read(&table, &self.services, &self.zones);
             self.check_address(&table, server.as_ref());
             insert(&mut self.backend_servers, &table, server, |b| b.id.clone());
-            table.done();
+            table.finish();
         }
         for table in root.tables("share") {
             self.shares.extend(Share::read(&table, &self.services, &self.zones));
-            table.done();
+            table.finish();
         }
         check_tags(&root, "team", self.teams.keys(), TeamId::tag);
         check_tags(&root, "service", self.services.keys(), ServiceId::tag);
@@ -99,16 +99,19 @@
         self.check_keys(&root);
         self.check_shares(&root);
         self.check_services(&root);
-        root.done();
+        root.finish();
     }
 
     fn check_address(&self, table: &TableReader<'_, '_>, server: Option<&BackendServer>) {
         let Some(server) = server else { return };
-        let twin = self.backend_servers.values().find(|b| b.address == server.address);
-        if let Some(twin) = twin {
+        let other = self.backend_servers.values().find(|b| b.address == server.address);
+        if let Some(other) = other {
             table.add_error(
                 "address",
-                format!("{} is also the address of {}; give each its own", server.address, twin.id),
+                format!(
+                    "{} is also the address of {}; give each its own",
+                    server.address, other.id
+                ),
             );
         }
     }
@@ -143,7 +146,7 @@
             }
         }
         for (service, sum) in sums {
-            if (sum - 1.0).abs() > SHARE_SUM_SLACK {
+            if (sum - 1.0).abs() > SHARE_SUM_TOLERANCE {
                 root.add_error(
                     "share",
                     format!("the shares of {service} add up to {sum:.3}; make them add up to 1"),
@@ -162,8 +165,8 @@
                     format!("{} has no backend server; add one or remove the service", service.id),
                 );
             }
-            let stray = servers.find(|b| !zones.is_empty() && !zones.contains(&&b.zone));
-            if let Some(server) = stray {
+            let uncovered = servers.find(|b| !zones.is_empty() && !zones.contains(&&b.zone));
+            if let Some(server) = uncovered {
                 root.add_error(
                     "share",
                     format!(
@@ -209,8 +212,8 @@
 ) {
     let mut seen: HashMap<Tag, &K> = HashMap::new();
     for id in ids {
-        if let Some(twin) = seen.insert(tag_of(id), id) {
-            root.add_error(kind, format!("{id} and {twin} have the same 32-bit hash; rename one"));
+        if let Some(other) = seen.insert(tag_of(id), id) {
+            root.add_error(kind, format!("{id} and {other} have the same 32-bit hash; rename one"));
         }
     }
 }
--- a/src/configs/fleet/service.rs
+++ b/src/configs/fleet/service.rs
@@ -52,12 +52,12 @@
 impl RequestRule {
     /// Returns whether the rule covers the request.
     pub fn covers(&self, method: &str, path: &str) -> bool {
-        let method_fits = self.method == "*" || self.method == method;
-        let path_fits = match self.path.strip_suffix('*') {
+        let method_matches = self.method == "*" || self.method == method;
+        let path_matches = match self.path.strip_suffix('*') {
             Some(prefix) => path.starts_with(prefix),
             None => path == self.path,
         };
-        method_fits && path_fits
+        method_matches && path_matches
     }
 }
 
@@ -67,9 +67,9 @@
     fn from_str(text: &str) -> Result<RequestRule, RuleError> {
         let invalid = || RuleError(text.to_owned());
         let (method, path) = text.split_once(' ').ok_or_else(invalid)?;
-        let method_fits =
+        let method_is_valid =
             method == "*" || (!method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase()));
-        if !method_fits || !path.starts_with('/') || path.contains(char::is_whitespace) {
+        if !method_is_valid || !path.starts_with('/') || path.contains(char::is_whitespace) {
             return Err(invalid());
         }
         Ok(RequestRule { method: method.to_owned(), path: path.to_owned() })
@@ -154,14 +154,14 @@
                 deadline,
                 max_deadline,
                 non_idempotent: table.texts("non_idempotent"),
-                attempts: table.whole("attempts", 1, 10).unwrap_or(3) as u32,
+                attempts: table.integer("attempts", 1, 10).unwrap_or(3) as u32,
                 retry_budget: table.number("retry_budget", 0.0, 1.0).unwrap_or(0.1),
-                queue: table.whole("queue", 0, 100_000).unwrap_or(1000) as u32,
+                queue: table.integer("queue", 0, 100_000).unwrap_or(1000) as u32,
                 affinity_wait: table.text("patience").unwrap_or(
                     if kind == Some(ServiceKind::Model) { AFFINITY_WAIT } else { Span::secs(0) },
                 ),
                 models: table.texts("models"),
-                loads_at_once: table.whole("loads_at_once", 1, 1000).unwrap_or(2) as u32,
+                loads_at_once: table.integer("loads_at_once", 1, 1000).unwrap_or(2) as u32,
                 min_serving: table.number("min_serving", 0.0, 1.0).unwrap_or(0.75),
                 placement: table.choice("placement", &PLACEMENTS).unwrap_or(Placement::Permit),
             };
--- a/src/configs/fleet/share.rs
+++ b/src/configs/fleet/share.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     configs::{
-        fleet::{Service, Zone, backend_server::unknown},
+        fleet::{Service, Zone, backend_server::unknown_reference},
         reader::TableReader,
     },
     names::{ServiceId, ZoneId},
@@ -37,10 +37,10 @@
         }
         let share = Share { service: service?, zone: zone?, share: share? };
         if !services.contains_key(&share.service) {
-            table.add_error("service", unknown("service", share.service.as_str(), None));
+            table.add_error("service", unknown_reference("service", share.service.as_str(), None));
         }
         if !zones.contains_key(&share.zone) {
-            table.add_error("zone", unknown("zone", share.zone.as_str(), None));
+            table.add_error("zone", unknown_reference("zone", share.zone.as_str(), None));
         }
         Some(share)
     }
--- a/src/configs/fleet/team.rs
+++ b/src/configs/fleet/team.rs
@@ -43,8 +43,8 @@
     type Err = KeyHashError;
 
     fn from_str(text: &str) -> Result<KeyHash, KeyHashError> {
-        let fits = text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        if fits { Ok(KeyHash(text.to_ascii_lowercase())) } else { Err(KeyHashError) }
+        let is_valid = text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        if is_valid { Ok(KeyHash(text.to_ascii_lowercase())) } else { Err(KeyHashError) }
     }
 }
 
@@ -76,8 +76,8 @@
     pub fn read(table: &TableReader<'_, '_>) -> Option<Team> {
         let id = table.required("id");
         let keys = table.texts("keys");
-        let weight = table.whole("weight", 1, WEIGHT_MAX).unwrap_or(1);
-        let max_in_flight = table.whole("max_in_flight", 1, u64::from(u32::MAX));
+        let weight = table.integer("weight", 1, WEIGHT_MAX).unwrap_or(1);
+        let max_in_flight = table.integer("max_in_flight", 1, u64::from(u32::MAX));
         let rate = table.text("rate");
         let classes = [("normal", Priority::Normal), ("reserved", Priority::Reserved)];
         let priority = table.choice("priority", &classes).unwrap_or(Priority::Normal);
--- a/src/configs/reader.rs
+++ b/src/configs/reader.rs
@@ -133,7 +133,7 @@
         }
     }
 
-    fn path_of(&self, key: &str) -> String {
+    fn key_path(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
@@ -145,11 +145,11 @@
     /// Adds a fault at the value of `key`, or at the table when the key is absent.
     pub fn add_error(&self, key: &str, message: impl Into<String>) {
         let span = self.table.get(key).map_or(self.span.clone(), Spanned::span);
-        self.reader.add_error(span, self.path_of(key), message);
+        self.reader.add_error(span, self.key_path(key), message);
     }
 
-    fn wrong_type(&self, key: &str, want: &str, got: &DeValue<'_>) {
-        self.add_error(key, format!("is {} where {want} is needed", got.type_str()));
+    fn wrong_type(&self, key: &str, expected: &str, found: &DeValue<'_>) {
+        self.add_error(key, format!("is {} where {expected} is needed", found.type_str()));
     }
 
     /// Reads a text and parses it; absent is `None`, unreadable is a fault and `None`.
@@ -200,22 +200,22 @@
         list.is_some_and(|list| list.is_empty()) || self.table.get(key).is_none()
     }
 
-    /// Reads a whole number between `least` and `most`.
-    pub fn whole(&self, key: &'static str, least: u64, most: u64) -> Option<u64> {
+    /// Reads a whole number between `min` and `max`.
+    pub fn integer(&self, key: &'static str, min: u64, max: u64) -> Option<u64> {
         let value = self.value(key)?.get_ref();
         let number =
             value.as_integer().and_then(|n| u64::from_str_radix(n.as_str(), n.radix()).ok());
         match number {
-            Some(n) if (least..=most).contains(&n) => Some(n),
+            Some(n) if (min..=max).contains(&n) => Some(n),
             _ => {
-                self.add_error(key, format!("needs a whole number from {least} to {most}"));
+                self.add_error(key, format!("needs a whole number from {min} to {max}"));
                 None
             }
         }
     }
 
-    /// Reads a number between `least` and `most`.
-    pub fn number(&self, key: &'static str, least: f64, most: f64) -> Option<f64> {
+    /// Reads a number between `min` and `max`.
+    pub fn number(&self, key: &'static str, min: f64, max: f64) -> Option<f64> {
         let value = self.value(key)?.get_ref();
         let text = match value {
             DeValue::Float(n) => n.as_str(),
@@ -223,9 +223,9 @@
             _ => "",
         };
         match text.parse::<f64>() {
-            Ok(n) if (least..=most).contains(&n) => Some(n),
+            Ok(n) if (min..=max).contains(&n) => Some(n),
             _ => {
-                self.add_error(key, format!("needs a number from {least} to {most}"));
+                self.add_error(key, format!("needs a number from {min} to {max}"));
                 None
             }
         }
@@ -281,7 +281,7 @@
         };
         let mut texts = Vec::new();
         for (i, item) in list.iter().enumerate() {
-            let path = format!("{}[{i}]", self.path_of(key));
+            let path = format!("{}[{i}]", self.key_path(key));
             match item.get_ref().as_str().map(str::parse::<T>) {
                 Some(Ok(text)) => texts.push(text),
                 Some(Err(e)) => self.reader.add_error(item.span(), path, e.to_string()),
@@ -298,7 +298,7 @@
             self.wrong_type(key, "a table", value.get_ref());
             return None;
         };
-        Some(self.child(table, value.span(), self.path_of(key)))
+        Some(self.child(table, value.span(), self.key_path(key)))
     }
 
     /// Reads a list of tables.
@@ -310,7 +310,7 @@
         };
         let mut tables = Vec::new();
         for (i, item) in list.iter().enumerate() {
-            let path = format!("{}[{i}]", self.path_of(key));
+            let path = format!("{}[{i}]", self.key_path(key));
             match item.get_ref().as_table() {
                 Some(table) => tables.push(self.child(table, item.span(), path)),
                 None => self.reader.add_error(item.span(), path, "needs to be a table"),
@@ -329,7 +329,7 @@
     }
 
     /// Ends the reading of this table: keys that nothing asked for are faults.
-    pub fn done(self) {
+    pub fn finish(self) {
         let known = self.known.borrow();
         for key in self.table.keys() {
             let name: &str = key.get_ref();
@@ -340,7 +340,7 @@
                 Some(near) => format!("; did you mean {near:?}?"),
                 None => format!("; known here: {}", known.join(", ")),
             };
-            self.reader.add_error(key.span(), self.path_of(name), format!("unknown key{hint}"));
+            self.reader.add_error(key.span(), self.key_path(name), format!("unknown key{hint}"));
         }
     }
 }
--- a/src/configs/settings/credentials.rs
+++ b/src/configs/settings/credentials.rs
@@ -37,7 +37,7 @@
         let readers = read_list(&table, "readers", context, false);
         let platform = read_list(&table, "platform", context, false).into_iter().next();
         let placement = read_list(&table, "placement", context, false).into_iter().next();
-        table.done();
+        table.finish();
         let placement = placement.or_else(|| peers.first().cloned())?;
         Some(Credentials { peers, operators, readers, platform, placement })
     }
@@ -47,10 +47,10 @@
     table: &TableReader<'_, '_>,
     key: &'static str,
     context: &Context,
-    needed: bool,
+    required: bool,
 ) -> Vec<Secret> {
     let sources: Vec<String> = table.texts(key);
-    if sources.is_empty() && needed {
+    if sources.is_empty() && required {
         table.add_error(key, "needs at least one credential, as \"env:NAME\" or \"file:PATH\"");
     }
     let mut secrets = Vec::new();
--- a/src/configs/settings/limits.rs
+++ b/src/configs/settings/limits.rs
@@ -47,7 +47,7 @@
             ("requests", &mut limits.requests),
             ("remembered_chats", &mut limits.remembered_chats),
         ] {
-            if let Some(count) = table.whole(name, 1, 10_000_000) {
+            if let Some(count) = table.integer(name, 1, 10_000_000) {
                 *slot = count as u32;
             }
         }
@@ -67,7 +67,7 @@
                 format!("is under body ({}); raise it, or no such body can be taken", limits.body),
             );
         }
-        table.done();
+        table.finish();
         limits
     }
 }
--- a/src/configs/settings/listen.rs
+++ b/src/configs/settings/listen.rs
@@ -54,7 +54,7 @@
             );
         }
         let seeds = table.texts::<Address>("seeds").into_iter().map(|seed| seed.0).collect();
-        table.done();
+        table.finish();
         Some(Listen { callers: callers?, peers: peers?, operators: operators?, advertised, seeds })
     }
 }
--- a/src/configs/settings/logging.rs
+++ b/src/configs/settings/logging.rs
@@ -46,7 +46,7 @@
         let Some(table) = root.table("logging") else { return logging };
         logging.level = table.choice("level", &LEVELS).unwrap_or(logging.level);
         logging.format = table.choice("format", &FORMATS).unwrap_or(logging.format);
-        table.done();
+        table.finish();
         logging
     }
 }
--- a/src/configs/settings/mod.rs
+++ b/src/configs/settings/mod.rs
@@ -56,7 +56,7 @@
         let settings = parsed.as_ref().and_then(|table| {
             let root = TableReader::root(&reader, table);
             let settings = Settings::read(&root, context);
-            root.done();
+            root.finish();
             settings
         });
         match (reader.finish(()), settings) {
--- a/src/configs/settings/platform.rs
+++ b/src/configs/settings/platform.rs
@@ -26,14 +26,14 @@
     pub fn read(root: &TableReader<'_, '_>) -> Platform {
         let Some(table) = root.table("platform") else { return Platform::Embedded };
         if table.flag("embedded") == Some(true) {
-            table.done();
+            table.finish();
             return Platform::Embedded;
         }
-        let rows = table.required_address("table");
+        let table_address = table.required_address("table");
         let objects = table.required_address("objects");
         let members = table.required_address("members");
-        table.done();
-        match (rows, objects, members) {
+        table.finish();
+        match (table_address, objects, members) {
             (Some(table), Some(objects), Some(members)) => {
                 Platform::Http { table, objects, members }
             }
--- a/src/configs/settings/timeouts.rs
+++ b/src/configs/settings/timeouts.rs
@@ -73,7 +73,7 @@
                 *slot = span;
             }
         }
-        table.done();
+        table.finish();
         timeouts
     }
 
