--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -7,7 +7,7 @@
 
 use super::{
     Command, CommandError, CommandResult, Options,
-    operator::Operator,
+    operator::OperatorClient,
     options::{print_json, read_file},
 };
 use crate::{
@@ -26,27 +26,27 @@
   --wait                  return when every live instance has it in force
   --wait-time TIME        longest wait, default 30s",
     options: &["--base", "--wait", "--wait-time"],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
 /// Pause between two looks at the instances.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let base: Option<Revision> = options.value("--base")?;
     let wait = options.flag("--wait");
     let wait_time: Span = options.value("--wait-time")?.unwrap_or(Span::secs(30));
     let json = options.flag("--json");
-    let operator = Operator::open(&mut options, cx)?;
-    let path = options.free("FILE")?;
-    options.done()?;
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    let path = options.positional("FILE")?;
+    options.finish()?;
     let text = read_file(&path)?;
     let base = base.map(|base| base.to_string());
     let query: Vec<(&str, &str)> = base.iter().map(|base| ("base", base.as_str())).collect();
-    let applied: Applied = operator.post("/v1/apply", &query, &text)?;
+    let applied: Applied = client.post("/v1/apply", &query, &text)?;
     if wait {
-        wait_everywhere(&operator, applied.revision, wait_time.0, cx)?;
+        wait_until_active(&client, applied.revision, wait_time.0, cx)?;
     }
     if json {
         return print_json(&applied);
@@ -60,27 +60,27 @@
     Ok(())
 }
 
-fn wait_everywhere(
-    operator: &Operator,
+fn wait_until_active(
+    client: &OperatorClient,
     revision: Revision,
-    most: Duration,
+    timeout: Duration,
     cx: &Context,
 ) -> CommandResult {
-    let until: Instant = cx.clock.now() + most;
+    let deadline: Instant = cx.clock.now() + timeout;
     loop {
-        let status: FleetStatus = operator.get("/v1/status", &[])?;
-        let behind = status.instances.iter().filter(|i| i.revision < revision).map(|i| &i.id);
-        let missing: Vec<&InstanceId> = behind.chain(&status.silent).collect();
+        let status: FleetStatus = client.get("/v1/status", &[])?;
+        let outdated = status.instances.iter().filter(|i| i.revision < revision).map(|i| &i.id);
+        let missing: Vec<&InstanceId> = outdated.chain(&status.silent).collect();
         if missing.is_empty() {
             return Ok(());
         }
-        if cx.clock.now() >= until {
+        if cx.clock.now() >= deadline {
             let names: Vec<String> = missing.iter().map(ToString::to_string).collect();
             return Err(CommandError::Unreachable(format!(
                 "revision {revision} is accepted; not yet in force at {}; see `cartvane status`",
                 names.join(", ")
             )));
         }
-        thread::sleep(LOOK_PERIOD);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -1,7 +1,7 @@
 //! `cartvane audit`: who changed what, when.
 
 use super::{
-    Command, CommandError, CommandResult, Options, operator::Operator, options::print_json,
+    Command, CommandError, CommandResult, Options, operator::OperatorClient, options::print_json,
 };
 use crate::{audit::AuditRow, context::Context};
 
@@ -14,7 +14,7 @@
   --entity NAME           only what concerns this entity, such as team/drivers
   --by NAME               only what this operator did",
     options: &["--since", "--entity", "--by"],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
@@ -23,9 +23,9 @@
     let since: Option<String> = options.value("--since")?;
     let entity: Option<String> = options.value("--entity")?;
     let by: Option<String> = options.value("--by")?;
-    let operator = Operator::open(&mut options, cx)?;
-    options.done()?;
-    let since = since.map(|text| millis_of(&text)).transpose()?;
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    options.finish()?;
+    let since = since.map(|text| unix_millis(&text)).transpose()?;
     let mut query = Vec::new();
     if let Some(since) = &since {
         query.push(("since", since.as_str()));
@@ -36,7 +36,7 @@
     if let Some(by) = &by {
         query.push(("by", by.as_str()));
     }
-    let rows: Vec<AuditRow> = operator.get("/v1/audit", &query)?;
+    let rows: Vec<AuditRow> = client.get("/v1/audit", &query)?;
     if json {
         return print_json(&rows);
     }
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-fn millis_of(text: &str) -> Result<String, CommandError> {
+fn unix_millis(text: &str) -> Result<String, CommandError> {
     let time = humantime::parse_rfc3339_weak(text).map_err(|_| {
         CommandError::Usage(format!("--since {text:?}: write a time such as 2026-12-02T08:00:00Z"))
     })?;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -13,14 +13,14 @@
 
   --json    print JSON",
     options: &["--json"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
 fn run(mut options: Options, _: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let path = options.free("FILE")?;
-    options.done()?;
+    let path = options.positional("FILE")?;
+    options.finish()?;
     match Fleet::parse(&read_file(&path)?) {
         Ok(fleet) => {
             let summary = serde_json::json!({
--- a/src/cli/completions.rs
+++ b/src/cli/completions.rs
@@ -8,13 +8,13 @@
     summary: "print completions for bash, zsh or fish",
     usage: "cartvane completions bash|zsh|fish",
     options: &[],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
 fn run(mut options: Options, _: &Context) -> CommandResult {
-    let shell = options.free("SHELL")?;
-    options.done()?;
+    let shell = options.positional("SHELL")?;
+    options.finish()?;
     let script = match shell.as_str() {
         "bash" => bash(),
         "zsh" => {
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Command, CommandResult, Options,
-    operator::Operator,
+    operator::OperatorClient,
     options::{print_json, read_file},
 };
 use crate::{context::Context, instance::knowledge::apply::Applied};
@@ -12,20 +12,20 @@
     summary: "show what a file would change",
     usage: "cartvane diff FILE [OPTIONS]",
     options: &[],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let operator = Operator::open(&mut options, cx)?;
-    let path = options.free("FILE")?;
-    options.done()?;
-    let answer: Applied = operator.post("/v1/diff", &[], &read_file(&path)?)?;
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    let path = options.positional("FILE")?;
+    options.finish()?;
+    let proposed: Applied = client.post("/v1/diff", &[], &read_file(&path)?)?;
     if json {
-        return print_json(&answer);
+        return print_json(&proposed);
     }
-    println!("against revision {}: {} changes", answer.revision, answer.changes.len());
-    answer.changes.iter().for_each(|change| println!("  {change}"));
+    println!("against revision {}: {} changes", proposed.revision, proposed.changes.len());
+    proposed.changes.iter().for_each(|change| println!("  {change}"));
     Ok(())
 }
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,6 +1,6 @@
 //! `cartvane drain`: takes an instance or a backend server out without cutting a request.
 
-use super::{Command, CommandResult, Options, operator::Operator, options::print_json};
+use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
 use crate::{context::Context, instance::operators::api::Drained};
 
 pub(super) const COMMAND: Command = Command {
@@ -8,16 +8,16 @@
     summary: "take an instance or a backend server out without cutting a request",
     usage: "cartvane drain INSTANCE|BACKEND_SERVER [OPTIONS]",
     options: &[],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let operator = Operator::open(&mut options, cx)?;
-    let target = options.free("INSTANCE|BACKEND_SERVER")?;
-    options.done()?;
-    let drained: Drained = operator.post("/v1/drain", &[("target", &target)], "")?;
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    let target = options.positional("INSTANCE|BACKEND_SERVER")?;
+    options.finish()?;
+    let drained: Drained = client.post("/v1/drain", &[("target", &target)], "")?;
     if json {
         return print_json(&drained);
     }
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,7 +1,7 @@
 //! `cartvane explain`: where a chat would go now, and why.
 
 use super::{
-    Command, CommandError, CommandResult, Options, operator::Operator, options::print_json,
+    Command, CommandError, CommandResult, Options, operator::OperatorClient, options::print_json,
 };
 use crate::{context::Context, instance::operators::explain::Explanation};
 
@@ -14,20 +14,20 @@
   --team TEAM             the team
   --chat CHAT             the chat, as in the header Cartvane-Chat",
     options: &["--service", "--team", "--chat"],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let mut needed = |name: &'static str| -> Result<String, CommandError> {
+    let mut required = |name: &'static str| -> Result<String, CommandError> {
         options.value(name)?.ok_or_else(|| CommandError::Usage(format!("{name} is missing")))
     };
-    let (service, team, chat) = (needed("--service")?, needed("--team")?, needed("--chat")?);
-    let operator = Operator::open(&mut options, cx)?;
-    options.done()?;
+    let (service, team, chat) = (required("--service")?, required("--team")?, required("--chat")?);
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    options.finish()?;
     let query = [("service", service.as_str()), ("team", team.as_str()), ("chat", chat.as_str())];
-    let explanation: Explanation = operator.get("/v1/explain", &query)?;
+    let explanation: Explanation = client.get("/v1/explain", &query)?;
     if json {
         return print_json(&explanation);
     }
--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -22,13 +22,13 @@
 The settings come from the platform, see docs/PLATFORM.md. SIGTERM or SIGINT drains: no request
 is cut; SIGHUP checks the settings again.",
     options: &["--log-level"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let level = options.value("--log-level")?.unwrap_or(log::LevelFilter::Info);
-    options.done()?;
+    options.finish()?;
     // Signals are taken over before anything else, so that none ends the process by default.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(|e| CommandError::Refused(format!("cannot watch signals: {e}")))?;
@@ -55,6 +55,6 @@
     match settings::read(cx) {
         Ok(settings) if settings == *current => log::warn!("event=reloaded changed=false"),
         Ok(_) => log::warn!("event=reloaded changed=true in_force=next_start"),
-        Err(fault) => log::error!("event=reload_refused reason={:?}", fault.to_string()),
+        Err(error) => log::error!("event=reload_refused reason={:?}", error.to_string()),
     }
 }
--- a/src/cli/hash_key.rs
+++ b/src/cli/hash_key.rs
@@ -13,14 +13,14 @@
   --salt SALT    key_salt of the operators' file
   --json         print JSON",
     options: &["--salt", "--json"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
 fn run(mut options: Options, _: &Context) -> CommandResult {
     let json = options.flag("--json");
     let salt: Option<String> = options.value("--salt")?;
-    options.done()?;
+    options.finish()?;
     let salt = salt.ok_or_else(|| CommandError::Usage("--salt SALT is missing".to_owned()))?;
     let mut key = String::new();
     std::io::stdin().read_to_string(&mut key).map_err(|e| CommandError::Refused(e.to_string()))?;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -61,7 +61,7 @@
     /// Names of its own options, for completions and for the nearest name.
     pub options: &'static [&'static str],
     /// Whether it speaks to an instance, and so has [`OPERATOR_OPTIONS`] too.
-    pub operator: bool,
+    pub uses_operator_api: bool,
     run: fn(Options, &Context) -> CommandResult,
 }
 
@@ -78,15 +78,15 @@
 impl Command {
     /// Returns the names of all its options.
     pub fn all_options(&self) -> impl Iterator<Item = &'static str> {
-        let shared = if self.operator { &OPERATOR_OPTIONS[..] } else { &[] };
+        let shared = if self.uses_operator_api { &OPERATOR_OPTIONS[..] } else { &[] };
         self.options.iter().chain(shared).copied()
     }
 
     /// Returns its use, with every option.
     pub fn full_usage(&self) -> String {
-        let shared = if self.operator { OPERATOR_USAGE } else { "" };
+        let shared = if self.uses_operator_api { OPERATOR_USAGE } else { "" };
         // A command without options of its own has no list for the shared ones to follow.
-        let gap = if self.operator && self.options.is_empty() { "\n" } else { "" };
+        let gap = if self.uses_operator_api && self.options.is_empty() { "\n" } else { "" };
         format!("{}{gap}{shared}", self.usage)
     }
 }
@@ -112,9 +112,9 @@
 pub fn run(args: Vec<OsString>, cx: &Context) -> ExitCode {
     match dispatch(args, cx) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("cartvane: {fault}");
-            ExitCode::from(fault.code())
+        Err(error) => {
+            eprintln!("cartvane: {error}");
+            ExitCode::from(error.code())
         }
     }
 }
--- a/src/cli/operator.rs
+++ b/src/cli/operator.rs
@@ -13,19 +13,22 @@
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Largest answer read.
-const ANSWER_MAX: u64 = 256 << 20;
+const RESPONSE_BYTES_MAX: u64 = 256 << 20;
 
 /// An instance as an operator reaches it.
-pub(super) struct Operator {
+pub(super) struct OperatorClient {
     agent: Agent,
     address: SocketAddr,
     credential: String,
     name: String,
 }
 
-impl Operator {
+impl OperatorClient {
     /// Takes the address, credential and name from options and environment.
-    pub(super) fn open(options: &mut Options, cx: &Context) -> Result<Operator, CommandError> {
+    pub(super) fn from_options(
+        options: &mut Options,
+        cx: &Context,
+    ) -> Result<OperatorClient, CommandError> {
         let address: Option<SocketAddr> = options.value("--at")?;
         let address = match (address, cx.variable("CARTVANE_AT")) {
             (Some(address), _) => address,
@@ -50,7 +53,7 @@
         };
         let name: Option<String> = options.value("--as")?;
         let name = name.or_else(|| cx.variable("USER")).unwrap_or_else(|| "operator".to_owned());
-        Ok(Operator { agent: agent(TIMEOUT), address, credential, name })
+        Ok(OperatorClient { agent: agent(TIMEOUT), address, credential, name })
     }
 
     /// Gets `path`.
@@ -66,7 +69,7 @@
         let request = request
             .header("authorization", format!("Bearer {}", self.credential))
             .header("cartvane-operator", &self.name);
-        self.answer(request.call())
+        self.parse_response(request.call())
     }
 
     /// Posts `body` to `path`.
@@ -84,27 +87,31 @@
             .header("authorization", format!("Bearer {}", self.credential))
             .header("cartvane-operator", &self.name)
             .header("content-type", "text/plain; charset=utf-8");
-        self.answer(request.send(body))
+        self.parse_response(request.send(body))
     }
 
     fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
-    fn answer<T: DeserializeOwned>(
+    fn parse_response<T: DeserializeOwned>(
         &self,
         result: Result<Response<Body>, ureq::Error>,
     ) -> Result<T, CommandError> {
         let address = self.address;
-        let lost = |e: ureq::Error| {
+        let unreachable = |e: ureq::Error| {
             CommandError::Unreachable(format!(
                 "no answer from the instance at {address} ({e}); check --at and that it runs"
             ))
         };
-        let mut response = result.map_err(lost)?;
+        let mut response = result.map_err(unreachable)?;
         let status = response.status().as_u16();
-        let body =
-            response.body_mut().with_config().limit(ANSWER_MAX).read_to_vec().map_err(lost)?;
+        let body = response
+            .body_mut()
+            .with_config()
+            .limit(RESPONSE_BYTES_MAX)
+            .read_to_vec()
+            .map_err(unreachable)?;
         if status == 200 {
             return serde_json::from_slice(&body).map_err(|e| {
                 CommandError::Unreachable(format!(
--- a/src/cli/options.rs
+++ b/src/cli/options.rs
@@ -40,8 +40,8 @@
     /// Takes the next free argument.
     ///
     /// Call this after every option has been taken.
-    pub fn free(&mut self, what: &str) -> Result<String, CommandError> {
-        let missing = || CommandError::Usage(format!("{what} is missing\n\nusage: {}", self.usage));
+    pub fn positional(&mut self, name: &str) -> Result<String, CommandError> {
+        let missing = || CommandError::Usage(format!("{name} is missing\n\nusage: {}", self.usage));
         let text: Option<String> =
             self.args.opt_free_from_str().map_err(|e| CommandError::Usage(e.to_string()))?;
         let text = text.ok_or_else(missing)?;
@@ -54,36 +54,35 @@
     /// Takes every free argument that is left, and ends the reading.
     ///
     /// Call this after every option has been taken.
-    pub fn rest(self) -> Result<Vec<String>, CommandError> {
+    pub fn remaining(self) -> Result<Vec<String>, CommandError> {
         let (known, usage) = (self.known, self.usage);
-        let words = self.args.finish().into_iter().map(|word| word.to_string_lossy().into_owned());
-        words
-            .map(|word| match word.starts_with('-') && word.len() > 1 {
-                true => Err(unknown(&word, &known, &usage)),
-                false => Ok(word),
-            })
-            .collect()
+        let args = self.args.finish().into_iter().map(|arg| arg.to_string_lossy().into_owned());
+        args.map(|arg| match arg.starts_with('-') && arg.len() > 1 {
+            true => Err(unknown(&arg, &known, &usage)),
+            false => Ok(arg),
+        })
+        .collect()
     }
 
     /// Ends the reading: anything left over is refused.
-    pub fn done(self) -> Result<(), CommandError> {
+    pub fn finish(self) -> Result<(), CommandError> {
         let known = self.known;
         let usage = self.usage;
         match self.args.finish().first() {
             None => Ok(()),
-            Some(word) => Err(unknown(&word.to_string_lossy(), &known, &usage)),
+            Some(arg) => Err(unknown(&arg.to_string_lossy(), &known, &usage)),
         }
     }
 
-    fn unknown(&self, word: &str) -> CommandError {
-        unknown(word, &self.known, &self.usage)
+    fn unknown(&self, arg: &str) -> CommandError {
+        unknown(arg, &self.known, &self.usage)
     }
 }
 
-fn unknown(word: &str, known: &[&'static str], usage: &str) -> CommandError {
-    let near = nearest(word, known.iter().copied());
+fn unknown(arg: &str, known: &[&'static str], usage: &str) -> CommandError {
+    let near = nearest(arg, known.iter().copied());
     let hint = near.map_or_else(String::new, |near| format!("; did you mean {near}?"));
-    CommandError::Usage(format!("{word:?} is not known here{hint}\n\nusage: {usage}"))
+    CommandError::Usage(format!("{arg:?} is not known here{hint}\n\nusage: {usage}"))
 }
 
 /// Reads a file named on the command line.
@@ -94,9 +93,9 @@
         ))
     })?;
     String::from_utf8(bytes).map_err(|e| {
-        let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-        let line = good.iter().filter(|&&b| b == b'\n').count() + 1;
-        let column = good.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
+        let valid = &e.as_bytes()[..e.utf8_error().valid_up_to()];
+        let line = valid.iter().filter(|&&b| b == b'\n').count() + 1;
+        let column = valid.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
         CommandError::Refused(format!(
             "1 faults\n{path}:{line}:{column}: not UTF-8; save the file as text in UTF-8"
         ))
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -21,7 +21,7 @@
   --json          print JSON
   --svg FILE      draw requests a second by ending, with what changed in belief",
     options: &["--request", "--json", "--svg"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
@@ -32,9 +32,9 @@
     let json = options.flag("--json");
     let request: Option<String> = options.value("--request")?;
     let svg: Option<String> = options.value("--svg")?;
-    let files = options.rest()?;
+    let files = options.remaining()?;
     if let Some(id) = request {
-        return tell(&id, &files, json);
+        return print_request(&id, &files, json);
     }
     let mut summary = Summary::default();
     each_line(&files, |line| summary.take(line))?;
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-fn tell(id: &str, files: &[String], json: bool) -> CommandResult {
+fn print_request(id: &str, files: &[String], json: bool) -> CommandResult {
     let mut story = Story::new(id);
     each_line(files, |line| story.take(line))?;
     let lines = story.lines();
@@ -71,9 +71,9 @@
     Ok(())
 }
 
-fn each_line(files: &[String], mut take: impl FnMut(&str)) -> CommandResult {
+fn each_line(files: &[String], mut on_line: impl FnMut(&str)) -> CommandResult {
     if files.is_empty() {
-        return read_lines("standard input", std::io::stdin().lock(), &mut take);
+        return read_lines("standard input", std::io::stdin().lock(), &mut on_line);
     }
     for path in files {
         let file = File::open(path).map_err(|e| {
@@ -81,12 +81,12 @@
                 "cannot read {path}: {e}; correct the path or its rights"
             ))
         })?;
-        read_lines(path, BufReader::new(file), &mut take)?;
+        read_lines(path, BufReader::new(file), &mut on_line)?;
     }
     Ok(())
 }
 
-fn read_lines(name: &str, mut from: impl BufRead, take: &mut dyn FnMut(&str)) -> CommandResult {
+fn read_lines(name: &str, mut from: impl BufRead, on_line: &mut dyn FnMut(&str)) -> CommandResult {
     let mut buf = Vec::new();
     loop {
         buf.clear();
@@ -97,6 +97,6 @@
         if read == 0 {
             return Ok(());
         }
-        take(&String::from_utf8_lossy(&buf));
+        on_line(&String::from_utf8_lossy(&buf));
     }
 }
--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -27,17 +27,17 @@
 
 SIGTERM or SIGINT drains: no request is cut; a second signal ends at once.",
     options: &["--settings", "--set"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
 /// Pause between two looks for a signal or the end of a drain.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let path: Option<String> = options.value("--settings")?;
     let overrides = options.values("--set")?;
-    options.done()?;
+    options.finish()?;
     let path = path.ok_or_else(|| CommandError::Usage("--settings FILE is missing".to_owned()))?;
     let mut text = read_file(&path)?;
     for pair in overrides {
@@ -65,14 +65,14 @@
         instance.operators()
     );
     while signals.load(Ordering::SeqCst) == 0 && !instance.is_draining() {
-        thread::sleep(LOOK_PERIOD);
+        thread::sleep(POLL_INTERVAL);
     }
-    let before = signals.load(Ordering::SeqCst).max(1);
+    let seen = signals.load(Ordering::SeqCst).max(1);
     instance.drain();
     log::info!("draining");
-    let clean = instance.finish(|| signals.load(Ordering::SeqCst) > before);
-    log::info!("ended, every request finished: {clean}");
-    if clean {
+    let all_finished = instance.finish(|| signals.load(Ordering::SeqCst) > seen);
+    log::info!("ended, every request finished: {all_finished}");
+    if all_finished {
         Ok(())
     } else {
         Err(CommandError::Refused("ended before every request had finished".to_owned()))
@@ -82,14 +82,14 @@
 /// Counts the signals that ask the process to end.
 fn count_signals() -> std::io::Result<Arc<AtomicUsize>> {
     let count = Arc::new(AtomicUsize::new(0));
-    let seen = Arc::clone(&count);
+    let counter = Arc::clone(&count);
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
     ])?;
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for _ in signals.forever() {
-            seen.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
         }
     })?;
     Ok(count)
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,6 +1,6 @@
 //! `cartvane show`: the file in force, or an earlier one.
 
-use super::{Command, CommandResult, Options, operator::Operator, options::print_json};
+use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
 use crate::{context::Context, instance::operators::api::Shown, units::Revision};
 
 pub(super) const COMMAND: Command = Command {
@@ -10,22 +10,22 @@
 
   --revision REV          this revision's file; to go back to it, apply it again",
     options: &["--revision"],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let json = options.flag("--json");
     let revision: Option<Revision> = options.value("--revision")?;
-    let operator = Operator::open(&mut options, cx)?;
-    options.done()?;
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    options.finish()?;
     let revision = revision.map(|revision| revision.to_string());
     let query: Vec<(&str, &str)> = revision.iter().map(|r| ("revision", r.as_str())).collect();
-    let shown: Shown = operator.get("/v1/show", &query)?;
+    let response: Shown = client.get("/v1/show", &query)?;
     if json {
-        return print_json(&shown);
+        return print_json(&response);
     }
-    eprintln!("revision {}", shown.revision);
-    print!("{}", shown.text);
+    eprintln!("revision {}", response.revision);
+    print!("{}", response.text);
     Ok(())
 }
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,6 +1,6 @@
 //! `cartvane status`: instances, revisions, homes, engines and loads.
 
-use super::{Command, CommandResult, Options, operator::Operator, options::print_json};
+use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
 use crate::{
     context::Context,
     contract::orders::Progress,
@@ -12,15 +12,15 @@
     summary: "show instances, revisions in force, homes, engines and loads",
     usage: "cartvane status [OPTIONS]",
     options: &[],
-    operator: true,
+    uses_operator_api: true,
     run,
 };
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let operator = Operator::open(&mut options, cx)?;
-    options.done()?;
-    let status: FleetStatus = operator.get("/v1/status", &[])?;
+    let client = OperatorClient::from_options(&mut options, cx)?;
+    options.finish()?;
+    let status: FleetStatus = client.get("/v1/status", &[])?;
     if json {
         return print_json(&status);
     }
