--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `cartvane check`: checks an operators' file without an instance.
 
 use super::{
-    Command, CommandFault, CommandResult, Options,
+    Command, CommandError, CommandResult, Options,
     options::{print_json, read_file},
 };
 use crate::{configs::fleet::Fleet, context::Context};
@@ -13,14 +13,14 @@
 
   --json    print JSON",
     options: &["--json"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
 fn run(mut options: Options, _: &Context) -> CommandResult {
     let json = options.flag("--json");
-    let path = options.free("FILE")?;
-    options.done()?;
+    let path = options.positional("FILE")?;
+    options.finish()?;
     match Fleet::parse(&read_file(&path)?) {
         Ok(fleet) => {
             let summary = serde_json::json!({
@@ -41,14 +41,14 @@
             );
             Ok(())
         }
-        Err(faults) => {
+        Err(errors) => {
             if json {
-                print_json(&faults)?;
+                print_json(&errors)?;
             }
-            let count = faults.0.len();
+            let count = errors.0.len();
             let lines: Vec<String> =
-                faults.0.iter().map(|fault| format!("{path}:{fault}")).collect();
-            Err(CommandFault::Refused(format!("{count} faults\n{}", lines.join("\n"))))
+                errors.0.iter().map(|error| format!("{path}:{error}")).collect();
+            Err(CommandError::Refused(format!("{count} faults\n{}", lines.join("\n"))))
         }
     }
 }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -5,7 +5,7 @@
     io::{BufRead, BufReader, Read},
 };
 
-use super::{Command, CommandFault, CommandResult, Options, options::print_json};
+use super::{Command, CommandError, CommandResult, Options, options::print_json};
 use crate::{
     context::Context,
     report::{Story, Summary, chart},
@@ -21,7 +21,7 @@
   --json          print JSON
   --svg FILE      draw requests a second by ending, with what changed in belief",
     options: &["--request", "--json", "--svg"],
-    operator: false,
+    uses_operator_api: false,
     run,
 };
 
@@ -32,16 +32,16 @@
     let json = options.flag("--json");
     let request: Option<String> = options.value("--request")?;
     let svg: Option<String> = options.value("--svg")?;
-    let files = options.rest()?;
+    let files = options.remaining()?;
     if let Some(id) = request {
-        return tell(&id, &files, json);
+        return print_request(&id, &files, json);
     }
     let mut summary = Summary::default();
     each_line(&files, |line| summary.take(line))?;
     if let Some(path) = svg {
-        let picture = chart::svg(&summary).map_err(|e| CommandFault::Refused(e.to_string()))?;
+        let picture = chart::svg(&summary).map_err(|e| CommandError::Refused(e.to_string()))?;
         fs::write(&path, picture).map_err(|e| {
-            CommandFault::Unreachable(format!(
+            CommandError::Unreachable(format!(
                 "cannot write {path}: {e}; correct the path or its rights"
             ))
         })?;
@@ -53,12 +53,12 @@
     Ok(())
 }
 
-fn tell(id: &str, files: &[String], json: bool) -> CommandResult {
+fn print_request(id: &str, files: &[String], json: bool) -> CommandResult {
     let mut story = Story::new(id);
     each_line(files, |line| story.take(line))?;
     let lines = story.lines();
     if lines.is_empty() {
-        return Err(CommandFault::Refused(format!(
+        return Err(CommandError::Refused(format!(
             "no line tells of request {id}; give the logs of all instances, and the id as the caller sent it"
         )));
     }
@@ -71,32 +71,32 @@
     Ok(())
 }
 
-fn each_line(files: &[String], mut take: impl FnMut(&str)) -> CommandResult {
+fn each_line(files: &[String], mut on_line: impl FnMut(&str)) -> CommandResult {
     if files.is_empty() {
-        return read_lines("standard input", std::io::stdin().lock(), &mut take);
+        return read_lines("standard input", std::io::stdin().lock(), &mut on_line);
     }
     for path in files {
         let file = File::open(path).map_err(|e| {
-            CommandFault::Unreachable(format!(
+            CommandError::Unreachable(format!(
                 "cannot read {path}: {e}; correct the path or its rights"
             ))
         })?;
-        read_lines(path, BufReader::new(file), &mut take)?;
+        read_lines(path, BufReader::new(file), &mut on_line)?;
     }
     Ok(())
 }
 
-fn read_lines(name: &str, mut from: impl BufRead, take: &mut dyn FnMut(&str)) -> CommandResult {
+fn read_lines(name: &str, mut from: impl BufRead, on_line: &mut dyn FnMut(&str)) -> CommandResult {
     let mut buf = Vec::new();
     loop {
         buf.clear();
         let read = from.by_ref().take(LINE_MAX).read_until(b'\n', &mut buf);
         let read = read.map_err(|e| {
-            CommandFault::Unreachable(format!("cannot read on in {name}: {e}; read it again"))
+            CommandError::Unreachable(format!("cannot read on in {name}: {e}; read it again"))
         })?;
         if read == 0 {
             return Ok(());
         }
-        take(&String::from_utf8_lossy(&buf));
+        on_line(&String::from_utf8_lossy(&buf));
     }
 }
--- a/src/configs/settings/credentials.rs
+++ b/src/configs/settings/credentials.rs
@@ -26,7 +26,7 @@
     /// Reads `[credentials]`; each entry is `env:NAME` or `file:PATH`.
     pub fn read(root: &TableReader<'_, '_>, context: &Context) -> Option<Credentials> {
         let Some(table) = root.table("credentials") else {
-            root.fault(
+            root.add_error(
                 "credentials",
                 "is missing; name the credentials as \"env:NAME\" or \"file:PATH\"",
             );
@@ -37,7 +37,7 @@
         let readers = read_list(&table, "readers", context, false);
         let platform = read_list(&table, "platform", context, false).into_iter().next();
         let placement = read_list(&table, "placement", context, false).into_iter().next();
-        table.done();
+        table.finish();
         let placement = placement.or_else(|| peers.first().cloned())?;
         Some(Credentials { peers, operators, readers, platform, placement })
     }
@@ -47,17 +47,17 @@
     table: &TableReader<'_, '_>,
     key: &'static str,
     context: &Context,
-    needed: bool,
+    required: bool,
 ) -> Vec<Secret> {
     let sources: Vec<String> = table.texts(key);
-    if sources.is_empty() && needed {
-        table.fault(key, "needs at least one credential, as \"env:NAME\" or \"file:PATH\"");
+    if sources.is_empty() && required {
+        table.add_error(key, "needs at least one credential, as \"env:NAME\" or \"file:PATH\"");
     }
     let mut secrets = Vec::new();
     for source in sources {
         match resolve(&source, context) {
             Ok(secret) => secrets.push(secret),
-            Err(message) => table.fault(key, message),
+            Err(message) => table.add_error(key, message),
         }
     }
     secrets
--- a/src/instance/cluster_state/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -8,10 +8,10 @@
     configs::{
         fleet::{
             Fleet,
-            chunks::{Digest, decode, encode, store},
+            chunks::{Digest, decode, encode, to_chunks},
             diff::{Change, diff},
         },
-        reader::Faults,
+        reader::ConfigErrors,
     },
     contract::revision::{HEAD_KEY, Head},
     instance::{
@@ -47,7 +47,7 @@
 pub enum ApplyError {
     /// The file has errors.
     #[error("the file is refused as a whole; correct these and apply it again:\n{0}")]
-    Faults(Faults),
+    Faults(ConfigErrors),
     /// Another file was applied since the base.
     #[error(
         "revision {revision} by {by} is in force, not {base}; look at `cartvane diff`, then apply again with --base {revision}"
@@ -115,7 +115,7 @@
     base: Option<Revision>,
     by: &str,
 ) -> Result<Applied, ApplyError> {
-    let stored = store(fleet);
+    let stored = to_chunks(fleet);
     let manifest = Digest::of(&stored.manifest);
     let id = shared.next_request_id();
     put_objects(shared, &stored, manifest, text)?;
--- a/src/instance/cluster_state/config.rs
+++ b/src/instance/cluster_state/config.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    configs::fleet::chunks::{Digest, Manifest, decode, load},
+    configs::fleet::chunks::{Digest, Manifest, decode, from_chunks},
     contract::revision::{HEAD_KEY, Head},
     instance::{
         cluster_state::{gossip, snapshot::Snapshot},
@@ -149,7 +149,7 @@
     for chunk in &manifest.chunks {
         fetch_object(shared, chunk)?;
     }
-    let fleet = load(&manifest, |name| shared.objects.get(name))?;
+    let fleet = from_chunks(&manifest, |name| shared.objects.get(name))?;
     let snapshot = Arc::new(Snapshot::new(head.clone(), fleet));
     {
         // Locked while the snapshot is swapped, so that an older one never replaces a newer one.
