--- a/src/configs/reader.rs
+++ b/src/configs/reader.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// One TOML table being read; unknown keys are faults when it is dropped by [`TableReader::done`].
+/// One TOML table being read; unknown keys are faults when it is dropped by [`TableReader::finish`].
 pub struct TableReader<'r, 'a> {
     reader: &'r Reader<'a>,
     table: &'r DeTable<'a>,
