--- a/src/instance/background.rs
+++ b/src/instance/background.rs
@@ -19,7 +19,7 @@
     utils::sync::lock,
 };
 
-/// Period of the regular work of homes and desks.
+/// Period of the regular work of homes and the permit client.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 
 /// Period of the replication of chat locations.
--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Builds the state that the parts of an instance share, and connects the desk and the homes to each other.
+/// Builds the state that the parts of an instance share, and connects the permit client and the homes to each other.
 pub(super) fn build_shared(
     settings: Settings,
     context: &Context,
@@ -69,7 +69,7 @@
         PeerClient::new(clock.clone(), Some(credential), settings.timeouts.peer.0, traffic.clone());
     let own = Candidate { id: settings.id.clone(), tag, zone: settings.zone.clone() };
     let waker = Arc::clone(waker);
-    // The desk and the homes reach each other through the shared state, which owns both.
+    // The permit client and the homes reach each other through the shared state, which owns both.
     let this: Arc<OnceLock<Weak<Shared>>> = Arc::default();
     let reply_timeout = settings.timeouts.peer.0;
     let permit_client =
@@ -123,7 +123,7 @@
 }
 
 fn home_transport(this: &Arc<OnceLock<Weak<Shared>>>) -> HomeTransport {
-    let (send_this, cut_this) = (Arc::clone(this), Arc::clone(this));
+    let (send_this, disconnect_this) = (Arc::clone(this), Arc::clone(this));
     HomeTransport {
         send: Box::new(move |home, batches| {
             let Some(shared) = upgrade(&send_this) else { return false };
@@ -135,7 +135,7 @@
             true
         }),
         disconnect: Box::new(move |home| {
-            if let Some(shared) = upgrade(&cut_this) {
+            if let Some(shared) = upgrade(&disconnect_this) {
                 shared.permit_streams.close(home);
             }
         }),
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -186,9 +186,9 @@
 
 fn serve_callers(shared: &Arc<Shared>, max_connections: usize) -> anyhow::Result<Listener> {
     let listen = shared.settings.listen.callers;
-    let (serving, refusing) = (Arc::clone(shared), Arc::clone(shared));
+    let (serving, rejecting) = (Arc::clone(shared), Arc::clone(shared));
     let serve = move |conn| entry::serve(&serving, conn);
-    let refuse = move |conn| entry::reject_connection(&refusing, conn);
-    Listener::bind(listen, shared.clock.clone(), max_connections, serve, refuse)
+    let reject = move |conn| entry::reject_connection(&rejecting, conn);
+    Listener::bind(listen, shared.clock.clone(), max_connections, serve, reject)
         .with_context(|| format!("cannot listen for callers on {listen}"))
 }
