--- a/src/instance/build.rs
+++ b/src/instance/build.rs
@@ -123,7 +123,7 @@
 }
 
 fn home_transport(this: &Arc<OnceLock<Weak<Shared>>>) -> HomeTransport {
-    let (send_this, cut_this) = (Arc::clone(this), Arc::clone(this));
+    let (send_this, disconnect_this) = (Arc::clone(this), Arc::clone(this));
     HomeTransport {
         send: Box::new(move |home, batches| {
             let Some(shared) = upgrade(&send_this) else { return false };
@@ -135,7 +135,7 @@
             true
         }),
         disconnect: Box::new(move |home| {
-            if let Some(shared) = upgrade(&cut_this) {
+            if let Some(shared) = upgrade(&disconnect_this) {
                 shared.permit_streams.close(home);
             }
         }),
