--- a/src/configs/fleet/backend_server.rs
+++ b/src/configs/fleet/backend_server.rs
@@ -1,4 +1,4 @@
-//! A backend server: where it is, what it can carry, what it checks and reports.
+//! `[[backend_server]]`: address, zone, capacity and abilities of one backend server.
 
 use std::net::SocketAddr;
 
@@ -14,33 +14,33 @@
     utils::nearest::nearest,
 };
 
-/// A backend server.
+/// A backend server of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// Id.
+    /// Id of the server, unique in the file.
     pub id: BackendId,
-    /// The service it answers for.
+    /// Service whose requests it handles.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// Availability zone it runs in.
     pub zone: ZoneId,
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     pub capacity: u32,
-    /// Share of its zone's traffic, relative to the zone's other servers.
+    /// Weight of the server relative to the others of its zone; the zone's traffic is split by it.
     pub weight: f64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders that have an outdated fencing number.
     pub checks_fencing: bool,
     /// Whether it reports its load.
     pub reports_load: bool,
-    /// Role that it is ordered to have; what roles there are is the engines' matter.
+    /// Role that it is ordered to take. The set of roles is defined by the engines and not checked here.
     pub role: String,
-    /// Whether operators are taking it out: nothing new goes to it.
+    /// Whether operators are taking it out of service; it receives no new requests then.
     pub leaving: bool,
 }
 
 impl BackendServer {
-    /// Reads one `[[backend_server]]`; its service and zone must be in the file.
+    /// Reads a `[[backend_server]]` table, whose service and zone must be defined in the file.
     pub fn read(
         table: &TableReader<'_, '_>,
         services: &IndexMap<ServiceId, Service>,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns the message for a reference to a thing that the file lacks.
+/// Returns the error message for a reference to an entity that the file does not define; `near` is a similar name.
 pub fn unknown_reference(kind: &str, name: &str, near: Option<&str>) -> String {
     match near {
         Some(near) => format!("{name} is no {kind} of this file; did you mean {near}?"),
--- a/src/configs/fleet/chunks.rs
+++ b/src/configs/fleet/chunks.rs
@@ -1,7 +1,7 @@
-//! The stored form of a file: entities in content-addressed chunks, and a manifest of them.
+//! Stored form of an operators' file: its entities in content-addressed chunks, and a manifest that lists them.
 //!
-//! Every entity lands in the chunk that the hash of its key names, so a change of one entity
-//! changes one chunk; see docs/DESIGN.md, "Intent in force", for the figures.
+//! The hash of an entity's key selects its chunk, so a change of one entity changes one chunk; see docs/DESIGN.md,
+//! "Intent in force", for the figures.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -11,17 +11,17 @@
 use super::Fleet;
 use crate::utils::secret::digest;
 
-/// Mean number of entities a chunk is meant to hold.
+/// Mean number of entities per chunk at which the number of chunks doubles.
 const ENTITIES_PER_CHUNK: usize = 64;
 
-/// Largest number of chunks, as a power of two.
+/// Binary logarithm of the maximum number of chunks.
 const CHUNK_BITS_MAX: u32 = 16;
 
-/// The first half of a SHA-256 digest: the name of a stored object.
+/// First half of a SHA-256 digest; the name of a stored object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest(#[serde(with = "serde_bytes")] [u8; DIGEST_BYTES]);
 
-/// Bytes of a digest.
+/// Size of a digest in bytes.
 const DIGEST_BYTES: usize = 16;
 
 impl Digest {
@@ -49,11 +49,11 @@
     }
 }
 
-/// Names the chunks of one file, in order. Travels as the bare digests one after the other.
+/// List of the chunks of one file, in order. It is encoded as the concatenated digests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "serde_bytes::ByteBuf", into = "serde_bytes::ByteBuf")]
 pub struct Manifest {
-    /// Digests of the chunks; their number is a power of two.
+    /// Digests of the chunks, whose number is a power of two.
     pub chunks: Vec<Digest>,
 }
 
@@ -71,29 +71,29 @@
     }
 }
 
-/// One stored chunk: entity keys with their encoded entities, sorted.
+/// One chunk: encoded entities, sorted by their keys.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Chunk(BTreeMap<String, serde_bytes::ByteBuf>);
 
-/// A file in its stored form.
+/// An operators' file in its stored form.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredFleet {
-    /// The encoded manifest.
+    /// Encoded manifest.
     pub manifest: Vec<u8>,
     /// Encoded chunks by digest.
     pub chunks: BTreeMap<Digest, Vec<u8>>,
 }
 
-/// Why stored bytes are not a file.
+/// Error for stored bytes that cannot be decoded to a file.
 #[derive(Debug, thiserror::Error)]
 pub enum StoredError {
-    /// An object's bytes do not have the digest they are stored under.
+    /// The digest of an object's bytes is not the one it is stored under.
     #[error("object {0} is corrupt; it is fetched again from another source")]
     Corrupt(Digest),
     /// An object cannot be decoded.
     #[error("a stored object cannot be read ({0}); apply the file again with this version")]
     Decode(#[from] rmp_serde::decode::Error),
-    /// An entity's key has an unknown kind.
+    /// The key of an entity has a kind that this version does not know.
     #[error(
         "a stored entity has the unknown kind {0:?}; every instance must run this version or a newer one"
     )]
@@ -103,11 +103,11 @@
     Missing(Digest),
 }
 
-/// Encodes a value in the compact form used between instances and in the store.
+/// Encodes a value as MessagePack, the format of messages between instances and of rows in the store.
 ///
 /// # Panics
 ///
-/// Never for the types of this crate: all of them can be encoded.
+/// Does not panic for the types of this crate, which can all be encoded.
 pub fn encode(value: &impl Serialize) -> Vec<u8> {
     rmp_serde::to_vec(value).expect("the types of this crate can be encoded")
 }
@@ -116,12 +116,12 @@
 ///
 /// # Errors
 ///
-/// The bytes are not an encoded `T`.
+/// Fails if the bytes are not an encoded `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
 
-/// Returns the entities of a file as sorted pairs of key and encoded entity.
+/// Returns the encoded entities of a file by their keys.
 pub fn entities(fleet: &Fleet) -> BTreeMap<String, Vec<u8>> {
     let mut all = BTreeMap::new();
     all.insert("salt".to_owned(), encode(&fleet.key_salt));
@@ -136,15 +136,15 @@
     all
 }
 
-/// Returns the stored form of a file.
+/// Encodes a file as chunks with a manifest.
 pub fn to_chunks(fleet: &Fleet) -> StoredFleet {
     let entities = entities(fleet);
     let bits =
         (entities.len() / ENTITIES_PER_CHUNK + 1).next_power_of_two().ilog2().min(CHUNK_BITS_MAX);
     let mut chunks = vec![Chunk::default(); 1 << bits];
     for (key, bytes) in entities {
-        let at = xxh3_64(key.as_bytes()) as usize & ((1 << bits) - 1);
-        chunks[at].0.insert(key, serde_bytes::ByteBuf::from(bytes));
+        let index = xxh3_64(key.as_bytes()) as usize & ((1 << bits) - 1);
+        chunks[index].0.insert(key, serde_bytes::ByteBuf::from(bytes));
     }
     let encoded: Vec<Vec<u8>> = chunks.iter().map(encode).collect();
     let manifest = Manifest { chunks: encoded.iter().map(|bytes| Digest::of(bytes)).collect() };
@@ -153,11 +153,11 @@
     StoredFleet { manifest: manifest_bytes, chunks }
 }
 
-/// Puts a file together from its manifest and a closure that yields chunks.
+/// Decodes a file from its manifest; `chunk` returns the bytes of a chunk.
 ///
 /// # Errors
 ///
-/// A chunk is missing, corrupt or unreadable; nothing of the file is used then.
+/// Fails if a chunk is missing, corrupt or cannot be decoded.
 pub fn from_chunks(
     manifest: &Manifest,
     chunk: impl Fn(&Digest) -> Option<Vec<u8>>,
--- a/src/configs/fleet/diff.rs
+++ b/src/configs/fleet/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two files, by entity.
+//! Differences between two operators' files, by entity.
 
 use std::fmt;
 
@@ -6,24 +6,24 @@
 
 use super::{Fleet, chunks::entities};
 
-/// How an entity differs.
+/// Kind of difference of an entity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// Only the newer file has it.
+    /// Only the newer file has the entity.
     Added,
-    /// Only the older file has it.
+    /// Only the older file has the entity.
     Removed,
-    /// Both have it, with different content.
+    /// Both files have the entity, with different content.
     Changed,
 }
 
-/// One differing entity.
+/// An entity that differs between two files.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// Entity key, such as `team/drivers`.
     pub entity: String,
-    /// How it differs.
+    /// Kind of difference.
     pub kind: ChangeKind,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns what differs, sorted by entity.
+/// Returns the differences between two files, sorted by entity.
 pub fn diff(older: &Fleet, newer: &Fleet) -> Vec<Change> {
     let (old, new) = (entities(older), entities(newer));
     let mut changes: Vec<Change> = new
--- a/src/configs/fleet/mod.rs
+++ b/src/configs/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' file: teams, services, backend servers, shares and models of the whole fleet.
+//! The operators' file: zones, teams, services, backend servers, traffic shares and models of the whole fleet.
 
 pub mod backend_server;
 pub mod chunks;
@@ -26,15 +26,15 @@
 pub use team::{Priority, Team};
 pub use zone::Zone;
 
-/// How far the shares of one service may be from one in sum.
+/// Accepted difference between 1 and the sum of the shares of a service.
 const SHARE_SUM_TOLERANCE: f64 = 0.001;
 
-/// A whole, checked operators' file.
+/// A validated operators' file.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Key of the hashes of team keys, as text.
+    /// HMAC key for the hashes of team keys.
     pub key_salt: String,
-    /// Places.
+    /// Availability zones.
     pub zones: IndexMap<ZoneId, Zone>,
     /// Teams.
     pub teams: IndexMap<TeamId, Team>,
@@ -42,18 +42,18 @@
     pub services: IndexMap<ServiceId, Service>,
     /// Backend servers.
     pub backend_servers: IndexMap<BackendId, BackendServer>,
-    /// Shares of traffic among places.
+    /// Shares of the services' traffic by zone.
     pub shares: Vec<Share>,
     /// Models.
     pub models: IndexMap<ModelId, Model>,
 }
 
 impl Fleet {
-    /// Reads and checks a file as a whole.
+    /// Parses and validates an operators' file.
     ///
     /// # Errors
     ///
-    /// Every fault of the file, with line, column and remedy; nothing of a faulty file is used.
+    /// All errors of the file, each with its position and how to correct it. A file with errors is rejected as a whole.
     pub fn parse(text: &str) -> Result<Fleet, ConfigErrors> {
         let reader = Reader::new(text);
         let parsed = reader.parse();
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns the shares stated for `service`.
+    /// Returns the traffic shares of `service`.
     pub fn shares_of(&self, service: &ServiceId) -> impl Iterator<Item = &Share> {
         self.shares.iter().filter(move |s| s.service == *service)
     }
--- a/src/configs/fleet/model.rs
+++ b/src/configs/fleet/model.rs
@@ -1,22 +1,22 @@
-//! A model, its version and adapters, that engines are to hold.
+//! `[[model]]`: a model with its version and adapters, which engines load.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{configs::reader::TableReader, names::ModelId};
 
-/// A model.
+/// A model that engines load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
-    /// Id.
+    /// Id of the model, unique in the file.
     pub id: ModelId,
-    /// Version in force.
+    /// Version to load.
     pub version: String,
-    /// Adapters to load beside it.
+    /// Adapters to load with the model.
     pub adapters: Vec<String>,
 }
 
 impl Model {
-    /// Reads one `[[model]]`.
+    /// Reads a `[[model]]` table.
     pub fn read(table: &TableReader<'_, '_>) -> Option<Model> {
         let id = table.required("id");
         let version = table.required("version");
--- a/src/configs/fleet/service.rs
+++ b/src/configs/fleet/service.rs
@@ -1,4 +1,4 @@
-//! A service: what its backend servers are, how loaded they may be, what may be repeated.
+//! `[[service]]`: kind, load bound, deadlines, retry rules and placement of one service.
 
 use std::{fmt, str::FromStr};
 
@@ -11,46 +11,46 @@
     units::Span,
 };
 
-/// What the backend servers of a service are.
+/// Kind of a service's backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceKind {
-    /// Model engines with a prompt cache.
+    /// Model engines, which have a prompt cache.
     Model,
-    /// Plain servers.
+    /// Servers without a prompt cache.
     Plain,
 }
 
-/// How a place is chosen. Every way but `Permit` is a baseline for measurements.
+/// How the engine for a request is chosen. All but `Permit` are baselines for measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Placement {
-    /// The shard's home grants a permit and holds the bound.
+    /// The home of the shard grants a permit and enforces the load bound.
     Permit,
-    /// Baseline: each entry takes the engines in turn.
+    /// Baseline: each entry uses the engines in rotation.
     RoundRobin,
-    /// Baseline: each entry takes the engine with the least reported load.
+    /// Baseline: each entry uses the engine with the least reported load.
     LeastReported,
-    /// Baseline: rendezvous hashing of the chat alone.
+    /// Baseline: rendezvous hashing of the chat, without a load bound.
     Rendezvous,
-    /// Baseline: rendezvous hashing bounded by what this entry knows.
+    /// Baseline: rendezvous hashing with a load bound that each entry computes from its own observations.
     BoundedAlone,
 }
 
-/// A request pattern: a method and a path with an optional `*` at its end.
+/// Pattern of requests: a method, and a path that may end in `*`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRule {
-    /// Method in capitals, or `*`.
+    /// Method in upper case, or `*` for all methods.
     pub method: String,
-    /// Path after the service's name; a trailing `*` matches any rest.
+    /// Path without the service prefix; a trailing `*` matches any suffix.
     pub path: String,
 }
 
-/// Why a text is not a rule.
+/// Error for a string that is not a request rule.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is not a rule; write a method and a path, such as \"POST /bookings/*\"")]
 pub struct RuleError(String);
 
 impl RequestRule {
-    /// Returns whether the rule covers the request.
+    /// Returns whether the rule applies to a request.
     pub fn covers(&self, method: &str, path: &str) -> bool {
         let method_matches = self.method == "*" || self.method == method;
         let path_matches = match self.path.strip_suffix('*') {
@@ -82,40 +82,41 @@
     }
 }
 
-/// A service.
+/// A service and its settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Id; callers reach it under `/{id}/`.
+    /// Id of the service; its URL paths start with `/{id}/`.
     pub id: ServiceId,
-    /// What its backend servers are.
+    /// Kind of its backend servers.
     pub kind: ServiceKind,
-    /// Most load of one backend server, as a multiple of the mean.
+    /// Maximum load of one backend server, as a multiple of the mean load.
     pub load_bound: f64,
-    /// Time a request has when its caller states none.
+    /// Time limit of requests whose caller sets none.
     pub deadline: Span,
-    /// Most time a caller may state.
+    /// Maximum time limit that a caller may set.
     pub max_deadline: Span,
-    /// Requests that must run at most once.
+    /// Requests that must not run more than once.
     pub non_idempotent: Vec<RequestRule>,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Retries allowed, as a share of requests.
+    /// Maximum number of retries, as a fraction of the requests.
     pub retry_budget: f64,
-    /// Most requests waiting at a home.
+    /// Maximum number of requests queued at a home.
     pub queue: u32,
-    /// Longest wait of a returning chat for the engine that holds its context.
+    /// Maximum wait of a returning chat for the engine that has its context.
     pub affinity_wait: Span,
-    /// Models its engines hold.
+    /// Models that its engines load.
     pub models: Vec<ModelId>,
-    /// Most engines of a shard that load models at once, for the weight store's sake.
+    /// Maximum number of engines of a shard that load models at the same time; it limits the load of the store from
+    /// which engines fetch weights.
     pub loads_at_once: u32,
-    /// Least share of a shard's engines that go on serving while models are loaded.
+    /// Minimum fraction of a shard's engines that keep serving requests while others load models.
     pub min_serving: f64,
-    /// How a place is chosen.
+    /// How the engine for a request is chosen.
     pub placement: Placement,
 }
 
-/// Default patience of model services; the figures behind it are in docs/MEASUREMENTS.md.
+/// Default `patience` of model services; docs/MEASUREMENTS.md has the measurements behind it.
 const AFFINITY_WAIT: Span = Span::millis(700);
 
 const KINDS: [(&str, ServiceKind); 2] =
@@ -130,7 +131,7 @@
 ];
 
 impl Service {
-    /// Reads one `[[service]]`; its models must be among `models`.
+    /// Reads a `[[service]]` table, whose models must be among `models`.
     pub fn read(
         table: &TableReader<'_, '_>,
         models: &IndexMap<ModelId, super::Model>,
--- a/src/configs/fleet/share.rs
+++ b/src/configs/fleet/share.rs
@@ -1,4 +1,4 @@
-//! A share of a service's traffic that one zone is to take.
+//! `[[share]]`: the share of a service's traffic that goes to one zone.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -11,19 +11,19 @@
     names::{ServiceId, ZoneId},
 };
 
-/// A share.
+/// Share of a service's traffic that goes to one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// The service whose traffic is shared.
+    /// Service whose traffic is split.
     pub service: ServiceId,
-    /// The zone that takes the share.
+    /// Zone that receives the share.
     pub zone: ZoneId,
-    /// The share, from 0 to 1; the shares of a service add up to 1.
+    /// Fraction of the traffic, from 0 to 1; the shares of a service add up to 1.
     pub share: f64,
 }
 
 impl Share {
-    /// Reads one `[[share]]`; its service and zone must be in the file.
+    /// Reads a `[[share]]` table, whose service and zone must be defined in the file.
     pub fn read(
         table: &TableReader<'_, '_>,
         services: &IndexMap<ServiceId, Service>,
--- a/src/configs/fleet/team.rs
+++ b/src/configs/fleet/team.rs
@@ -1,4 +1,4 @@
-//! A team: callers that share a weight and limits.
+//! `[[team]]`: keys, weight and limits that a group of callers shares.
 
 use std::{fmt, str::FromStr};
 
@@ -6,23 +6,23 @@
 
 use crate::{configs::reader::TableReader, names::TeamId, units::Rate, utils::secret::keyed_hash};
 
-/// Largest weight of a team.
+/// Maximum weight of a team.
 const WEIGHT_MAX: u64 = 1000;
 
-/// Which requests go first.
+/// Priority class of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Shares by weight.
+    /// Shares capacity with other teams by weight.
     Normal,
-    /// Goes before every normal request; for a small, named class of work.
+    /// Served before all normal requests; meant for a small, explicitly named class of work.
     Reserved,
 }
 
-/// Keyed hash of a team's key: HMAC-SHA-256 under the file's `key_salt`, in hexadecimal.
+/// HMAC-SHA-256 of a team's key in hexadecimal, keyed with `key_salt` of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyHash(String);
 
-/// Why a text is not a key hash.
+/// Error for a string that is not a key hash.
 #[derive(Debug, thiserror::Error)]
 #[error("is not a key hash of 64 hexadecimal digits; make one with `cartvane hash-key`")]
 pub struct KeyHashError;
@@ -33,7 +33,7 @@
         KeyHash(hex::encode(keyed_hash(salt.as_bytes(), key.as_bytes())))
     }
 
-    /// Returns the hash as text.
+    /// Returns the hexadecimal digits.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -54,25 +54,25 @@
     }
 }
 
-/// A team.
+/// A team and its limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Team {
-    /// Id.
+    /// Id of the team, unique in the file.
     pub id: TeamId,
-    /// Hashes of the keys its callers show; two while a key is being replaced.
+    /// Hashes of the keys that its callers send; two while a key is being replaced.
     pub keys: Vec<KeyHash>,
-    /// Share of a contended service, relative to the other teams.
+    /// Weight relative to other teams that compete for the same service.
     pub weight: u32,
-    /// Most requests in flight per service, fleet-wide; none: no limit.
+    /// Maximum number of requests in flight per service in the whole fleet; `None` is unlimited.
     pub max_in_flight: Option<u32>,
-    /// Most requests a second per service, fleet-wide; none: no limit.
+    /// Maximum number of requests per second and service in the whole fleet; `None` is unlimited.
     pub rate: Option<Rate>,
-    /// Class of the team's requests.
+    /// Priority class of its requests.
     pub priority: Priority,
 }
 
 impl Team {
-    /// Reads one `[[team]]`.
+    /// Reads a `[[team]]` table.
     pub fn read(table: &TableReader<'_, '_>) -> Option<Team> {
         let id = table.required("id");
         let keys = table.texts("keys");
--- a/src/configs/fleet/zone.rs
+++ b/src/configs/fleet/zone.rs
@@ -1,4 +1,4 @@
-//! A place: an availability zone and its region.
+//! `[[zone]]`: an availability zone and its region.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,14 +10,14 @@
 /// An availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Zone {
-    /// Id.
+    /// Id of the zone, unique in the file.
     pub id: ZoneId,
-    /// The region that holds it.
+    /// Region that the zone belongs to.
     pub region: RegionId,
 }
 
 impl Zone {
-    /// Reads one `[[zone]]`.
+    /// Reads a `[[zone]]` table.
     pub fn read(table: &TableReader<'_, '_>) -> Option<Zone> {
         let id = table.required("id");
         let region = table.required("region");
--- a/src/configs/mod.rs
+++ b/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance and the operators' file of the fleet.
+//! The settings of an instance and the operators' file, which configures the whole fleet.
 
 pub mod fleet;
 pub mod reader;
--- a/src/configs/reader.rs
+++ b/src/configs/reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables and collects every fault with its line and column.
+//! Reads TOML tables and collects all errors with their positions, so that one run reports every error of a file.
 
 use std::{cell::RefCell, fmt, net::SocketAddr, ops::Range, str::FromStr};
 
@@ -10,16 +10,16 @@
 
 use crate::utils::nearest::nearest;
 
-/// One fault in a file.
+/// An error in a configuration file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigError {
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// Key path such as `service[1].deadline`; empty for the file as a whole.
+    /// Key path such as `service[1].deadline`; empty for an error of the whole file.
     pub path: String,
-    /// What is wrong and what to do about it.
+    /// What is wrong and how to correct it.
     pub message: String,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Every fault of one file.
+/// All errors of one file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The file being read and the faults found so far.
+/// Text of a configuration file and the errors found so far.
 pub struct Reader<'a> {
     text: &'a str,
     errors: RefCell<Vec<ConfigError>>,
@@ -61,7 +61,7 @@
         Reader { text, errors: RefCell::default() }
     }
 
-    /// Parses the text as TOML; a text that is not TOML is a fault and yields `None`.
+    /// Parses the text as TOML; if that fails, records an error and returns `None`.
     pub fn parse(&self) -> Option<Spanned<DeTable<'a>>> {
         match DeTable::parse(self.text) {
             Ok(table) => Some(table),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Adds a fault at `span`.
+    /// Records an error at the start of `span`, a range of bytes.
     pub fn add_error(&self, span: Range<usize>, path: String, message: impl Into<String>) {
         let mut start = span.start.min(self.text.len());
         while !self.text.is_char_boundary(start) {
@@ -86,7 +86,11 @@
         self.errors.borrow_mut().push(ConfigError { line, column, path, message: message.into() });
     }
 
-    /// Returns `value` when nothing was wrong, else every fault in the order of the file.
+    /// Returns `value` if there were no errors.
+    ///
+    /// # Errors
+    ///
+    /// All recorded errors, sorted by their position in the file.
     pub fn finish<T>(self, value: T) -> Result<T, ConfigErrors> {
         let mut errors = self.errors.into_inner();
         errors.sort_by_key(|f| (f.line, f.column));
@@ -94,11 +98,11 @@
     }
 }
 
-/// An address with a port, as files state it.
+/// IP address and port, as written in a configuration file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Address(pub SocketAddr);
 
-/// Why a text is not an address.
+/// Error for a string that is not an IP address with a port.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is not an address; write an IP number and a port, such as \"10.0.0.1:8000\"")]
 pub struct AddressError(String);
@@ -111,7 +115,7 @@
     }
 }
 
-/// One TOML table being read; unknown keys are faults when it is dropped by [`TableReader::done`].
+/// Reader of one TOML table. It remembers which keys were read; [`TableReader::finish`] reports all others as unknown.
 pub struct TableReader<'r, 'a> {
     reader: &'r Reader<'a>,
     table: &'r DeTable<'a>,
@@ -142,7 +146,7 @@
         self.table.get(key)
     }
 
-    /// Adds a fault at the value of `key`, or at the table when the key is absent.
+    /// Records an error at the value of `key`, or at the table if the key is absent.
     pub fn add_error(&self, key: &str, message: impl Into<String>) {
         let span = self.table.get(key).map_or(self.span.clone(), Spanned::span);
         self.reader.add_error(span, self.key_path(key), message);
@@ -152,7 +156,8 @@
         self.add_error(key, format!("is {} where {expected} is needed", found.type_str()));
     }
 
-    /// Reads a text and parses it; absent is `None`, unreadable is a fault and `None`.
+    /// Reads and parses a string. Returns `None` if the key is absent, and also if parsing fails, which is recorded as
+    /// an error.
     pub fn text<T>(&self, key: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Reads a text that must be there.
+    /// Reads and parses a string; an absent key is an error.
     pub fn required<T>(&self, key: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -184,12 +189,12 @@
         self.text(key)
     }
 
-    /// Reads an address with a port; absent is `None`.
+    /// Reads an optional address with a port.
     pub fn address(&self, key: &'static str) -> Option<SocketAddr> {
         self.text::<Address>(key).map(|address| address.0)
     }
 
-    /// Reads an address with a port that must be there.
+    /// Reads an address with a port; an absent key is an error.
     pub fn required_address(&self, key: &'static str) -> Option<SocketAddr> {
         self.required::<Address>(key).map(|address| address.0)
     }
@@ -200,7 +205,7 @@
         list.is_some_and(|list| list.is_empty()) || self.table.get(key).is_none()
     }
 
-    /// Reads a whole number between `min` and `max`.
+    /// Reads an integer from `min` to `max`.
     pub fn integer(&self, key: &'static str, min: u64, max: u64) -> Option<u64> {
         let value = self.value(key)?.get_ref();
         let number =
@@ -214,7 +219,7 @@
         }
     }
 
-    /// Reads a number between `min` and `max`.
+    /// Reads a number, integer or float, from `min` to `max`.
     pub fn number(&self, key: &'static str, min: f64, max: f64) -> Option<f64> {
         let value = self.value(key)?.get_ref();
         let text = match value {
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Reads `true` or `false`.
+    /// Reads a boolean.
     pub fn flag(&self, key: &'static str) -> Option<bool> {
         let value = self.value(key)?.get_ref();
         let flag = value.as_bool();
@@ -241,7 +246,7 @@
         flag
     }
 
-    /// Reads one of a closed set of words.
+    /// Reads a string that must be one of `choices`.
     pub fn choice<T: Copy>(&self, key: &'static str, choices: &[(&'static str, T)]) -> Option<T> {
         let value = self.value(key)?.get_ref();
         let word = value.as_str().unwrap_or_default();
@@ -255,7 +260,7 @@
         None
     }
 
-    /// Reads one of a closed set of words that must be there.
+    /// Reads a string that must be one of `choices`; an absent key is an error.
     pub fn required_choice<T: Copy>(
         &self,
         key: &'static str,
@@ -268,7 +273,7 @@
         self.choice(key, choices)
     }
 
-    /// Reads a list of texts, each parsed.
+    /// Reads a list of strings and parses each; elements that cannot be parsed are recorded as errors and left out.
     pub fn texts<T>(&self, key: &'static str) -> Vec<T>
     where
         T: FromStr,
@@ -291,7 +296,7 @@
         texts
     }
 
-    /// Reads a table; absent is `None`.
+    /// Returns a reader of an optional sub-table.
     pub fn table(&self, key: &'static str) -> Option<TableReader<'r, 'a>> {
         let value = self.value(key)?;
         let Some(table) = value.get_ref().as_table() else {
@@ -301,7 +306,7 @@
         Some(self.child(table, value.span(), self.key_path(key)))
     }
 
-    /// Reads a list of tables.
+    /// Returns readers of the tables in an array of tables.
     pub fn tables(&self, key: &'static str) -> Vec<TableReader<'r, 'a>> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let Some(list) = value.get_ref().as_array() else {
@@ -328,7 +333,7 @@
         TableReader { reader: self.reader, table, span, path, known: RefCell::default() }
     }
 
-    /// Ends the reading of this table: keys that nothing asked for are faults.
+    /// Records an error for each key of the table that was not read.
     pub fn finish(self) {
         let known = self.known.borrow();
         for key in self.table.keys() {
