--- a/src/configs/settings/credentials.rs
+++ b/src/configs/settings/credentials.rs
@@ -1,4 +1,4 @@
-//! Credentials by environment variable or file; two at once while one is being replaced.
+//! `[credentials]`: read from environment variables or files. A list may hold two while one is being replaced.
 
 use std::fs;
 
@@ -7,28 +7,28 @@
 /// Credentials of an instance.
 #[derive(Debug, Clone)]
 pub struct Credentials {
-    /// Accepted from and shown to other instances; the first is shown.
+    /// Accepted from other instances; the first is sent to them.
     pub peers: Vec<Secret>,
-    /// Accepted from operators who may read and apply.
+    /// Accepted from operators with read and write access.
     pub operators: Vec<Secret>,
-    /// Accepted from operators who may only read.
+    /// Accepted from operators with read access.
     pub readers: Vec<Secret>,
-    /// Shown to the platform; none: nothing is shown.
+    /// Sent to the platform, if set.
     pub platform: Option<Secret>,
-    /// Key of the placement hints handed to callers; the same on every instance.
+    /// Key of the placement hints that callers receive; it must be the same on all instances.
     pub placement: Secret,
 }
 
-/// Shortest credential accepted, in bytes.
+/// Minimum length of a credential in bytes.
 const CREDENTIAL_MIN: usize = 16;
 
 impl Credentials {
-    /// Reads `[credentials]`; each entry is `env:NAME` or `file:PATH`.
+    /// Reads `[credentials]`, in which each source is `env:NAME` or `file:PATH`.
     pub fn read(root: &TableReader<'_, '_>, context: &Context) -> Option<Credentials> {
         let Some(table) = root.table("credentials") else {
             root.add_error(
                 "credentials",
-                "is missing; name the credentials as \"env:NAME\" or \"file:PATH\"",
+                "is missing; set the credentials as \"env:NAME\" or \"file:PATH\"",
             );
             return None;
         };
@@ -69,10 +69,10 @@
             .variable(name)
             .ok_or_else(|| format!("environment variable {name} is not set; set it"))?,
         Some(("file", path)) => fs::read_to_string(path)
-            .map_err(|e| format!("cannot read {path}: {e}; correct the path or its rights"))?,
+            .map_err(|e| format!("cannot read {path}: {e}; check the path and its permissions"))?,
         _ => {
             return Err(format!(
-                "{source:?} names no credential; write \"env:NAME\" or \"file:PATH\""
+                "{source:?} is not a credential source; write \"env:NAME\" or \"file:PATH\""
             ));
         }
     };
@@ -82,7 +82,7 @@
     }
     if !text.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(format!(
-            "{source} holds spaces or characters beyond ASCII; use printable ASCII"
+            "{source} contains spaces or non-ASCII characters; use printable ASCII only"
         ));
     }
     Ok(Secret::new(text))
--- a/src/configs/settings/listen.rs
+++ b/src/configs/settings/listen.rs
@@ -1,4 +1,4 @@
-//! Addresses that an instance listens on and is reached at.
+//! `[listen]`: addresses that an instance listens on, and at which other instances reach it.
 
 use std::net::SocketAddr;
 
@@ -7,20 +7,20 @@
 /// Addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other instances.
+    /// Address for other instances.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Where other instances reach `peers`; unset: the bound address.
+    /// Address at which other instances reach `peers`; the bound address if unset.
     pub advertised: Option<SocketAddr>,
-    /// Peers' addresses of some other instances, asked while the membership list is out.
+    /// Peer addresses of some other instances, queried while the membership list is unavailable.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl Default for Listen {
-    /// Loopback with ports that the machine chooses; a real instance states its own.
+    /// Loopback addresses with ports chosen by the operating system; deployed instances set their own.
     fn default() -> Listen {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         Listen { callers: any, peers: any, operators: any, advertised: None, seeds: Vec::new() }
@@ -33,7 +33,7 @@
         let Some(table) = root.table("listen") else {
             root.add_error(
                 "listen",
-                "is missing; state the addresses for callers, peers and operators",
+                "is missing; set the addresses for callers, peers and operators",
             );
             return None;
         };
@@ -44,13 +44,13 @@
         if peers.is_some_and(|a| a.ip().is_unspecified()) && advertised.is_none() {
             table.add_error(
                 "advertised",
-                "is needed when peers listens on every address; state where others reach it",
+                "is required if peers listens on all addresses; set one that other instances can reach",
             );
         }
         if advertised.is_some_and(|a| a.ip().is_unspecified()) {
             table.add_error(
                 "advertised",
-                "is no address to connect to; state one that others reach",
+                "is not an address to connect to; set one that other instances can reach",
             );
         }
         let seeds = table.texts::<Address>("seeds").into_iter().map(|seed| seed.0).collect();
--- a/src/configs/settings/logging.rs
+++ b/src/configs/settings/logging.rs
@@ -1,24 +1,24 @@
-//! Log level and form.
+//! `[logging]`: level and format of the log.
 
 use log::LevelFilter;
 
 use crate::configs::reader::TableReader;
 
-/// Form of a log line.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text for people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logs of an instance.
+/// Log settings of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Logging {
-    /// Least severe level written.
+    /// Least severe level that is logged.
     pub level: LevelFilter,
-    /// Form.
+    /// Format of log lines.
     pub format: LogFormat,
 }
 
--- a/src/configs/settings/mod.rs
+++ b/src/configs/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance, read from TOML at start and checked as a whole.
+//! Settings of one instance, read from TOML and validated as a whole when it starts.
 
 pub mod credentials;
 pub mod limits;
@@ -24,32 +24,32 @@
 /// Settings of one instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of the instance; unique in the fleet.
+    /// Name of the instance, unique in the fleet.
     pub id: InstanceId,
-    /// Region it runs in.
+    /// Region that the instance runs in.
     pub region: RegionId,
-    /// Availability zone it runs in.
+    /// Availability zone that the instance runs in.
     pub zone: ZoneId,
-    /// Addresses.
+    /// Addresses it listens on.
     pub listen: Listen,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Credentials.
+    /// Credentials it accepts and sends.
     pub credentials: Credentials,
-    /// Time-outs.
+    /// Timeouts and periods.
     pub timeouts: Timeouts,
-    /// Limits.
+    /// Resource limits.
     pub limits: Limits,
-    /// Logs.
+    /// Log settings.
     pub logging: Logging,
 }
 
 impl Settings {
-    /// Reads settings; `context` supplies the credentials kept in the environment.
+    /// Parses and validates settings; `context` provides the environment variables that hold credentials.
     ///
     /// # Errors
     ///
-    /// Every fault of the text, with line, column and remedy.
+    /// All errors of the text, each with its position and how to correct it.
     pub fn parse(text: &str, context: &Context) -> Result<Settings, ConfigErrors> {
         let reader = Reader::new(text);
         let parsed = reader.parse();
@@ -90,15 +90,15 @@
     }
 }
 
-/// Sets `key` (dotted) to `value` in a settings text.
+/// Sets the dotted `key` to `value` in the text of a settings file.
 ///
-/// `value` is read as TOML when it is a TOML value, else taken as a text.
+/// `value` is parsed as a TOML value; if that fails, it is used as a string.
 ///
 /// # Errors
 ///
-/// The text is not TOML, or a part of the key is not a table.
+/// Fails if the text is not TOML, or if a part of the key is not a table.
 pub fn set(text: &str, key: &str, value: &str) -> Result<String, SetError> {
-    let mut root: toml::Table = text.parse().map_err(|_| SetError::Text)?;
+    let mut root: toml::Table = text.parse().map_err(|_| SetError::InvalidToml)?;
     let parsed = format!("v = {value}").parse::<toml::Table>().ok();
     let value = parsed.and_then(|mut t| t.remove("v")).unwrap_or_else(|| value.into());
     let mut table = &mut root;
@@ -109,18 +109,20 @@
             break;
         }
         let next = table.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        table = next.as_table_mut().ok_or_else(|| SetError::Key(key.to_owned()))?;
+        table = next.as_table_mut().ok_or_else(|| SetError::NotATable(key.to_owned()))?;
     }
     Ok(root.to_string())
 }
 
-/// Why a setting given on the command line cannot be taken.
+/// Error for a setting that cannot be overridden on the command line.
 #[derive(Debug, thiserror::Error)]
 pub enum SetError {
-    /// The settings are not TOML.
-    #[error("the settings file is not TOML; run `cartvane router` without --set to see where")]
-    Text,
-    /// A part of the key is a value.
+    /// The settings file is not TOML.
+    #[error(
+        "the settings file is not TOML; run `cartvane router` without --set to see the position of the error"
+    )]
+    InvalidToml,
+    /// A part of the key is a value, not a table.
     #[error("--set {0}: a part of the key is not a table; see docs/SETTINGS.md for the keys")]
-    Key(String),
+    NotATable(String),
 }
--- a/src/configs/settings/platform.rs
+++ b/src/configs/settings/platform.rs
@@ -1,4 +1,4 @@
-//! Where the platform's services are.
+//! `[platform]`: addresses of the platform's services.
 
 use std::net::SocketAddr;
 
@@ -7,22 +7,22 @@
 /// The platform's table, object store and membership list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Platform {
-    /// Kept in the memory of this one instance; for a lone instance.
+    /// In the memory of the instance itself, for a fleet of one instance.
     #[default]
     Embedded,
-    /// Reached over HTTP.
+    /// Accessed over HTTP.
     Http {
-        /// The transactional table.
+        /// Address of the transactional table.
         table: SocketAddr,
-        /// The object store.
+        /// Address of the object store.
         objects: SocketAddr,
-        /// The membership list.
+        /// Address of the membership list.
         members: SocketAddr,
     },
 }
 
 impl Platform {
-    /// Reads `platform`: the text `embedded` or a table of addresses.
+    /// Reads `[platform]`: `embedded = true`, or the addresses of the services. Without it the platform is embedded.
     pub fn read(root: &TableReader<'_, '_>) -> Platform {
         let Some(table) = root.table("platform") else { return Platform::Embedded };
         if table.flag("embedded") == Some(true) {
--- a/src/configs/settings/reference.rs
+++ b/src/configs/settings/reference.rs
@@ -1,15 +1,15 @@
-//! The reference of every setting, from which docs/SETTINGS.md is made.
+//! Reference of all settings; docs/SETTINGS.md contains it as a table.
 
 use super::{Limits, Timeouts};
 
-/// One row of the reference.
+/// A setting in the reference.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingRow {
     /// Dotted key.
     pub key: &'static str,
-    /// Default as it would be written; `needed` when there is none.
+    /// Default as written in a settings file; `needed` if the setting has none.
     pub default: String,
-    /// Meaning, with its unit.
+    /// Meaning of the setting.
     pub meaning: &'static str,
 }
 
@@ -17,7 +17,7 @@
     SettingRow { key, default: default.to_string(), meaning }
 }
 
-/// Returns every setting with its default and meaning.
+/// Returns all settings with their defaults and meanings.
 pub fn rows() -> Vec<SettingRow> {
     let timeouts = Timeouts::default();
     let limits = Limits::default();
--- a/src/configs/settings/timeouts.rs
+++ b/src/configs/settings/timeouts.rs
@@ -1,25 +1,25 @@
-//! Time-outs and periods of an instance.
+//! `[timeouts]`: timeouts and periods of an instance.
 
 use crate::{configs::reader::TableReader, units::Span};
 
-/// Time-outs and periods.
+/// Timeouts and periods of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Most time for a caller to send a request's head.
+    /// Maximum time for a caller to send a request's head.
     pub head: Span,
-    /// Most time for a caller to send a request's body.
+    /// Maximum time for a caller to send a request's body.
     pub body: Span,
-    /// Most time a kept-alive connection may stay idle.
+    /// Maximum time that a persistent connection stays idle.
     pub idle: Span,
-    /// Most time a caller may take no byte of its answer.
+    /// Maximum time during which a caller reads no byte of its response.
     pub slow_reader: Span,
-    /// Most time to connect to a backend server or another instance.
+    /// Maximum time to connect to a backend server or another instance.
     pub connect: Span,
-    /// Most time between two bytes of a backend server's answer.
+    /// Maximum time between two bytes of a backend server's response.
     pub stall: Span,
-    /// Most time for an exchange between instances.
+    /// Maximum time for an exchange with another instance.
     pub peer: Span,
-    /// Most time for an exchange with the platform.
+    /// Maximum time for an exchange with the platform.
     pub platform: Span,
     /// Period of the heartbeat to one other instance.
     pub heartbeat: Span,
@@ -27,18 +27,18 @@
     pub revision_poll: Span,
     /// Period of the poll of the membership list.
     pub members_poll: Span,
-    /// Longest time that a drain lets requests finish.
+    /// Maximum time that a drain waits for requests to finish.
     pub drain: Span,
-    /// Time after the start of a drain in which new connections are still answered.
+    /// Time after the start of a drain during which new connections are still served.
     pub drain_grace: Span,
-    /// Life of the claim of an idempotency key.
+    /// Lifetime of the claim of an idempotency key.
     pub claim: Span,
 }
 
 impl Default for Timeouts {
     fn default() -> Timeouts {
         Timeouts {
-            // Generous for a driver's phone, short enough that slow senders cannot pile up.
+            // Long enough for a caller on a slow mobile network, short enough that slow senders do not accumulate.
             head: Span::secs(10),
             body: Span::secs(30),
             idle: Span::secs(75),
@@ -48,12 +48,12 @@
             stall: Span::secs(30),
             peer: Span::millis(1000),
             platform: Span::millis(2000),
-            // One small exchange a second keeps control traffic under the budget.
+            // One small exchange per second keeps the control traffic within its budget.
             heartbeat: Span::millis(1000),
             revision_poll: Span::millis(2000),
             members_poll: Span::millis(2000),
             drain: Span::secs(120),
-            // The platform's balancer takes a few seconds to see that an instance is not ready.
+            // The platform's load balancer takes a few seconds to notice that an instance is not ready.
             drain_grace: Span::secs(5),
             claim: Span::secs(24 * 3600),
         }
@@ -65,12 +65,12 @@
     pub fn read(root: &TableReader<'_, '_>) -> Timeouts {
         let mut timeouts = Timeouts::default();
         let Some(table) = root.table("timeouts") else { return timeouts };
-        for (name, slot) in timeouts.fields_mut() {
+        for (name, field) in timeouts.fields_mut() {
             if let Some(span) = table.text::<Span>(name) {
                 if span.0.is_zero() {
-                    table.add_error(name, "is zero; give it a time");
+                    table.add_error(name, "is zero; set a positive duration");
                 }
-                *slot = span;
+                *field = span;
             }
         }
         table.finish();
