--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -1,4 +1,4 @@
-//! `cartvane apply`: puts an operators' file in force.
+//! `cartvane apply`: applies an operators' file to the fleet.
 
 use std::{
     thread,
@@ -19,18 +19,18 @@
 
 pub(super) const COMMAND: Command = Command {
     name: "apply",
-    summary: "put an operators' file in force, whole or not at all",
+    summary: "apply an operators' file, as a whole or not at all",
     usage: "cartvane apply FILE [--base REV] [--wait] [--wait-time TIME] [OPTIONS]
 
   --base REV              only if this revision is in force
-  --wait                  return when every live instance has it in force
-  --wait-time TIME        longest wait, default 30s",
+  --wait                  return when it is in force on every live instance
+  --wait-time TIME        maximum wait, default 30s",
     options: &["--base", "--wait", "--wait-time"],
     uses_operator_api: true,
     run,
 };
 
-/// Pause between two looks at the instances.
+/// Interval at which the status of the fleet is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
@@ -60,6 +60,7 @@
     Ok(())
 }
 
+/// Waits until `revision` is active on all instances; an unresponsive instance counts as one on which it is not.
 fn wait_until_active(
     client: &OperatorClient,
     revision: Revision,
@@ -77,7 +78,7 @@
         if cx.clock.now() >= deadline {
             let names: Vec<String> = missing.iter().map(ToString::to_string).collect();
             return Err(CommandError::Unreachable(format!(
-                "revision {revision} is accepted; not yet in force at {}; see `cartvane status`",
+                "revision {revision} is accepted, but not yet in force on {}; see `cartvane status`",
                 names.join(", ")
             )));
         }
--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -1,4 +1,4 @@
-//! `cartvane audit`: who changed what, when.
+//! `cartvane audit`: prints who changed what, and when.
 
 use super::{
     Command, CommandError, CommandResult, Options, operator::OperatorClient, options::print_json,
@@ -10,9 +10,9 @@
     summary: "print the audit trail",
     usage: "cartvane audit [--since TIME] [--entity NAME] [--by NAME] [OPTIONS]
 
-  --since TIME            from this time, such as 2026-12-02T08:00:00Z
-  --entity NAME           only what concerns this entity, such as team/drivers
-  --by NAME               only what this operator did",
+  --since TIME            only entries from this time on, such as 2026-12-02T08:00:00Z
+  --entity NAME           only entries about this entity, such as team/drivers
+  --by NAME               only entries of this operator",
     options: &["--since", "--entity", "--by"],
     uses_operator_api: true,
     run,
@@ -44,9 +44,12 @@
     Ok(())
 }
 
+/// Returns an RFC 3339 time as milliseconds since the Unix epoch; earlier times become zero.
 fn unix_millis(text: &str) -> Result<String, CommandError> {
     let time = humantime::parse_rfc3339_weak(text).map_err(|_| {
-        CommandError::Usage(format!("--since {text:?}: write a time such as 2026-12-02T08:00:00Z"))
+        CommandError::Usage(format!(
+            "--since {text:?} is not a time; write one such as 2026-12-02T08:00:00Z"
+        ))
     })?;
     let since = time.duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     Ok(since.as_millis().to_string())
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `cartvane check`: checks an operators' file without an instance.
+//! `cartvane check`: validates an operators' file without contacting an instance.
 
 use super::{
     Command, CommandError, CommandResult, Options,
@@ -48,7 +48,7 @@
             let count = errors.0.len();
             let lines: Vec<String> =
                 errors.0.iter().map(|error| format!("{path}:{error}")).collect();
-            Err(CommandError::Refused(format!("{count} faults\n{}", lines.join("\n"))))
+            Err(CommandError::Refused(format!("{count} error(s)\n{}", lines.join("\n"))))
         }
     }
 }
--- a/src/cli/completions.rs
+++ b/src/cli/completions.rs
@@ -1,4 +1,4 @@
-//! `cartvane completions`: completions for a shell.
+//! `cartvane completions`: prints a completion script for a shell.
 
 use super::{COMMANDS, Command, CommandError, CommandResult, Options};
 use crate::context::Context;
@@ -23,7 +23,7 @@
         "fish" => fish(),
         other => {
             return Err(CommandError::Usage(format!(
-                "{other:?} is no shell known here; use bash, zsh or fish"
+                "{other:?} is not a supported shell; use bash, zsh or fish"
             )));
         }
     };
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -1,4 +1,4 @@
-//! `cartvane diff`: what a file would change.
+//! `cartvane diff`: shows what applying a file would change.
 
 use super::{
     Command, CommandResult, Options,
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,11 +1,11 @@
-//! `cartvane drain`: takes an instance or a backend server out without cutting a request.
+//! `cartvane drain`: takes an instance or a backend server out of service without interrupting requests.
 
 use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
 use crate::{context::Context, instance::operators::api::Drained};
 
 pub(super) const COMMAND: Command = Command {
     name: "drain",
-    summary: "take an instance or a backend server out without cutting a request",
+    summary: "take an instance or a backend server out of service without interrupting requests",
     usage: "cartvane drain INSTANCE|BACKEND_SERVER [OPTIONS]",
     options: &[],
     uses_operator_api: true,
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `cartvane explain`: where a chat would go now, and why.
+//! `cartvane explain`: shows which engine a chat's next request would go to, and why.
 
 use super::{
     Command, CommandError, CommandResult, Options, operator::OperatorClient, options::print_json,
@@ -7,7 +7,7 @@
 
 pub(super) const COMMAND: Command = Command {
     name: "explain",
-    summary: "tell where a chat would go now, and why",
+    summary: "show where a chat would go now, and why",
     usage: "cartvane explain --service SERVICE --team TEAM --chat CHAT [OPTIONS]
 
   --service SERVICE       the service
--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -1,4 +1,4 @@
-//! `cartvane gateway`: runs an instance on a platform that provides its settings.
+//! `cartvane gateway`: runs an instance whose settings a platform provides.
 
 use signal_hook::{
     consts::{SIGHUP, SIGINT, SIGTERM},
@@ -17,10 +17,10 @@
     summary: "run one instance on a platform",
     usage: "cartvane gateway [--log-level LEVEL]
 
-  --log-level LEVEL  off, error, warn, info (as usual), debug or trace
+  --log-level LEVEL  off, error, warn, info (default), debug or trace
 
-The settings come from the platform, see docs/PLATFORM.md. SIGTERM or SIGINT drains: no request
-is cut; SIGHUP checks the settings again.",
+The settings come from the platform, see docs/PLATFORM.md. SIGTERM or SIGINT drains the instance
+without interrupting requests; SIGHUP validates the settings again.",
     options: &["--log-level"],
     uses_operator_api: false,
     run,
@@ -29,9 +29,9 @@
 fn run(mut options: Options, cx: &Context) -> CommandResult {
     let level = options.value("--log-level")?.unwrap_or(log::LevelFilter::Info);
     options.finish()?;
-    // Signals are taken over before anything else, so that none ends the process by default.
+    // Signals are handled before anything else, so that none terminates the process by its default action.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
-        .map_err(|e| CommandError::Refused(format!("cannot watch signals: {e}")))?;
+        .map_err(|e| CommandError::Refused(format!("cannot handle signals: {e}")))?;
     let settings = settings::read(cx).map_err(|e| CommandError::Refused(e.to_string()))?;
     log_sink::start(settings.node.as_str(), level, &cx.clock)
         .map_err(|e| CommandError::Refused(e.to_string()))?;
@@ -45,11 +45,12 @@
     }
     instance.drain();
     log_sink::flush();
-    // Stopping the listeners one by one could take longer than the kill lets it.
+    // The process exits without stopping its listeners one by one, which could take longer than the platform waits
+    // before it kills the process.
     std::process::exit(0)
 }
 
-/// Reads the settings again; faulty ones change nothing.
+/// Reads the settings again and logs whether they changed; invalid settings have no effect.
 fn reload(cx: &Context, instance: &GatewayHandle) {
     let current = &instance.gateway().settings;
     match settings::read(cx) {
--- a/src/cli/hash_key.rs
+++ b/src/cli/hash_key.rs
@@ -1,4 +1,4 @@
-//! `cartvane hash-key`: makes the hash of a team's key for the operators' file.
+//! `cartvane hash-key`: computes the hash of a team's key, which the operators' file contains.
 
 use std::io::Read as _;
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: a list of commands and what they share.
+//! Command line: the list of commands, and what they have in common.
 
 mod apply;
 mod audit;
@@ -22,13 +22,13 @@
 
 pub use options::Options;
 
-/// How a command ended.
+/// Error of a command; its variant determines the exit code.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// What was asked was refused, or found faulty.
+    /// The operation was rejected, its input is invalid, or it failed.
     #[error("{0}")]
     Refused(String),
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
     /// An instance, file or service could not be reached.
@@ -37,7 +37,7 @@
 }
 
 impl CommandError {
-    /// Returns the process's exit code.
+    /// Returns the exit code of the process.
     pub fn code(&self) -> u8 {
         match self {
             CommandError::Refused(_) => 1,
@@ -47,51 +47,51 @@
     }
 }
 
-/// What a command returns.
+/// Result of a command.
 pub type CommandResult = Result<(), CommandError>;
 
-/// One command.
+/// A command of the command line.
 pub struct Command {
-    /// Name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it does, in a line.
+    /// One-line description.
     pub summary: &'static str,
-    /// Its use, with its own options.
+    /// Usage text with the options of this command alone.
     pub usage: &'static str,
-    /// Names of its own options, for completions and for the nearest name.
+    /// Names of the options of this command alone, for completions and for suggestions after a typing error.
     pub options: &'static [&'static str],
-    /// Whether it speaks to an instance, and so has [`OPERATOR_OPTIONS`] too.
+    /// Whether it calls the operator API of an instance, and thus also has [`OPERATOR_OPTIONS`].
     pub uses_operator_api: bool,
     run: fn(Options, &Context) -> CommandResult,
 }
 
-/// Options of every command that speaks to an instance.
+/// Options of all commands that call the operator API of an instance.
 pub const OPERATOR_OPTIONS: [&str; 4] = ["--at", "--credential-file", "--as", "--json"];
 
-/// What [`OPERATOR_OPTIONS`] mean.
+/// Usage text of [`OPERATOR_OPTIONS`].
 const OPERATOR_USAGE: &str = "
   --at ADDRESS            an instance's operator address (or CARTVANE_AT)
   --credential-file FILE  file with the credential (or CARTVANE_CREDENTIAL)
-  --as NAME               who you are, for the audit trail (or USER)
+  --as NAME               your name, for the audit trail (or USER)
   --json                  print JSON";
 
 impl Command {
-    /// Returns the names of all its options.
+    /// Returns the names of all options.
     pub fn all_options(&self) -> impl Iterator<Item = &'static str> {
         let shared = if self.uses_operator_api { &OPERATOR_OPTIONS[..] } else { &[] };
         self.options.iter().chain(shared).copied()
     }
 
-    /// Returns its use, with every option.
+    /// Returns the usage text with all options.
     pub fn full_usage(&self) -> String {
         let shared = if self.uses_operator_api { OPERATOR_USAGE } else { "" };
-        // A command without options of its own has no list for the shared ones to follow.
+        // If the command has no options of its own, an empty line separates its usage from the shared options.
         let gap = if self.uses_operator_api && self.options.is_empty() { "\n" } else { "" };
         format!("{}{gap}{shared}", self.usage)
     }
 }
 
-/// Every command.
+/// All commands, in the order of the overview.
 pub const COMMANDS: [Command; 13] = [
     router::COMMAND,
     gateway::COMMAND,
@@ -108,7 +108,7 @@
     completions::COMMAND,
 ];
 
-/// Runs the command line and returns the exit code: 0 done, 1 refused, 2 usage, 3 unreachable.
+/// Runs the command line and returns the exit code: 0 success, 1 refused, 2 usage error, 3 unreachable.
 pub fn run(args: Vec<OsString>, cx: &Context) -> ExitCode {
     match dispatch(args, cx) {
         Ok(()) => ExitCode::SUCCESS,
@@ -140,7 +140,7 @@
         let near = nearest(&name, COMMANDS.iter().map(|c| c.name));
         let hint = near.map_or_else(String::new, |near| format!("; did you mean {near:?}?"));
         return Err(CommandError::Usage(format!(
-            "{name:?} is no command{hint} See cartvane --help"
+            "{name:?} is not a command{hint} (see cartvane --help)"
         )));
     };
     if args.contains(["-h", "--help"]) {
@@ -158,7 +158,7 @@
         text.push_str(&format!("  {:<12} {}\n", command.name, command.summary));
     }
     text.push_str(
-        "\n  --help       with a command: its options\n  --version    print the version\n",
+        "\n  --help       print this help, or after a command its options\n  --version    print the version\n",
     );
     text.push_str("\nexit codes: 0 done, 1 refused, 2 usage, 3 unreachable\n");
     text
--- a/src/cli/operator.rs
+++ b/src/cli/operator.rs
@@ -1,4 +1,4 @@
-//! Speaks to an instance's operator address.
+//! Client of an instance's operator API.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,13 +9,13 @@
 use super::{CommandError, Options, options::read_file};
 use crate::{context::Context, instance::operators::api::Problem, platform::http::agent};
 
-/// Longest wait for an answer; an apply of a large file stores many objects.
+/// Timeout of a request. It is long because applying a large file stores many objects.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Largest answer read.
+/// Maximum size of a response in bytes.
 const RESPONSE_BYTES_MAX: u64 = 256 << 20;
 
-/// An instance as an operator reaches it.
+/// Connection settings for an instance's operator API.
 pub(super) struct OperatorClient {
     agent: Agent,
     address: SocketAddr,
@@ -24,7 +24,7 @@
 }
 
 impl OperatorClient {
-    /// Takes the address, credential and name from options and environment.
+    /// Reads the address, the credential and the operator's name from options and environment variables.
     pub(super) fn from_options(
         options: &mut Options,
         cx: &Context,
@@ -33,11 +33,13 @@
         let address = match (address, cx.variable("CARTVANE_AT")) {
             (Some(address), _) => address,
             (None, Some(text)) => text.parse().map_err(|_| {
-                CommandError::Usage(format!("CARTVANE_AT={text:?} is no address; write IP:PORT"))
+                CommandError::Usage(format!(
+                    "CARTVANE_AT={text:?} is not an address; write IP:PORT"
+                ))
             })?,
             (None, None) => {
                 return Err(CommandError::Usage(
-                    "state an instance's operator address with --at or CARTVANE_AT".to_owned(),
+                    "specify an instance's operator address with --at or CARTVANE_AT".to_owned(),
                 ));
             }
         };
@@ -47,7 +49,8 @@
             (None, Some(credential)) => credential,
             (None, None) => {
                 return Err(CommandError::Usage(
-                    "state the credential with --credential-file or CARTVANE_CREDENTIAL".to_owned(),
+                    "specify the credential with --credential-file or CARTVANE_CREDENTIAL"
+                        .to_owned(),
                 ));
             }
         };
@@ -56,7 +59,7 @@
         Ok(OperatorClient { agent: agent(TIMEOUT), address, credential, name })
     }
 
-    /// Gets `path`.
+    /// Sends a GET request and decodes the response.
     pub(super) fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -72,7 +75,7 @@
         self.parse_response(request.call())
     }
 
-    /// Posts `body` to `path`.
+    /// Sends a POST request and decodes the response.
     pub(super) fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -101,7 +104,7 @@
         let address = self.address;
         let unreachable = |e: ureq::Error| {
             CommandError::Unreachable(format!(
-                "no answer from the instance at {address} ({e}); check --at and that it runs"
+                "no response from the instance at {address} ({e}); check --at and that the instance is running"
             ))
         };
         let mut response = result.map_err(unreachable)?;
@@ -115,7 +118,7 @@
         if status == 200 {
             return serde_json::from_slice(&body).map_err(|e| {
                 CommandError::Unreachable(format!(
-                    "the instance at {address} speaks another version ({e})"
+                    "cannot decode the response of the instance at {address}, which may run another version ({e})"
                 ))
             });
         }
--- a/src/cli/options.rs
+++ b/src/cli/options.rs
@@ -1,11 +1,11 @@
-//! Options of one command; what is left over is refused with the nearest known name.
+//! Options of a command; an unknown one is an error that suggests the most similar known name.
 
 use std::{fmt::Display, fs, str::FromStr};
 
 use super::{Command, CommandError};
 use crate::utils::nearest::nearest;
 
-/// The options given to a command.
+/// Options and arguments passed to a command.
 pub struct Options {
     args: pico_args::Arguments,
     known: Vec<&'static str>,
@@ -13,17 +13,17 @@
 }
 
 impl Options {
-    /// Returns the options of `command`.
+    /// Returns the options that `command` accepts, to be read from `args`.
     pub fn new(args: pico_args::Arguments, command: &Command) -> Options {
         Options { args, known: command.all_options().collect(), usage: command.full_usage() }
     }
 
-    /// Takes a flag.
+    /// Removes a flag and returns whether it was present.
     pub fn flag(&mut self, name: &'static str) -> bool {
         self.args.contains(name)
     }
 
-    /// Takes an option with a value.
+    /// Removes an option with a value and returns the parsed value, if the option was present.
     pub fn value<T>(&mut self, name: &'static str) -> Result<Option<T>, CommandError>
     where
         T: FromStr,
@@ -32,14 +32,14 @@
         self.args.opt_value_from_str(name).map_err(|e| CommandError::Usage(format!("{name}: {e}")))
     }
 
-    /// Takes an option that may be given several times.
+    /// Removes an option that may occur several times and returns its values.
     pub fn values(&mut self, name: &'static str) -> Result<Vec<String>, CommandError> {
         self.args.values_from_str(name).map_err(|e| CommandError::Usage(format!("{name}: {e}")))
     }
 
-    /// Takes the next free argument.
+    /// Removes the next positional argument and returns it; `name` stands for it in the error if it is missing.
     ///
-    /// Call this after every option has been taken.
+    /// Must be called after all options are read, since values of options look like positional arguments.
     pub fn positional(&mut self, name: &str) -> Result<String, CommandError> {
         let missing = || CommandError::Usage(format!("{name} is missing\n\nusage: {}", self.usage));
         let text: Option<String> =
@@ -51,9 +51,9 @@
         Ok(text)
     }
 
-    /// Takes every free argument that is left, and ends the reading.
+    /// Returns all remaining positional arguments.
     ///
-    /// Call this after every option has been taken.
+    /// Must be called after all options are read, since values of options look like positional arguments.
     pub fn remaining(self) -> Result<Vec<String>, CommandError> {
         let (known, usage) = (self.known, self.usage);
         let args = self.args.finish().into_iter().map(|arg| arg.to_string_lossy().into_owned());
@@ -64,7 +64,7 @@
         .collect()
     }
 
-    /// Ends the reading: anything left over is refused.
+    /// Rejects any argument that was not read.
     pub fn finish(self) -> Result<(), CommandError> {
         let known = self.known;
         let usage = self.usage;
@@ -82,14 +82,14 @@
 fn unknown(arg: &str, known: &[&'static str], usage: &str) -> CommandError {
     let near = nearest(arg, known.iter().copied());
     let hint = near.map_or_else(String::new, |near| format!("; did you mean {near}?"));
-    CommandError::Usage(format!("{arg:?} is not known here{hint}\n\nusage: {usage}"))
+    CommandError::Usage(format!("unknown argument {arg:?}{hint}\n\nusage: {usage}"))
 }
 
-/// Reads a file named on the command line.
+/// Reads a UTF-8 file whose path was passed on the command line.
 pub(super) fn read_file(path: &str) -> Result<String, CommandError> {
     let bytes = fs::read(path).map_err(|e| {
         CommandError::Unreachable(format!(
-            "cannot read {path}: {e}; correct the path or its rights"
+            "cannot read {path}: {e}; check the path and its permissions"
         ))
     })?;
     String::from_utf8(bytes).map_err(|e| {
@@ -97,7 +97,7 @@
         let line = valid.iter().filter(|&&b| b == b'\n').count() + 1;
         let column = valid.iter().rev().take_while(|&&b| b != b'\n').count() + 1;
         CommandError::Refused(format!(
-            "1 faults\n{path}:{line}:{column}: not UTF-8; save the file as text in UTF-8"
+            "1 error(s)\n{path}:{line}:{column}: not UTF-8; save the file in UTF-8"
         ))
     })
 }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -1,4 +1,4 @@
-//! `cartvane report`: what the log lines of any number of instances say together.
+//! `cartvane report`: summarizes the logs of any number of instances.
 
 use std::{
     fs::{self, File},
@@ -13,19 +13,19 @@
 
 pub(super) const COMMAND: Command = Command {
     name: "report",
-    summary: "sum up the logs of instances, or tell one request's story",
+    summary: "summarize the logs of instances, or print the log lines of one request",
     usage: "cartvane report [FILE...] [--request ID] [--json] [--svg FILE]
 
-  FILE            log lines of instances; standard input where none is given
-  --request ID    print the lines of one request, in order of time
+  FILE            log of one or more instances; standard input if none is given
+  --request ID    print the log lines of one request, sorted by time
   --json          print JSON
-  --svg FILE      draw requests a second by ending, with what changed in belief",
+  --svg FILE      write a chart of requests per second by outcome, with marked events",
     options: &["--request", "--json", "--svg"],
     uses_operator_api: false,
     run,
 };
 
-/// Longest line that is read, in bytes; the rest of a longer one counts as another, damaged line.
+/// Maximum length of a line in bytes. The rest of a longer line is read as another line, which is counted as damaged.
 const LINE_MAX: u64 = 64 << 10;
 
 fn run(mut options: Options, _: &Context) -> CommandResult {
@@ -42,7 +42,7 @@
         let picture = chart::svg(&summary).map_err(|e| CommandError::Refused(e.to_string()))?;
         fs::write(&path, picture).map_err(|e| {
             CommandError::Unreachable(format!(
-                "cannot write {path}: {e}; correct the path or its rights"
+                "cannot write {path}: {e}; check the path and its permissions"
             ))
         })?;
     }
@@ -59,7 +59,7 @@
     let lines = story.lines();
     if lines.is_empty() {
         return Err(CommandError::Refused(format!(
-            "no line tells of request {id}; give the logs of all instances, and the id as the caller sent it"
+            "no log line of request {id} found; pass the logs of all instances, and the id as the caller sent it"
         )));
     }
     if json {
@@ -78,7 +78,7 @@
     for path in files {
         let file = File::open(path).map_err(|e| {
             CommandError::Unreachable(format!(
-                "cannot read {path}: {e}; correct the path or its rights"
+                "cannot read {path}: {e}; check the path and its permissions"
             ))
         })?;
         read_lines(path, BufReader::new(file), &mut on_line)?;
@@ -92,7 +92,7 @@
         buf.clear();
         let read = from.by_ref().take(LINE_MAX).read_until(b'\n', &mut buf);
         let read = read.map_err(|e| {
-            CommandError::Unreachable(format!("cannot read on in {name}: {e}; read it again"))
+            CommandError::Unreachable(format!("reading {name} failed: {e}; run the command again"))
         })?;
         if read == 0 {
             return Ok(());
--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -1,4 +1,4 @@
-//! `cartvane router`: runs an instance until it is told to drain.
+//! `cartvane router`: runs an instance until a signal or an operator drains it.
 
 use std::{
     sync::{
@@ -25,13 +25,13 @@
   --settings FILE    the instance's settings, see docs/SETTINGS.md
   --set KEY=VALUE    override one setting, such as --set logging.level=debug
 
-SIGTERM or SIGINT drains: no request is cut; a second signal ends at once.",
+SIGTERM or SIGINT drains the instance without interrupting requests; a second signal stops it at once.",
     options: &["--settings", "--set"],
     uses_operator_api: false,
     run,
 };
 
-/// Pause between two looks for a signal or the end of a drain.
+/// Interval at which the process checks for signals and for a drain that an operator started.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn run(mut options: Options, cx: &Context) -> CommandResult {
@@ -47,15 +47,15 @@
         text = settings::set(&text, key, value).map_err(|e| CommandError::Usage(e.to_string()))?;
     }
     let settings = Settings::parse(&text, cx)
-        .map_err(|errors| CommandError::Refused(format!("{path} is refused:\n{errors}")))?;
+        .map_err(|errors| CommandError::Refused(format!("{path} is invalid:\n{errors}")))?;
     let started = logging::start(&settings.logging, settings.id.as_str(), cx.clock.clone());
     started.map_err(|e| CommandError::Refused(e.to_string()))?;
     serve(settings, cx)
 }
 
 fn serve(settings: Settings, cx: &Context) -> CommandResult {
-    let signals =
-        count_signals().map_err(|e| CommandError::Refused(format!("cannot watch signals: {e}")))?;
+    let signals = count_signals()
+        .map_err(|e| CommandError::Refused(format!("cannot handle signals: {e}")))?;
     let instance =
         Instance::spawn(settings, cx).map_err(|e| CommandError::Refused(format!("{e:#}")))?;
     println!(
@@ -71,15 +71,15 @@
     instance.drain();
     log::info!("draining");
     let all_finished = instance.finish(|| signals.load(Ordering::SeqCst) > seen);
-    log::info!("ended, every request finished: {all_finished}");
+    log::info!("stopped; all requests finished: {all_finished}");
     if all_finished {
         Ok(())
     } else {
-        Err(CommandError::Refused("ended before every request had finished".to_owned()))
+        Err(CommandError::Refused("stopped before all requests had finished".to_owned()))
     }
 }
 
-/// Counts the signals that ask the process to end.
+/// Returns a counter of the SIGTERM and SIGINT signals received.
 fn count_signals() -> std::io::Result<Arc<AtomicUsize>> {
     let count = Arc::new(AtomicUsize::new(0));
     let counter = Arc::clone(&count);
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,4 +1,4 @@
-//! `cartvane show`: the file in force, or an earlier one.
+//! `cartvane show`: prints the active operators' file, or that of an earlier revision.
 
 use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
 use crate::{context::Context, instance::operators::api::Shown, units::Revision};
@@ -8,7 +8,7 @@
     summary: "print the file in force, or that of an earlier revision",
     usage: "cartvane show [--revision REV] [OPTIONS]
 
-  --revision REV          this revision's file; to go back to it, apply it again",
+  --revision REV          print this revision; apply its file again to go back to it",
     options: &["--revision"],
     uses_operator_api: true,
     run,
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `cartvane status`: instances, revisions, homes, engines and loads.
+//! `cartvane status`: shows instances, revisions, homes, engines and loads.
 
 use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
 use crate::{
--- a/tests/suite/report.rs
+++ b/tests/suite/report.rs
@@ -118,7 +118,7 @@
     assert_eq!((code, out.lines().count()), (Some(0), 2));
     let (code, _, err) = run(&["--request", "nobody", path]);
     assert_eq!(code, Some(1));
-    assert!(err.contains("no line tells of request nobody"), "{err}");
+    assert!(err.contains("no log line of request nobody found"), "{err}");
     let (code, _, err) = run(&[dir.join("none").to_str().expect("a path")]);
     assert_eq!(code, Some(3), "{err}");
     let (code, _, err) = run(&["--jason", path]);
