--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,7 +1,7 @@
 //! `cartvane drain`: takes an instance or a backend server out of service without interrupting requests.
 
 use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
-use crate::{context::Context, instance::operators::api::Drained};
+use crate::{context::Context, instance::operators::api::DrainResult};
 
 pub(super) const COMMAND: Command = Command {
     name: "drain",
@@ -17,7 +17,7 @@
     let client = OperatorClient::from_options(&mut options, cx)?;
     let target = options.positional("INSTANCE|BACKEND_SERVER")?;
     options.finish()?;
-    let drained: Drained = client.post("/v1/drain", &[("target", &target)], "")?;
+    let drained: DrainResult = client.post("/v1/drain", &[("target", &target)], "")?;
     if json {
         return print_json(&drained);
     }
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,7 +1,7 @@
 //! `cartvane show`: prints the active operators' file, or that of an earlier revision.
 
 use super::{Command, CommandResult, Options, operator::OperatorClient, options::print_json};
-use crate::{context::Context, instance::operators::api::Shown, units::Revision};
+use crate::{context::Context, instance::operators::api::RevisionSource, units::Revision};
 
 pub(super) const COMMAND: Command = Command {
     name: "show",
@@ -21,7 +21,7 @@
     options.finish()?;
     let revision = revision.map(|revision| revision.to_string());
     let query: Vec<(&str, &str)> = revision.iter().map(|r| ("revision", r.as_str())).collect();
-    let response: Shown = client.get("/v1/show", &query)?;
+    let response: RevisionSource = client.get("/v1/show", &query)?;
     if json {
         return print_json(&response);
     }
--- a/src/instance/homes/engines.rs
+++ b/src/instance/homes/engines.rs
@@ -1,4 +1,4 @@
-//! What a home says to engines beside callers' requests: status and orders.
+//! Calls of a home to engines that carry no caller's request: status, orders and moves of contexts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,99 +12,101 @@
     zone::rendezvous::ChatKey,
 };
 
-/// Path of an engine's status.
+/// Path of the status endpoint.
 const STATUS_PATH: &str = "/engine/status";
 
-/// Path of orders.
+/// Path of the orders endpoint.
 const ORDERS_PATH: &str = "/engine/orders";
 
-/// Path on which an engine takes contexts over from another.
+/// Path on which an engine imports contexts from another engine.
 const IMPORT_PATH: &str = "/engine/cache/import";
 
-/// Longest time for an engine to take contexts over.
-const IMPORT_TIME: Duration = Duration::from_secs(5);
+/// Time limit for an engine to import contexts.
+const IMPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait for a status.
-const STATUS_TIME: Duration = Duration::from_secs(1);
+/// Time limit for a status response.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest answer read.
-const ANSWER_MAX: usize = 64 << 10;
+/// Largest response body accepted.
+const RESPONSE_MAX_BYTES: usize = 64 << 10;
 
-/// Bytes of an answer beside its headers and body.
-const ANSWER_LINES: usize = 19;
+/// Bytes of the status line `HTTP/1.1 200 OK` and the blank line after the headers, line breaks included.
+const RESPONSE_FRAMING_BYTES: usize = 19;
 
-/// What an engine tells of itself.
+/// Status that an engine reports.
 #[derive(Debug, Deserialize)]
 pub struct EngineStatus {
-    /// Requests in it, as of a while ago.
+    /// Requests in the engine; the figure may lag.
     pub load: u32,
     /// `ready`, `loading` or `leaving`.
     pub state: String,
-    /// The order it took last.
+    /// The order that it accepted last.
     #[serde(default)]
     pub order: EngineOrder,
 }
 
 impl EngineStatus {
-    /// Returns whether it takes requests.
+    /// Returns whether the engine accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state == "ready"
     }
 }
 
-/// Why an engine did not take an order.
+/// Why an engine did not accept an order.
 #[derive(Debug, thiserror::Error)]
-pub enum OrderFault {
-    /// Not reached, or no answer.
+pub enum OrderError {
+    /// The engine was not reached, or did not respond.
     #[error("{0}; it is given again")]
     Attempt(AttemptFault),
-    /// It has taken an order with a newer fencing number.
+    /// The engine has accepted an order with a newer fencing number.
     #[error("it has a newer fencing number; the holder of the newer lease orders it")]
     Fenced,
-    /// It refused otherwise.
+    /// The engine rejected the order for another reason.
     #[error("status {0}; see the engine's log")]
     Refused(StatusCode),
 }
 
-impl OrderFault {
-    /// Returns whether somebody else holds a newer lease.
+impl OrderError {
+    /// Returns whether another instance holds a newer lease.
     pub fn is_fenced(&self) -> bool {
-        matches!(self, OrderFault::Fenced)
+        matches!(self, OrderError::Fenced)
     }
 }
 
-/// Asks an engine for its status; `None` when it does not answer.
-pub fn status(shared: &Shared, address: SocketAddr) -> Option<EngineStatus> {
+/// Fetches the status of an engine; `None` when it does not respond with one.
+pub fn fetch_status(shared: &Shared, address: SocketAddr) -> Option<EngineStatus> {
     let (status, body) =
-        exchange(shared, address, &Method::GET, STATUS_PATH, &[], STATUS_TIME).ok()?;
+        call_engine(shared, address, &Method::GET, STATUS_PATH, &[], STATUS_TIMEOUT).ok()?;
     if status != StatusCode::OK {
         return None;
     }
     serde_json::from_slice(&body).ok()
 }
 
-/// Gives an engine an order.
+/// Sends an order to an engine.
 ///
 /// # Errors
 ///
-/// See [`OrderFault`].
-pub fn order(
+/// See [`OrderError`].
+pub fn send_order(
     shared: &Shared,
     address: SocketAddr,
     order: &EngineOrder,
-    time: Duration,
-) -> Result<(), OrderFault> {
+    timeout: Duration,
+) -> Result<(), OrderError> {
     let body = serde_json::to_vec(order).unwrap_or_default();
-    let answer = exchange(shared, address, &Method::POST, ORDERS_PATH, &body, time);
-    match answer.map_err(OrderFault::Attempt)?.0 {
+    let response = call_engine(shared, address, &Method::POST, ORDERS_PATH, &body, timeout);
+    match response.map_err(OrderError::Attempt)?.0 {
         StatusCode::OK => Ok(()),
-        StatusCode::CONFLICT => Err(OrderFault::Fenced),
-        other => Err(OrderFault::Refused(other)),
+        StatusCode::CONFLICT => Err(OrderError::Fenced),
+        other => Err(OrderError::Refused(other)),
     }
 }
 
-/// Has an engine take over the contexts of chats from another; false when it does not.
-pub fn take_over(
+/// Has the engine at `target` import the contexts of `chats` from the one at `source`.
+///
+/// Returns whether it did.
+pub fn import_contexts(
     shared: &Shared,
     target: SocketAddr,
     source: SocketAddr,
@@ -112,21 +114,22 @@
 ) -> bool {
     let chats: Vec<String> = chats.iter().map(ToString::to_string).collect();
     let body = serde_json::json!({ "from": source, "chats": chats }).to_string();
-    let answer = exchange(shared, target, &Method::POST, IMPORT_PATH, body.as_bytes(), IMPORT_TIME);
-    answer.is_ok_and(|(status, _)| status == StatusCode::OK)
+    let response =
+        call_engine(shared, target, &Method::POST, IMPORT_PATH, body.as_bytes(), IMPORT_TIMEOUT);
+    response.is_ok_and(|(status, _)| status == StatusCode::OK)
 }
 
-fn exchange(
+fn call_engine(
     shared: &Shared,
     address: SocketAddr,
     method: &Method,
     target: &str,
     body: &[u8],
-    time: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Vec<u8>), AttemptFault> {
     let headers = HeaderMap::new();
-    let until = shared.clock.now() + time;
-    let fresh = *method != Method::GET;
+    let deadline = shared.clock.now() + timeout;
+    let new_connection = *method != Method::GET;
     let attempt = Attempt {
         address,
         method,
@@ -134,21 +137,24 @@
         headers: &headers,
         body,
         id: "control",
-        new_connection: fresh,
-        head_deadline: until,
+        new_connection,
+        head_deadline: deadline,
     };
     shared.traffic.count_sent(Purpose::Probe, attempt.bytes().len());
-    let mut answer = shared.backends.send(&attempt, &mut || true)?;
+    let mut response = shared.backends.send(&attempt, &mut || true)?;
     let mut bytes = Vec::new();
-    while let Some(piece) = answer.next(until, &mut || true)? {
-        bytes.extend_from_slice(&piece);
-        if bytes.len() > ANSWER_MAX {
+    while let Some(chunk) = response.next(deadline, &mut || true)? {
+        bytes.extend_from_slice(&chunk);
+        if bytes.len() > RESPONSE_MAX_BYTES {
             return Err(AttemptFault::Garbage);
         }
     }
-    let head: usize = answer.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
-    shared.traffic.count_received(Purpose::Probe, ANSWER_LINES + head + bytes.len());
-    let status = answer.head.status;
-    shared.backends.finish(answer);
+    let head_bytes: usize =
+        response.head.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
+    shared
+        .traffic
+        .count_received(Purpose::Probe, RESPONSE_FRAMING_BYTES + head_bytes + bytes.len());
+    let status = response.head.status;
+    shared.backends.finish(response);
     Ok((status, bytes))
 }
--- a/src/instance/homes/probes.rs
+++ b/src/instance/homes/probes.rs
@@ -1,5 +1,5 @@
-//! Probes of backend servers, sent only by the home of their shard and only where no answer has
-//! told of them for a while.
+//! Probes of backend servers, sent only by the home of their shard, and only to servers whose state no recent
+//! response has shown.
 
 use std::thread;
 
@@ -9,8 +9,8 @@
     zone::{home::Event, shard::ShardId},
 };
 
-/// Probes under way at once.
-const AT_ONCE: usize = 8;
+/// Most probes in flight.
+const CONCURRENT_PROBES: usize = 8;
 
 /// Probes the engines that are due.
 pub fn probe_due(shared: &Shared) {
@@ -18,22 +18,22 @@
     let reports = |tag: Tag| snapshot.server(tag).is_some_and(|server| server.reports_load);
     let due: Vec<(ShardId, Tag)> =
         shared.homes.probes_due().into_iter().filter(|(_, tag)| reports(*tag)).collect();
-    for group in due.chunks(AT_ONCE) {
+    for group in due.chunks(CONCURRENT_PROBES) {
         thread::scope(|scope| {
             for (shard, engine) in group {
                 let Some(address) = snapshot.server(*engine).map(|server| server.address) else {
                     continue;
                 };
                 scope.spawn(move || {
-                    let events = match engines::status(shared, address) {
+                    let events = match engines::fetch_status(shared, address) {
                         Some(status) => vec![
                             Event::Probed(*engine, status.load),
-                            // One that loads takes nothing either.
+                            // An engine that is loading accepts no requests either.
                             Event::AnnouncedLeaving(*engine, !status.is_ready()),
                         ],
                         None => vec![Event::ProbeFailed(*engine)],
                     };
-                    shared.homes.tell(*shard, events);
+                    shared.homes.notify(*shard, events);
                 });
             }
         });
--- a/src/instance/homes/streams.rs
+++ b/src/instance/homes/streams.rs
@@ -1,11 +1,11 @@
-//! Streams between entries and homes: what an entry sends and reads, and what a home does.
+//! Permit streams between entries and homes: sending and reading at the entry, serving at the home.
 
 use std::{
     sync::{Arc, Weak},
     thread,
 };
 
-use super::links::{End, Slot};
+use super::permit_streams::{StreamEnd, StreamSlot};
 use crate::{
     instance::shared::Shared,
     link::{
@@ -18,21 +18,21 @@
     zone::home::Event,
 };
 
-/// Stack of the thread that reads a home's messages, in bytes: it goes no deeper than decoding one.
-const STACK: usize = 256 << 10;
+/// Stack of the thread that reads a home's messages; its deepest call decodes one message.
+const READER_STACK_BYTES: usize = 256 << 10;
 
-/// Hands an entry's batches to a home, opening the stream when there is none.
+/// Sends an entry's batches to a home, on a new stream if none is open.
 ///
-/// Returns false when the home is not reached.
+/// Returns false if the home cannot be reached.
 pub fn send(shared: &Arc<Shared>, home: Tag, batches: Vec<ShardBatch>) -> bool {
-    let Some(end) = open(shared, home) else { return false };
-    let message = EntryMessage { hello: end.news(shared.hello()), batches };
+    let Some(end) = open_stream(shared, home) else { return false };
+    let message = EntryMessage { hello: end.hello_if_changed(shared.hello()), batches };
     end.sender.send(&message)
 }
 
-/// Returns the stream to a home, opened where there is none; `None` when the home is not reached.
-fn open(shared: &Arc<Shared>, home: Tag) -> Option<Arc<End>> {
-    let slot = shared.home_links.slot(home);
+/// Returns the stream to a home, and opens it if needed; `None` if the home cannot be reached.
+fn open_stream(shared: &Arc<Shared>, home: Tag) -> Option<Arc<StreamEnd>> {
+    let slot = shared.permit_streams.slot(home);
     let mut opened = lock(&slot);
     if let Some(end) = &*opened {
         return Some(Arc::clone(end));
@@ -40,102 +40,103 @@
     let address = lock(&shared.membership).peer(home).map(|p| p.address)?;
     let (sender, receiver) = match shared.peers.open_stream(Purpose::Permits, address) {
         Ok(stream) => stream,
-        Err(fault) => {
-            log::debug!("stream to a home: {fault}");
+        Err(error) => {
+            log::debug!("cannot open the permit stream to a home: {error}");
             return None;
         }
     };
-    let end = Arc::new(End::new(sender));
-    let (weak, slot_of, read_end) = (Arc::downgrade(shared), Arc::clone(&slot), Arc::clone(&end));
+    let end = Arc::new(StreamEnd::new(sender));
+    let (weak, reader_slot, reader_end) =
+        (Arc::downgrade(shared), Arc::clone(&slot), Arc::clone(&end));
     let spawned = thread::Builder::new()
         .name("home-stream".to_owned())
-        .stack_size(STACK)
-        .spawn(move || read_home(&weak, home, receiver, &slot_of, &read_end));
-    if let Err(fault) = spawned {
-        log::warn!("no thread for the stream to a home: {fault}");
+        .stack_size(READER_STACK_BYTES)
+        .spawn(move || read_replies(&weak, home, receiver, &reader_slot, &reader_end));
+    if let Err(error) = spawned {
+        log::warn!("cannot start the reader thread of the permit stream to a home: {error}");
         return None;
     }
     *opened = Some(Arc::clone(&end));
     Some(end)
 }
 
-/// Serves an entry's stream until it ends.
+/// Serves an entry's stream until it closes.
 pub fn serve(shared: &Arc<Shared>, sender: StreamSender, mut receiver: StreamReceiver) {
-    let end = Arc::new(End::new(sender));
+    let end = Arc::new(StreamEnd::new(sender));
     let mut entry: Option<Hello> = None;
     while let Some(message) = receiver.next::<EntryMessage>(&mut || !shared.drain.is_stopped()) {
         if let Some(hello) = message.hello {
-            shared.greeted(&hello);
-            shared.home_links.add_entry(hello.from, &end);
+            shared.note_hello(&hello);
+            shared.permit_streams.add_entry(hello.from, &end);
             entry = Some(hello);
         }
-        // The first message of a stream says who sends it.
+        // The first message of a stream must name its sender.
         let Some(hello) = entry else { break };
-        let mut answer = take_batches(shared, &hello, message.batches);
-        answer.hello = end.news(shared.hello());
-        let says = answer.hello.is_some()
-            || !answer.replies.is_empty()
-            || !answer.request_announcement.is_empty();
-        if says && !end.sender.send(&answer) {
+        let mut reply = handle_batches(shared, &hello, message.batches);
+        reply.hello = end.hello_if_changed(shared.hello());
+        let has_content = reply.hello.is_some()
+            || !reply.replies.is_empty()
+            || !reply.request_announcement.is_empty();
+        if has_content && !end.sender.send(&reply) {
             break;
         }
     }
     end.sender.shutdown();
     let Some(hello) = entry else { return };
-    if shared.home_links.remove_entry(hello.from, &end) {
-        shared.homes.each(|_| vec![Event::EntryDisconnected(hello.from)]);
+    if shared.permit_streams.remove_entry(hello.from, &end) {
+        shared.homes.notify_all(|_| vec![Event::EntryDisconnected(hello.from)]);
     }
 }
 
-/// Takes in an entry's batches for the shards held here.
-pub fn take_batches(shared: &Shared, hello: &Hello, batches: Vec<ShardBatch>) -> HomeMessage {
+/// Handles an entry's batches and returns the replies that are ready.
+pub fn handle_batches(shared: &Shared, hello: &Hello, batches: Vec<ShardBatch>) -> HomeMessage {
     let mut message = HomeMessage::default();
     let snapshot = shared.snapshot.load_full();
     for batch in batches {
         let shard = batch.shard;
-        let numbers: Vec<u32> = batch.requests.iter().map(|ask| ask.number).collect();
-        match snapshot.as_ref().and_then(|s| shared.homes.batch(hello, batch, s)) {
-            Some(answer) => {
-                message.replies.extend(answer.replies);
-                if answer.request_announcement {
+        let numbers: Vec<u32> = batch.requests.iter().map(|request| request.number).collect();
+        match snapshot.as_ref().and_then(|s| shared.homes.handle_batch(hello, batch, s)) {
+            Some(reply) => {
+                message.replies.extend(reply.replies);
+                if reply.request_announcement {
                     message.request_announcement.push(shard);
                 }
             }
-            // The sender's file is newer and is being fetched.
+            // The sender has a newer revision, which this instance is still fetching.
             None => message.replies.extend(numbers.into_iter().map(NumberedReply::no_engine)),
         }
     }
     message
 }
 
-/// Reads a home's messages until the stream ends.
-fn read_home(
+/// Reads a home's messages until the stream closes, then tries once to reopen it.
+fn read_replies(
     shared: &Weak<Shared>,
     home: Tag,
     mut receiver: StreamReceiver,
-    slot: &Slot,
-    end: &Arc<End>,
+    slot: &StreamSlot,
+    end: &Arc<StreamEnd>,
 ) {
     let mut alive = || shared.upgrade().is_some_and(|shared| !shared.drain.is_stopped());
     while let Some(message) = receiver.next::<HomeMessage>(&mut alive) {
         let Some(shared) = shared.upgrade() else { return };
         if let Some(hello) = &message.hello {
-            shared.greeted(hello);
+            shared.note_hello(hello);
         }
-        shared.desk.take(home, message);
+        shared.permit_client.handle_message(home, message);
     }
     end.sender.shutdown();
     {
         let mut opened = lock(slot);
-        if opened.as_ref().is_some_and(|known| Arc::ptr_eq(known, end)) {
+        if opened.as_ref().is_some_and(|registered| Arc::ptr_eq(registered, end)) {
             *opened = None;
         }
     }
     if let Some(shared) = shared.upgrade().filter(|shared| !shared.drain.is_stopped()) {
-        shared.desk.home_lost(home);
-        // A home whose process has ended refuses at once; permits then move without waiting for
-        // the next ask to find out.
-        if open(&shared, home).is_none() {
+        shared.permit_client.note_home_lost(home);
+        // If the home's process has ended, the connection is refused at once, and its permits move without waiting
+        // for the next permit request to fail.
+        if open_stream(&shared, home).is_none() {
             lock(&shared.membership).note_failure(shared.clock.now(), home);
         }
     }
--- a/src/instance/requests/place.rs
+++ b/src/instance/requests/engine_slot.rs
@@ -1,4 +1,4 @@
-//! Finds the engine that may take a request: by permit of a home, or by a baseline.
+//! Acquires a slot at an engine for a request, by a permit of a home or by a baseline.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
         permit::{PermitRequest, RefuseReason, ReleaseKind, Reply},
     },
     instance::{
-        knowledge::snapshot::ServiceView,
+        cluster_state::snapshot::ServiceView,
         requests::{
-            desk::{AskEnd, Permit},
+            permit_client::{Permit, PermitError},
+            placement_hint,
             request::Request,
-            tokens,
         },
         shared::Shared,
     },
@@ -22,90 +22,90 @@
     zone::{rendezvous::ChatKey, shard::Shard},
 };
 
-/// Homes tried that were not reached, before a request is refused.
+/// Most times that a request for a permit is sent again because a home was lost.
 const LOST_HOMES_MAX: u32 = 6;
 
-/// Time to come back after a refusal that has no better estimate.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` of a rejection that has no better estimate.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A place at an engine.
+/// A slot at an engine.
 #[derive(Debug)]
-pub enum Place {
+pub enum EngineSlot {
     /// Granted by a home.
     Permit(Permit),
-    /// Chosen by this entry alone.
-    Alone(Tag),
+    /// Chosen by this entry alone, without a permit.
+    Baseline(Tag),
 }
 
-impl Place {
+impl EngineSlot {
     /// Returns the engine.
     pub fn engine(&self) -> Tag {
         match self {
-            Place::Permit(permit) => permit.engine,
-            Place::Alone(engine) => *engine,
+            EngineSlot::Permit(permit) => permit.engine,
+            EngineSlot::Baseline(engine) => *engine,
         }
     }
 }
 
-/// Why there is no place.
+/// Why no slot was acquired.
 #[derive(Debug)]
-pub enum NoPlace {
-    /// The caller is to be told this.
-    Refused(Refusal),
-    /// The caller went away.
+pub enum SlotError {
+    /// The request is rejected with this response.
+    Rejected(Refusal),
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Finds a place for a request, passing over the engines in `avoid`.
+/// Acquires a slot for a request at an engine that is not in `avoid`.
 ///
 /// # Errors
 ///
-/// The request is refused and has not run, or its caller went away.
-pub fn obtain(
+/// The request is rejected and has not run, or its caller disconnected.
+pub fn acquire(
     shared: &Shared,
     view: &ServiceView,
     team: Tag,
     request: &Request,
     avoid: &[Tag],
-    go_on: &mut dyn FnMut() -> bool,
-) -> Result<Place, NoPlace> {
-    // A request that belongs to no chat is spread evenly.
+    keep_waiting: &mut dyn FnMut() -> bool,
+) -> Result<EngineSlot, SlotError> {
+    // Requests that belong to no chat get a random key, which spreads them evenly.
     let chat = request.chat.unwrap_or_else(|| ChatKey(fastrand::u64(..)));
     if view.service.placement != Placement::Permit {
-        return alone(shared, view, chat, avoid);
+        return choose_by_baseline(shared, view, chat, avoid);
     }
     let key = &shared.settings.credentials.placement;
-    let hint = request.hint.as_deref().and_then(|hint| tokens::engine_of(key, chat, hint));
-    let began = shared.clock.now();
+    let hint = request.hint.as_deref().and_then(|hint| placement_hint::decode(key, chat, hint));
+    let started_at = shared.clock.now();
     let ranked = view.ranked_shards(chat);
-    let mut asker = Asker { shared, team, request, chat, hint, avoid, lost: 0 };
-    let mut end = None;
+    let mut requester = PermitRequester { shared, team, request, chat, hint, avoid, lost_homes: 0 };
+    let mut result = None;
     for (at, shard) in ranked.iter().enumerate() {
-        end = Some(asker.ask(shard, at + 1 < ranked.len(), go_on));
-        if !matches!(end, Some(Err(AskEnd::Reply(Reply::Spill)))) {
+        result = Some(requester.request_permit(shard, at + 1 < ranked.len(), keep_waiting));
+        if !matches!(result, Some(Err(PermitError::Reply(Reply::Spill)))) {
             break;
         }
     }
-    let took = shared.clock.now() - began;
-    let end = end.unwrap_or(Err(AskEnd::Reply(Reply::Refused {
+    let elapsed = shared.clock.now() - started_at;
+    let result = result.unwrap_or(Err(PermitError::Reply(Reply::Refused {
         reason: RefuseReason::NoEngine,
         retry_after_ms: 1000,
     })));
-    shared.metrics.permit_reply(reply_name(&end), took);
-    end.map(Place::Permit).map_err(|end| refusal_of(end, view.service.id.as_str()))
+    shared.metrics.permit_reply(reply_label(&result), elapsed);
+    result.map(EngineSlot::Permit).map_err(|error| rejection(error, view.service.id.as_str()))
 }
 
-/// Gives a place back.
+/// Releases a slot.
 pub fn release(
     shared: &Shared,
     service: &Service,
-    place: Place,
+    slot: EngineSlot,
     kind: ReleaseKind,
     load: Option<u32>,
 ) {
-    match place {
-        Place::Permit(permit) => shared.desk.release(permit, kind, load),
-        Place::Alone(engine) => {
+    match slot {
+        EngineSlot::Permit(permit) => shared.permit_client.release(permit, kind, load),
+        EngineSlot::Baseline(engine) => {
             let now = shared.clock.now();
             lock(&shared.baselines)
                 .entry(service.id.clone())
@@ -115,12 +115,12 @@
     }
 }
 
-fn alone(
+fn choose_by_baseline(
     shared: &Shared,
     view: &ServiceView,
     chat: ChatKey,
     avoid: &[Tag],
-) -> Result<Place, NoPlace> {
+) -> Result<EngineSlot, SlotError> {
     let service = &view.service;
     let now = shared.clock.now();
     let mut baselines = lock(&shared.baselines);
@@ -128,41 +128,44 @@
     let chosen =
         baseline.choose(now, service.placement, &view.engines, chat, avoid, service.load_bound);
     let engine = chosen.ok_or_else(|| {
-        refusal_of(
-            AskEnd::Reply(Reply::Refused { reason: RefuseReason::NoEngine, retry_after_ms: 1000 }),
+        rejection(
+            PermitError::Reply(Reply::Refused {
+                reason: RefuseReason::NoEngine,
+                retry_after_ms: 1000,
+            }),
             view.service.id.as_str(),
         )
     })?;
     baseline.start_request(engine);
-    Ok(Place::Alone(engine))
+    Ok(EngineSlot::Baseline(engine))
 }
 
-struct Asker<'a> {
+struct PermitRequester<'a> {
     shared: &'a Shared,
     team: Tag,
     request: &'a Request,
     chat: ChatKey,
     hint: Option<Tag>,
     avoid: &'a [Tag],
-    lost: u32,
+    lost_homes: u32,
 }
 
-impl Asker<'_> {
-    /// Asks the home of `shard`; a home that is not reached is passed over and the next asked.
-    fn ask(
+impl PermitRequester<'_> {
+    /// Requests a permit from the home of `shard`; if that is lost, from the next home.
+    fn request_permit(
         &mut self,
         shard: &Shard,
         may_spill: bool,
-        go_on: &mut dyn FnMut() -> bool,
-    ) -> Result<Permit, AskEnd> {
-        let id = self.shared.desk.next_id();
+        keep_waiting: &mut dyn FnMut() -> bool,
+    ) -> Result<Permit, PermitError> {
+        let id = self.shared.permit_client.next_permit_id();
         loop {
             let now = self.shared.clock.now();
             let time_left = self.request.deadline.saturating_duration_since(now);
             if time_left.is_zero() {
-                return Err(AskEnd::Deadline);
+                return Err(PermitError::Deadline);
             }
-            let ask = PermitRequest {
+            let permit_request = PermitRequest {
                 id,
                 chat: self.chat,
                 team: self.team,
@@ -172,58 +175,61 @@
                 may_spill,
             };
             let home = self.shared.home_of(shard);
-            let end = self.shared.desk.ask(home, shard.id, &ask, go_on);
-            if end != Err(AskEnd::HomeLost) || self.lost >= LOST_HOMES_MAX {
-                return end;
+            let result =
+                self.shared.permit_client.request(home, shard.id, &permit_request, keep_waiting);
+            if result != Err(PermitError::HomeLost) || self.lost_homes >= LOST_HOMES_MAX {
+                return result;
             }
-            self.lost += 1;
+            self.lost_homes += 1;
             lock(&self.shared.membership).note_failure(now, home);
         }
     }
 }
 
-fn reply_name(end: &Result<Permit, AskEnd>) -> &'static str {
-    match end {
+fn reply_label(result: &Result<Permit, PermitError>) -> &'static str {
+    match result {
         Ok(_) => "granted",
-        Err(AskEnd::Reply(Reply::Refused { reason, .. })) => match reason {
+        Err(PermitError::Reply(Reply::Refused { reason, .. })) => match reason {
             RefuseReason::TeamInFlight => "team-in-flight",
             RefuseReason::TeamRate => "team-rate",
             RefuseReason::QueueFull => "queue-full",
             RefuseReason::Deadline => "deadline",
             RefuseReason::NoEngine => "no-engine",
         },
-        Err(AskEnd::Reply(_)) => "spill",
-        Err(AskEnd::HomeLost) => "home-lost",
-        Err(AskEnd::Deadline) => "deadline",
-        Err(AskEnd::CallerGone) => "caller-gone",
+        Err(PermitError::Reply(_)) => "spill",
+        Err(PermitError::HomeLost) => "home-lost",
+        Err(PermitError::Deadline) => "deadline",
+        Err(PermitError::CallerGone) => "caller-gone",
     }
 }
 
-fn refusal_of(end: AskEnd, service: &str) -> NoPlace {
+fn rejection(error: PermitError, service: &str) -> SlotError {
     let retry = |ms: u32| Duration::from_millis(u64::from(ms));
-    let refusal = match end {
-        AskEnd::CallerGone => return NoPlace::CallerGone,
-        AskEnd::Deadline => Refusal::not_run(
+    let refusal = match error {
+        PermitError::CallerGone => return SlotError::CallerGone,
+        PermitError::Deadline => Refusal::not_run(
             503,
             "no room in time",
             format!("no engine of {service} had room before the deadline; send it again or give it more time"),
         )
-        .retry_after(RETRY_AFTER),
-        AskEnd::HomeLost => Refusal::not_run(
+        .retry_after(DEFAULT_RETRY_AFTER),
+        PermitError::HomeLost => Refusal::not_run(
             503,
             "no permit",
             format!("no instance could grant a permit for {service}; send it again"),
         )
-        .retry_after(RETRY_AFTER),
-        AskEnd::Reply(Reply::Refused { reason, retry_after_ms }) => {
-            refusal_for(reason, service).retry_after(retry(retry_after_ms))
+        .retry_after(DEFAULT_RETRY_AFTER),
+        PermitError::Reply(Reply::Refused { reason, retry_after_ms }) => {
+            refusal_for_reason(reason, service).retry_after(retry(retry_after_ms))
+        }
+        PermitError::Reply(_) => {
+            refusal_for_reason(RefuseReason::NoEngine, service).retry_after(DEFAULT_RETRY_AFTER)
         }
-        AskEnd::Reply(_) => refusal_for(RefuseReason::NoEngine, service).retry_after(RETRY_AFTER),
     };
-    NoPlace::Refused(refusal)
+    SlotError::Rejected(refusal)
 }
 
-fn refusal_for(reason: RefuseReason, service: &str) -> Refusal {
+fn refusal_for_reason(reason: RefuseReason, service: &str) -> Refusal {
     match reason {
         RefuseReason::TeamInFlight => Refusal::not_run(
             429,
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,6 +1,5 @@
 //! All integration tests, in one crate.
 
-mod answers;
 mod backoff_random;
 mod bodies;
 mod budget_fleet;
@@ -14,6 +13,7 @@
 mod crashing_requests;
 mod crashing_requests_random;
 mod drain;
+mod end_to_end;
 mod evacuations;
 mod files;
 mod framing;
@@ -36,6 +36,7 @@
 mod platform;
 mod process;
 mod report;
+mod responses;
 mod rollouts;
 mod rollouts_random;
 mod roster_fleet;
@@ -51,4 +52,3 @@
 mod support;
 mod suspended;
 mod testbed;
-mod whole_path;
