--- a/tests/suite/files.rs
+++ b/tests/suite/files.rs
@@ -1,4 +1,4 @@
-//! The operators' file and the settings: any text is taken whole or refused whole.
+//! The operators' file and the settings: a text is accepted or rejected as a whole.
 
 use std::fs;
 
@@ -24,10 +24,10 @@
 
 fn example(name: &str) -> String {
     fs::read_to_string(format!("{}/examples/{name}", env!("CARGO_MANIFEST_DIR")))
-        .expect("an example")
+        .expect("the example is readable")
 }
 
-fn config(cases: u32) -> Config {
+fn proptest_config(cases: u32) -> Config {
     Config { cases, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..Config::default() }
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn any_text_is_taken_whole_or_refused_with_faults() {
+fn any_text_is_accepted_or_rejected_with_errors() {
     let hanbit = example("hanbit.toml");
     let lines: Vec<String> = hanbit.lines().map(str::to_owned).collect();
     let strategy = (
@@ -46,42 +46,43 @@
         ),
         any::<String>(),
     );
-    let done = TestRunner::new(config(150)).run(&strategy, |(edits, noise)| {
+    let result = TestRunner::new(proptest_config(150)).run(&strategy, |(edits, random_text)| {
         let mut lines = lines.clone();
-        for (a, b, how) in edits {
+        for (a, b, edit) in edits {
             let (a, b) = (a.index(lines.len()), b.index(lines.len()));
-            match how {
+            match edit {
                 0 => lines.swap(a, b),
                 1 => drop(lines.remove(a)),
-                2 => lines.insert(a, noise.clone()),
+                2 => lines.insert(a, random_text.clone()),
                 _ => lines[a] = lines[a].replace('1', "-"),
             }
         }
         match Fleet::parse(&lines.join("\n")) {
             Ok(fleet) => prop_assert!(!fleet.services.is_empty()),
-            Err(faults) => {
-                prop_assert!(!faults.0.is_empty());
+            Err(errors) => {
+                prop_assert!(!errors.0.is_empty());
                 prop_assert!(
-                    faults.0.iter().all(|f| f.line > 0 && f.column > 0 && !f.message.is_empty())
+                    errors.0.iter().all(|e| e.line > 0 && e.column > 0 && !e.message.is_empty())
                 );
             }
         }
-        let _ = Fleet::parse(&noise);
-        let _ = Settings::parse(&noise, &context());
+        let _ = Fleet::parse(&random_text);
+        let _ = Settings::parse(&random_text, &context());
         Ok(())
     });
-    done.expect("never a panic");
+    result.expect("errors with positions, and no panic");
 }
 
 #[test]
-fn a_file_comes_back_from_its_chunks_and_a_change_touches_one() {
+fn a_file_is_restored_from_its_chunks_and_a_change_affects_one() {
     for name in ["hanbit.toml", "al-harthy.toml"] {
-        let fleet = Fleet::parse(&example(name)).expect("sound");
+        let fleet = Fleet::parse(&example(name)).expect("the example is valid");
         let stored = to_chunks(&fleet);
-        let manifest: Manifest = decode(&stored.manifest).expect("a manifest");
-        let back = from_chunks(&manifest, |name| stored.chunks.get(name).cloned()).expect("whole");
-        assert!(diff(&fleet, &back).is_empty());
-        assert_eq!(to_chunks(&back), stored, "the same file has the same digests");
+        let manifest: Manifest = decode(&stored.manifest).expect("the manifest is valid");
+        let restored = from_chunks(&manifest, |name| stored.chunks.get(name).cloned())
+            .expect("all chunks are there");
+        assert!(diff(&fleet, &restored).is_empty());
+        assert_eq!(to_chunks(&restored), stored, "equal files have equal digests");
         let mut changed = fleet.clone();
         changed.teams[0].weight += 1;
         let changed = to_chunks(&changed);
@@ -102,15 +103,15 @@
 }
 
 #[test]
-fn shards_are_one_for_a_small_service_and_bounded_by_zone_for_a_large_one() {
-    let mut fleet = Fleet::parse(&example("hanbit.toml")).expect("sound");
+fn a_small_service_has_one_shard_and_a_large_one_has_bounded_shards_by_zone() {
+    let mut fleet = Fleet::parse(&example("hanbit.toml")).expect("the example is valid");
     let service = fleet.services[0].id.clone();
     let shards = shards_of(&fleet, &service);
     assert_eq!((shards.len(), shards[0].engines.len()), (1, 20));
     let template = fleet.backend_servers[0].clone();
     for n in 0..230_u16 {
         let mut server = template.clone();
-        server.id = format!("more-{n}").parse().expect("an id");
+        server.id = format!("more-{n}").parse().expect("the id is valid");
         server.zone = fleet.zones[usize::from(n) % 4].id.clone();
         fleet.backend_servers.insert(server.id.clone(), server);
     }
@@ -118,7 +119,7 @@
     assert_eq!(shards.iter().map(|s| s.engines.len()).sum::<usize>(), 250);
     assert!(shards.iter().all(|s| s.engines.len() <= SHARD_ENGINES_MAX && s.zone.is_some()));
     assert!(shards.len() <= 12, "{}", shards.len());
-    // The share of a zone is the sum of its engines' weights.
+    // Each of the four zones has an equal share, so the weights of its shards add up to a quarter.
     let total: f64 = shards.iter().map(|s| s.weight).sum();
     for zone in fleet.zones.keys() {
         let weight: f64 =
@@ -128,21 +129,25 @@
 }
 
 #[test]
-fn taking_a_server_out_changes_only_that_in_the_text() {
+fn marking_a_server_as_leaving_changes_nothing_else_in_the_text() {
     let text = example("hanbit.toml");
-    let marked = mark_leaving(&text, "cert-llm-03").expect("known");
+    let marked = mark_leaving(&text, "cert-llm-03").expect("the server is in the file");
     let (before, after) =
-        (Fleet::parse(&text).expect("sound"), Fleet::parse(&marked).expect("sound"));
+        (Fleet::parse(&text).expect("valid"), Fleet::parse(&marked).expect("valid"));
     let changes: Vec<String> = diff(&before, &after).iter().map(ToString::to_string).collect();
     assert_eq!(changes, ["~ backend_server/cert-llm-03"]);
-    assert_eq!(marked.lines().count(), text.lines().count() + 1, "comments and order stay");
+    assert_eq!(
+        marked.lines().count(),
+        text.lines().count() + 1,
+        "one line is added; comments and order stay"
+    );
     assert!(mark_leaving(&text, "nobody").is_none());
 }
 
 #[test]
-fn quantities_are_read_as_they_are_written() {
+fn quantities_are_parsed_and_printed_in_the_same_form() {
     for text in ["1B", "64KiB", "3MiB", "2GiB"] {
-        assert_eq!(text.parse::<Size>().expect("a size").to_string(), text);
+        assert_eq!(text.parse::<Size>().expect("the size is valid").to_string(), text);
     }
     for text in ["64", "64kb", "-1KiB", "99999999999GiB", ""] {
         assert!(text.parse::<Size>().is_err(), "{text}");
@@ -151,24 +156,25 @@
         assert!(text.parse::<Rate>().is_err(), "{text}");
     }
     for text in ["700ms", "30s", "5m", "1day"] {
-        assert_eq!(text.parse::<Span>().expect("a span").to_string(), text);
+        assert_eq!(text.parse::<Span>().expect("the duration is valid").to_string(), text);
     }
 }
 
 #[test]
-fn the_example_settings_are_sound_and_faulty_ones_are_told_at_once() {
-    let settings = Settings::parse(&example("instance.toml"), &context()).expect("sound");
+fn the_example_settings_are_valid_and_all_errors_are_reported_at_once() {
+    let settings =
+        Settings::parse(&example("instance.toml"), &context()).expect("the example is valid");
     assert_eq!(settings.id.as_str(), "entry-1");
-    Settings::parse(&example("alone.toml"), &context()).expect("sound");
-    let nothing = Context::new(Clock::system(), |_| None);
-    let faults =
-        Settings::parse(&example("instance.toml"), &nothing).expect_err("no credential is set");
+    Settings::parse(&example("alone.toml"), &context()).expect("the example is valid");
+    let no_variables = Context::new(Clock::system(), |_| None);
+    let errors = Settings::parse(&example("instance.toml"), &no_variables)
+        .expect_err("no credential is set");
     assert!(
-        faults.0.len() >= 4 && faults.to_string().contains("CARTVANE_PEERS is not set"),
-        "{faults}"
+        errors.0.len() >= 4 && errors.to_string().contains("CARTVANE_PEERS is not set"),
+        "{errors}"
     );
     let text = "id = \"A\"\nzone = 3\n[listen]\ncallers = \"here\"\n[timeouts]\nhed = \"1s\"\nbody = \"0s\"\n[limits]\nbody = \"1GiB\"\nrequests = 0\n[logging]\nlevel = \"loud\"\n";
-    let faults = Settings::parse(text, &context()).expect_err("faulty").to_string();
+    let errors = Settings::parse(text, &context()).expect_err("the text is invalid").to_string();
     for word in [
         "id",
         "region",
@@ -182,26 +188,26 @@
         "loud",
         "credentials",
     ] {
-        assert!(faults.contains(word), "{word}: {faults}");
+        assert!(errors.contains(word), "{word}: {errors}");
     }
 }
 
 #[test]
-fn a_setting_given_on_the_command_line_goes_before_the_file() {
-    let text = set(&example("alone.toml"), "limits.requests", "7").expect("set");
-    let text = set(&text, "logging.level", "debug").expect("set");
-    let settings = Settings::parse(&text, &context()).expect("sound");
+fn a_setting_on_the_command_line_overrides_the_file() {
+    let text = set(&example("alone.toml"), "limits.requests", "7").expect("the key can be set");
+    let text = set(&text, "logging.level", "debug").expect("the key can be set");
+    let settings = Settings::parse(&text, &context()).expect("the settings are valid");
     assert_eq!((settings.limits.requests, settings.logging.level), (7, log::LevelFilter::Debug));
     assert!(set(&text, "id.x", "1").is_err());
 }
 
 #[test]
-fn the_page_of_settings_is_the_code_s() {
+fn the_settings_page_has_the_table_of_the_code() {
     let page = fs::read_to_string(format!("{}/docs/SETTINGS.md", env!("CARGO_MANIFEST_DIR")))
-        .expect("the page");
+        .expect("the page is readable");
     assert!(
         page.contains(&reference::markdown()),
-        "docs/SETTINGS.md lacks this table:\n{}",
+        "docs/SETTINGS.md does not have this table:\n{}",
         reference::markdown()
     );
     for row in reference::rows()
@@ -213,19 +219,19 @@
         } else {
             format!("\"{}\"", row.default)
         };
-        let text = set(&example("alone.toml"), row.key, &value).expect("set");
-        Settings::parse(&text, &context()).unwrap_or_else(|faults| panic!("{}: {faults}", row.key));
+        let text = set(&example("alone.toml"), row.key, &value).expect("the key can be set");
+        Settings::parse(&text, &context()).unwrap_or_else(|errors| panic!("{}: {errors}", row.key));
     }
 }
 
 #[test]
-fn a_json_log_line_is_one_object_with_the_words_of_the_message() {
+fn a_json_log_line_is_one_object_with_the_keys_of_the_message() {
     let record = log::Record::builder().level(log::Level::Warn).build();
     let message =
         "attempt id=7-1 service=app backend_server=app-1 fault=Connect \"quoted\"\nsecond";
     let line = cartvane::logging::json_line("2026-12-02T00:00:00Z", "entry-1", &record, message);
-    assert!(!line.contains('\n'), "one line: {line}");
-    let value: serde_json::Value = serde_json::from_str(&line).expect("an object");
+    assert!(!line.contains('\n'), "more than one line: {line}");
+    let value: serde_json::Value = serde_json::from_str(&line).expect("the line is a JSON object");
     let member = |name: &str| value[name].as_str().unwrap_or_default().to_owned();
     assert_eq!(member("level"), "warn");
     assert_eq!(member("instance"), "entry-1");
@@ -234,26 +240,27 @@
 }
 
 #[test]
-fn lines_of_events_are_objects_whatever_their_values_hold() {
+fn event_lines_are_json_objects_whatever_their_values_contain() {
     let line = |message: &str| -> serde_json::Value {
         let line = cartvane::logging::event_line("t", "i", log::Level::Info, message);
-        serde_json::from_str(&line).expect("a line is a JSON object")
+        serde_json::from_str(&line).expect("the line is a JSON object")
     };
-    let told = line(
+    let refused = line(
         "event=refused status=404 reason=\"no route \\\"x y\\\" here\" target=\"/a b=c\" rest",
     );
-    assert_eq!(told["status"], 404);
-    assert_eq!(told["reason"], "no route \"x y\" here");
-    assert_eq!(told["target"], "/a b=c");
-    assert_eq!(told["message"], "rest");
+    assert_eq!(refused["status"], 404);
+    assert_eq!(refused["reason"], "no route \"x y\" here");
+    assert_eq!(refused["target"], "/a b=c");
+    assert_eq!(refused["message"], "rest");
     assert_eq!(line("event=x request=12e5 empty= odd=\"unended")["request"], "12e5");
 }
 
-/// Whatever is in a file, it is refused with a line that names the place, and never by a crash.
+/// Guards against files that crash the check, such as deeply nested or non-UTF-8 ones: each is rejected with the
+/// position of its error.
 #[test]
-fn any_bad_file_is_refused_with_its_place() {
+fn an_invalid_file_is_rejected_with_the_position_of_the_error() {
     let hanbit = example("hanbit.toml");
-    let team = hanbit.find("[[team]]").expect("a team");
+    let team = hanbit.find("[[team]]").expect("the example has a team");
     let twice = "[[team]]\nid = \"drivers\"\nkeys = []\nweight = 1\n";
     let cases: [(&str, Vec<u8>, &str); 8] = [
         ("random bytes", vec![0x61, 0x0a, 0x62, 0xff, 0xfe, 0x00], ":2:2: not UTF-8"),
@@ -264,16 +271,16 @@
             hanbit.replacen("weight = 8", "weight = 99999999999999999999", 1).into_bytes(),
             "weight",
         ),
-        ("a mark before a table", [b"\xef\xbb\xbf[teams.a]\n".to_vec()].concat(), ":1:"),
+        ("a byte order mark before a table", [b"\xef\xbb\xbf[teams.a]\n".to_vec()].concat(), ":1:"),
         (
-            "a team twice",
+            "a team that is defined twice",
             [&hanbit[..team], twice, &hanbit[team..]].concat().into_bytes(),
             "drivers",
         ),
-        ("nothing", Vec::new(), ":1:1: key_salt"),
-        ("no end of a text", b"key_salt = \"abc".to_vec(), ":1:"),
+        ("an empty file", Vec::new(), ":1:1: key_salt"),
+        ("an unterminated string", b"key_salt = \"abc".to_vec(), ":1:"),
     ];
-    for (what, bytes, told) in cases {
+    for (case, bytes, expected) in cases {
         let path = std::env::temp_dir().join(format!("cartvane-bad-{}.toml", std::process::id()));
         fs::write(&path, bytes).expect("the file is written");
         let output = std::process::Command::new(crate::support::BINARY)
@@ -281,9 +288,9 @@
             .arg(&path)
             .output()
             .expect("the command runs");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(1), "{what}: {said}");
-        assert!(said.contains(told), "{what}: {said:?} does not tell of {told:?}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(1), "{case}: {stderr}");
+        assert!(stderr.contains(expected), "{case}: {stderr:?} does not contain {expected:?}");
         fs::remove_file(&path).expect("the file is removed");
     }
 }
