--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -50,7 +50,8 @@
     std::process::exit(0)
 }
 
-/// Reads the settings again and logs whether they changed; invalid settings have no effect.
+/// Reads the settings again and logs whether they are valid and have changed. The instance itself keeps the settings
+/// that it was started with.
 fn reload(cx: &Context, instance: &GatewayHandle) {
     let current = &instance.gateway().settings;
     match settings::read(cx) {
