--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -36,7 +36,7 @@
         InFlightCount, InstanceInfo, Judgement, ListVersion, RosterRole, RunId, ServerListUpdate,
         ServiceLoad, StartupWait, StoreEra, WatchRole, fallback_reader,
     },
-    utils::{recent::Recent, sync::lock},
+    utils::{cached::Cached, sync::lock},
 };
 
 /// Path of the exchange.
@@ -88,7 +88,7 @@
     started_at: Instant,
     /// How long this instance waits for seeds at its start.
     pub(super) startup_wait: StartupWait,
-    pub(super) fleet_sums: Recent<FleetSums>,
+    pub(super) fleet_sums: Cached<FleetSums>,
     last_round: Mutex<Option<Instant>>,
     /// Chooses an instance that reads the store while it rejects this one.
     fallback_reader: Mutex<FallbackReader>,
@@ -116,7 +116,7 @@
             joined: AtomicBool::new(false),
             started_at: clock.now(),
             startup_wait: StartupWait::new(clock.now(), is_seed, fastrand::f64()),
-            fleet_sums: Recent::new(SUMS_MAX_AGE),
+            fleet_sums: Cached::new(SUMS_MAX_AGE),
             last_round: Mutex::default(),
             fallback_reader: Mutex::default(),
         }
--- a/src/utils/recent.rs
+++ b/src/utils/cached.rs
@@ -9,15 +9,15 @@
 
 /// A value and when it was worked out.
 #[derive(Debug)]
-pub struct Recent<T> {
+pub struct Cached<T> {
     longest: Duration,
     kept: Mutex<Option<(Instant, Arc<T>)>>,
 }
 
-impl<T> Recent<T> {
+impl<T> Cached<T> {
     /// Returns a value that is told again for up to `longest`.
-    pub fn new(longest: Duration) -> Recent<T> {
-        Recent { longest, kept: Mutex::default() }
+    pub fn new(longest: Duration) -> Cached<T> {
+        Cached { longest, kept: Mutex::default() }
     }
 
     /// Returns the value, worked out by `find` where none is recent enough. Those that ask meanwhile wait for it.
--- a/src/utils/mod.rs
+++ b/src/utils/mod.rs
@@ -1,8 +1,8 @@
 //! Small helpers shared by several features.
 
+pub mod cached;
 pub mod deflate;
 pub mod nearest;
-pub mod recent;
 pub mod secret;
 pub mod signal;
 pub mod sync;
--- a/tests/suite/scaling.rs
+++ b/tests/suite/scaling.rs
@@ -21,7 +21,7 @@
         roster::RosterChange,
     },
     units::Rate,
-    utils::recent::Recent,
+    utils::cached::Cached,
 };
 use standins::store::{StoreMode, StoreStandIn};
 
@@ -175,7 +175,7 @@
 // its work grow with the square of their number.
 #[test]
 fn sums_are_computed_once_for_all_requests_within_an_interval() {
-    let sums = Recent::new(Duration::from_millis(50));
+    let sums = Cached::new(Duration::from_millis(50));
     let now = Instant::now();
     let mut computed = 0;
     for request in 0..LARGE as u64 {
