--- a/src/routing/intent_change.rs
+++ b/src/routing/intent_change.rs
@@ -116,7 +116,7 @@
 impl PackedChange {
     /// Encodes and compresses a change.
     pub fn pack(change: &IntentChange) -> PackedChange {
-        let bytes = deflate::pack(&encode(change));
+        let bytes = deflate::compress(&encode(change));
         PackedChange { from: change.from, to: change.to, bytes }
     }
 
@@ -126,7 +126,7 @@
     ///
     /// The bytes are no change, or one of a build with another encoding.
     pub fn unpack(&self) -> Result<IntentChange, IntentChangeError> {
-        Ok(decode(&deflate::unpack(&self.bytes)?)?)
+        Ok(decode(&deflate::decompress(&self.bytes)?)?)
     }
 
     /// Returns the size in bytes.
--- a/src/routing/server_list.rs
+++ b/src/routing/server_list.rs
@@ -72,7 +72,7 @@
 impl PackedList {
     /// Encodes and compresses a list.
     pub fn pack(list: &[BackendServer]) -> PackedList {
-        PackedList { bytes: deflate::pack(&encode(&list)) }
+        PackedList { bytes: deflate::compress(&encode(&list)) }
     }
 
     /// Decompresses and decodes the list.
@@ -81,7 +81,7 @@
     ///
     /// The bytes are no list, or one of a build with another encoding.
     pub fn unpack(&self) -> Result<Vec<BackendServer>, ServerListError> {
-        Ok(decode(&deflate::unpack(&self.bytes)?)?)
+        Ok(decode(&deflate::decompress(&self.bytes)?)?)
     }
 }
 
--- a/src/utils/deflate.rs
+++ b/src/utils/deflate.rs
@@ -5,17 +5,17 @@
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 
 /// Most bytes that are unpacked: ten times an intent of the planned size.
-const UNPACKED_MAX: u64 = 64 << 20;
+const DECOMPRESSED_MAX: u64 = 64 << 20;
 
 /// Packs bytes: 1,400 routes take 19 KB, and 371 KB as the store sends them.
 ///
 /// # Panics
 ///
 /// Never: a vector takes all bytes.
-pub fn pack(bytes: &[u8]) -> Vec<u8> {
-    let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
-    let packed = packer.write_all(bytes).and_then(|()| packer.finish());
-    packed.expect("a vector takes all bytes")
+pub fn compress(bytes: &[u8]) -> Vec<u8> {
+    let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
+    let compressed = encoder.write_all(bytes).and_then(|()| encoder.finish());
+    compressed.expect("a vector takes all bytes")
 }
 
 /// Unpacks bytes.
@@ -23,8 +23,8 @@
 /// # Errors
 ///
 /// They are not packed ones.
-pub fn unpack(packed: &[u8]) -> io::Result<Vec<u8>> {
+pub fn decompress(compressed: &[u8]) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    DeflateDecoder::new(packed).take(UNPACKED_MAX).read_to_end(&mut bytes)?;
+    DeflateDecoder::new(compressed).take(DECOMPRESSED_MAX).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
