--- a/src/report/chart.rs
+++ b/src/report/chart.rs
@@ -21,7 +21,7 @@
 
 /// Why there is no picture.
 #[derive(Debug, thiserror::Error)]
-pub enum ChartFault {
+pub enum ChartError {
     /// The lines tell of no request.
     #[error("no line tells of a request; give the logs of instances that had some")]
     Empty,
@@ -35,13 +35,13 @@
 /// # Errors
 ///
 /// There are no requests, or the drawing fails.
-pub fn svg(summary: &Summary) -> Result<String, ChartFault> {
+pub fn svg(summary: &Summary) -> Result<String, ChartError> {
     let seconds: Vec<(&str, [u64; Ending::ALL.len()])> =
         summary.seconds().map(|(second, counts)| (second, *counts)).collect();
     let most = seconds.iter().flat_map(|(_, counts)| counts).copied().max();
-    let most = most.ok_or(ChartFault::Empty)?;
+    let most = most.ok_or(ChartError::Empty)?;
     let mut text = String::new();
-    draw(summary, &seconds, most, &mut text).map_err(|e| ChartFault::Drawing(e.to_string()))?;
+    draw(summary, &seconds, most, &mut text).map_err(|e| ChartError::Drawing(e.to_string()))?;
     Ok(text)
 }
 
