--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -8,7 +8,7 @@
 use super::{Command, CommandFault, CommandResult, Options, options::print_json};
 use crate::{
     context::Context,
-    report::{Story, Summary, chart},
+    report::{RequestTrace, Summary, chart},
 };
 
 pub(super) const COMMAND: Command = Command {
@@ -54,9 +54,9 @@
 }
 
 fn tell(id: &str, files: &[String], json: bool) -> CommandResult {
-    let mut story = Story::new(id);
-    each_line(files, |line| story.take(line))?;
-    let lines = story.lines();
+    let mut trace = RequestTrace::new(id);
+    each_line(files, |line| trace.take(line))?;
+    let lines = trace.lines();
     if lines.is_empty() {
         return Err(CommandFault::Refused(format!(
             "no line tells of request {id}; give the logs of all instances, and the id as the caller sent it"
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -3,10 +3,10 @@
 
 pub mod chart;
 pub mod line;
-pub mod story;
+pub mod request_trace;
 pub mod summary;
 pub mod times;
 
 pub use line::LogLine;
-pub use story::Story;
+pub use request_trace::RequestTrace;
 pub use summary::Summary;
--- a/src/report/story.rs
+++ b/src/report/request_trace.rs
@@ -4,15 +4,15 @@
 
 /// The lines of one request.
 #[derive(Debug)]
-pub struct Story {
+pub struct RequestTrace {
     id: String,
     lines: Vec<(LogLine, String)>,
 }
 
-impl Story {
+impl RequestTrace {
     /// Returns the story of a request that nothing is known of yet.
-    pub fn new(id: impl Into<String>) -> Story {
-        Story { id: id.into(), lines: Vec::new() }
+    pub fn new(id: impl Into<String>) -> RequestTrace {
+        RequestTrace { id: id.into(), lines: Vec::new() }
     }
 
     /// Takes a line as it was written, if it tells of the request.
--- a/tests/suite/report.rs
+++ b/tests/suite/report.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, process::Command};
 
-use cartvane::report::{LogLine, Story, Summary, chart, line::Ending};
+use cartvane::report::{LogLine, RequestTrace, Summary, chart, line::Ending};
 
 /// Lines of two instances as a collector may hand them on: with its own time and name before some, one cut,
 /// one that is none, and not in order.
@@ -63,9 +63,9 @@
 
 #[test]
 fn a_requests_story_is_in_order_of_time() {
-    let mut story = Story::new("r2");
-    LINES.lines().for_each(|line| story.take(line));
-    let lines = story.lines();
+    let mut trace = RequestTrace::new("r2");
+    LINES.lines().for_each(|line| trace.take(line));
+    let lines = trace.lines();
     assert_eq!(lines.len(), 2);
     assert!(lines[0].contains("attempt_failed") && lines[1].contains("\"status\":200"));
     assert!(lines.iter().all(|line| line.starts_with('{')), "without what stood before");
