--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -37,7 +37,7 @@
         return tell(&id, &files, json);
     }
     let mut summary = Summary::default();
-    each_line(&files, |line| summary.take(line))?;
+    each_line(&files, |line| summary.add_line(line))?;
     if let Some(path) = svg {
         let picture = chart::svg(&summary).map_err(|e| CommandFault::Refused(e.to_string()))?;
         fs::write(&path, picture).map_err(|e| {
@@ -55,7 +55,7 @@
 
 fn tell(id: &str, files: &[String], json: bool) -> CommandResult {
     let mut trace = RequestTrace::new(id);
-    each_line(files, |line| trace.take(line))?;
+    each_line(files, |line| trace.add_line(line))?;
     let lines = trace.lines();
     if lines.is_empty() {
         return Err(CommandFault::Refused(format!(
--- a/src/report/request_trace.rs
+++ b/src/report/request_trace.rs
@@ -16,7 +16,7 @@
     }
 
     /// Takes a line as it was written, if it tells of the request.
-    pub fn take(&mut self, text: &str) {
+    pub fn add_line(&mut self, text: &str) {
         // Reading a line costs far more than looking for the id in it.
         if !text.contains(&self.id) {
             return;
--- a/src/report/summary.rs
+++ b/src/report/summary.rs
@@ -70,7 +70,7 @@
 
 impl Summary {
     /// Takes a line as it was written.
-    pub fn take(&mut self, text: &str) {
+    pub fn add_line(&mut self, text: &str) {
         if text.trim().is_empty() {
             return;
         }
--- a/tests/suite/report.rs
+++ b/tests/suite/report.rs
@@ -27,7 +27,7 @@
 
 fn summary() -> Summary {
     let mut summary = Summary::default();
-    LINES.lines().for_each(|line| summary.take(line));
+    LINES.lines().for_each(|line| summary.add_line(line));
     summary
 }
 
@@ -64,7 +64,7 @@
 #[test]
 fn a_requests_story_is_in_order_of_time() {
     let mut trace = RequestTrace::new("r2");
-    LINES.lines().for_each(|line| trace.take(line));
+    LINES.lines().for_each(|line| trace.add_line(line));
     let lines = trace.lines();
     assert_eq!(lines.len(), 2);
     assert!(lines[0].contains("attempt_failed") && lines[1].contains("\"status\":200"));
@@ -85,7 +85,7 @@
 fn groups_are_bounded_whatever_the_lines_say() {
     let mut summary = Summary::default();
     for number in 0..12_000 {
-        summary.take(&format!(
+        summary.add_line(&format!(
             r#"{{"at":"t{number}","event":"request","route":"r{number}","status":200,"took_ms":1}}"#
         ));
     }
