--- a/src/report/chart.rs
+++ b/src/report/chart.rs
@@ -8,7 +8,7 @@
 const SIZE: (u32, u32) = (1200, 480);
 
 /// Events of belief that are marked: those that tell of trouble.
-const MARKED: [&str; 6] =
+const MARKED_EVENTS: [&str; 6] =
     ["started", "store_lost", "server_silent", "server_gone", "peer_silent", "request_found"];
 
 const COLOURS: [RGBColor; Ending::ALL.len()] = [
@@ -75,12 +75,12 @@
             .label(ending.name())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
     }
-    let marked = summary.beliefs().filter(|(_, event, _)| MARKED.contains(event));
+    let marked = summary.state_changes().filter(|(_, event, _)| MARKED_EVENTS.contains(event));
     for (second, event, _) in marked {
         let Ok(at) = seconds.binary_search_by(|(known, _)| (*known).cmp(second)) else { continue };
         let line = PathElement::new([(at, 0), (at, most + 1)], BLACK.mix(0.25));
         chart.draw_series([line])?;
-        let place = MARKED.iter().position(|marked| *marked == event).unwrap_or(0) as u64;
+        let place = MARKED_EVENTS.iter().position(|marked| *marked == event).unwrap_or(0) as u64;
         let height = most.saturating_sub(place * most / 12);
         chart.draw_series([Text::new(event.to_owned(), (at, height), ("sans-serif", 11))])?;
     }
--- a/src/report/line.rs
+++ b/src/report/line.rs
@@ -104,8 +104,8 @@
     }
 
     /// Returns whether the line tells of a change in what an instance believes, or of its process.
-    pub fn is_belief(&self) -> bool {
-        const BELIEFS: [&str; 21] = [
+    pub fn is_state_change(&self) -> bool {
+        const STATE_CHANGES: [&str; 21] = [
             "started",
             "draining",
             "stopped",
@@ -128,7 +128,7 @@
             "store_back",
             "peer_silent",
         ];
-        BELIEFS.contains(&self.event.as_str())
+        STATE_CHANGES.contains(&self.event.as_str())
     }
 
     /// Returns the second that the line belongs to, as text that sorts by time.
--- a/src/report/summary.rs
+++ b/src/report/summary.rs
@@ -45,7 +45,7 @@
     attempts: HashMap<AttemptGroup, u64>,
     repeats_denied: u64,
     /// Lines of belief by second and event.
-    beliefs: BTreeMap<(String, String), u64>,
+    state_changes: BTreeMap<(String, String), u64>,
     /// Requests by second and ending.
     seconds: BTreeMap<String, [u64; Ending::ALL.len()]>,
 }
@@ -89,10 +89,10 @@
             "attempt_failed" | "server_error" => self.count_attempt(line),
             "repeat_denied" => self.repeats_denied += 1,
             "lines_left_out" => self.left_out += line.count.unwrap_or(0),
-            _ if line.is_belief() => {
+            _ if line.is_state_change() => {
                 let key = (line.second().to_owned(), line.event.clone());
-                if self.beliefs.len() < GROUPS_MAX || self.beliefs.contains_key(&key) {
-                    *self.beliefs.entry(key).or_default() += 1;
+                if self.state_changes.len() < GROUPS_MAX || self.state_changes.contains_key(&key) {
+                    *self.state_changes.entry(key).or_default() += 1;
                 }
             }
             _ => {}
@@ -125,8 +125,8 @@
     }
 
     /// Returns the seconds in which something changed in belief, with what did.
-    pub fn beliefs(&self) -> impl Iterator<Item = (&str, &str, u64)> {
-        self.beliefs.iter().map(|((at, event), count)| (at.as_str(), event.as_str(), *count))
+    pub fn state_changes(&self) -> impl Iterator<Item = (&str, &str, u64)> {
+        self.state_changes.iter().map(|((at, event), count)| (at.as_str(), event.as_str(), *count))
     }
 
     fn request_rows(&self) -> Vec<RequestRow<'_>> {
@@ -149,8 +149,8 @@
 
     /// Returns everything as JSON.
     pub fn json(&self) -> serde_json::Value {
-        let beliefs: Vec<_> = self
-            .beliefs()
+        let state_changes: Vec<_> = self
+            .state_changes()
             .map(|(second, event, lines)| {
                 serde_json::json!({"second": second, "event": event, "lines": lines})
             })
@@ -162,7 +162,7 @@
             "requests": self.request_rows(),
             "attempts": self.attempt_rows(),
             "repeats_denied": self.repeats_denied,
-            "beliefs": beliefs,
+            "beliefs": state_changes,
         })
     }
 
@@ -194,7 +194,7 @@
         let _ = writeln!(text, "{:>8}   repeats denied by the retry budget", self.repeats_denied);
         text.push_str("\nwhat changed in belief, by second\n");
         let mut last = "";
-        for (second, event, lines) in self.beliefs() {
+        for (second, event, lines) in self.state_changes() {
             let shown = if second == last { "" } else { second };
             let _ = writeln!(text, "{shown:<19}  {lines:>5} {event}");
             last = second;
