--- a/src/clock.rs
+++ b/src/clock.rs
@@ -20,19 +20,19 @@
 impl Clock {
     /// Returns the clock of the machine, which counts the time for which the machine was suspended.
     pub fn system() -> Clock {
-        Clock::of_boot(boot_time, SystemTime::now)
+        Clock::from_boot_time(boot_time, SystemTime::now)
     }
 
     /// Returns a clock that goes by the time since the machine's start.
     ///
     /// An [`Instant`] of the system stands still while the machine is suspended: after four seconds away, all that an
     /// instance believes and all that it was lent would be four seconds younger than it is.
-    pub fn of_boot(
+    pub fn from_boot_time(
         since_boot: impl Fn() -> Duration + Send + Sync + 'static,
         wall: impl Fn() -> SystemTime + Send + Sync + 'static,
     ) -> Clock {
-        let (start, began) = (Instant::now(), since_boot());
-        Clock::new(move || start + since_boot().saturating_sub(began), wall)
+        let (start, boot_offset) = (Instant::now(), since_boot());
+        Clock::new(move || start + since_boot().saturating_sub(boot_offset), wall)
     }
 
     /// Returns a clock made of two closures.
--- a/tests/suite/suspended.rs
+++ b/tests/suite/suspended.rs
@@ -74,7 +74,7 @@
     let since_boot: Arc<AtomicU64> = Arc::new(AtomicU64::new(500));
     let read = Arc::clone(&since_boot);
     let now = move || Duration::from_millis(read.load(Ordering::SeqCst));
-    let clock = Clock::of_boot(now, SystemTime::now);
+    let clock = Clock::from_boot_time(now, SystemTime::now);
     let before = clock.now();
     since_boot.fetch_add(4000, Ordering::SeqCst);
     assert_eq!(clock.now() - before, Duration::from_secs(4));
