--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -48,7 +48,7 @@
     }
     let settings = Settings::parse(&text, cx)
         .map_err(|faults| CommandFault::Refused(format!("{path} is refused:\n{faults}")))?;
-    let started = logging::start(&settings.logging, settings.id.as_str(), cx.clock.clone());
+    let started = logging::init(&settings.logging, settings.id.as_str(), cx.clock.clone());
     started.map_err(|e| CommandFault::Refused(e.to_string()))?;
     serve(settings, cx)
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// Logging has been started before.
-pub fn start(logging: &Logging, instance: &str, clock: Clock) -> Result<(), log::SetLoggerError> {
+pub fn init(logging: &Logging, instance: &str, clock: Clock) -> Result<(), log::SetLoggerError> {
     let format = logging.format;
     let instance = instance.to_owned();
     fern::Dispatch::new()
