--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -113,7 +113,7 @@
     };
     // Only the bytes are limited here; the listener limits connections.
     let Some(mut usage) = gateway.usage.enter(u32::MAX) else { return Disposition::Close };
-    gateway.metrics.request_began();
+    gateway.metrics.request_started();
     let body_bytes = limits.map_or(usize::MAX, |limits| limits.body_bytes);
     let (served, disposition) =
         match read_body(gateway, conn, &head, received_at, body_bytes, &mut usage) {
@@ -140,7 +140,7 @@
     let completion = served.completion;
     let status = completion.map_or(0, |completion| completion.status);
     let outcome = completion.map_or(Outcome::Unknown, |completion| completion.outcome);
-    gateway.metrics.request_ended(&served.service, status, outcome, took);
+    gateway.metrics.request_finished(&served.service, status, outcome, took);
     disposition
 }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -147,7 +147,7 @@
                 forwarding.request.metadata.id,
                 open.picked.server.id
             );
-            forwarding.gateway.metrics.resumed(&forwarding.request.service);
+            forwarding.gateway.metrics.stream_resumed(&forwarding.request.service);
             return Some(Source::new(open));
         }
         let picked = open.picked.clone();
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -27,7 +27,7 @@
         return None;
     }
     log::info!("resumed id={id} backend_server={} offset={offset}", server.id);
-    shared.metrics.resumed(&server.service);
+    shared.metrics.stream_resumed(&server.service);
     Some(answer)
 }
 
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -112,7 +112,7 @@
     let keep_alive = head.keep_alive() && !shared.drain.is_draining();
     let head_only = head.method == Method::HEAD;
     let service_name = split_target(&head.target).0.to_owned();
-    shared.metrics.request_began();
+    shared.metrics.request_started();
     let done = take_in(shared, conn, head, &id, began);
     let team = done
         .as_ref()
@@ -138,7 +138,7 @@
     match ended {
         Ended::Answered { status, outcome, reusable, server } => {
             let took = shared.clock.now() - began;
-            shared.metrics.request_ended(&service_name, status, outcome, took);
+            shared.metrics.request_finished(&service_name, status, outcome, took);
             let server = server.map_or_else(|| "-".to_owned(), |id| id.to_string());
             log::info!(
                 "request id={id} service={service_name} team={team} backend_server={server} status={status} outcome={outcome} ms={}",
@@ -170,7 +170,7 @@
     if service != "-" {
         let known = shared.snapshot.load().as_ref().is_some_and(|s| s.service(service).is_some());
         let label = if known { service } else { "-" };
-        shared.metrics.request_ended(label, refusal.status, refusal.outcome, took);
+        shared.metrics.request_finished(label, refusal.status, refusal.outcome, took);
     }
     log::info!(
         "refused id={id} service={service} status={} outcome={} title={:?} ms={}",
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -28,7 +28,7 @@
     attempts: Counter<u64>,
     retries: Counter<u64>,
     permits: Counter<u64>,
-    dropped_answers: Counter<u64>,
+    dropped_responses: Counter<u64>,
     resumed: Counter<u64>,
     control_bytes: Counter<u64>,
     control_messages: Counter<u64>,
@@ -59,7 +59,7 @@
     registry: Registry,
     // Keeps the reader alive.
     _provider: SdkMeterProvider,
-    i: Arc<Instruments>,
+    instruments: Arc<Instruments>,
 }
 
 fn kv(key: &'static str, value: impl ToString) -> KeyValue {
@@ -96,7 +96,7 @@
         let gauge = |name: &'static str, what: &'static str| {
             meter.u64_gauge(name).with_description(what).build()
         };
-        let i = Instruments {
+        let instruments = Instruments {
             requests: counter(
                 "cartvane_requests",
                 "Requests ended, by service, status and outcome",
@@ -111,7 +111,7 @@
             attempts: counter("cartvane_attempts", "Attempts at backend servers, by result"),
             retries: counter("cartvane_retries", "Attempts after the first, by service"),
             permits: counter("cartvane_permit_replies", "Replies of homes to this entry, by kind"),
-            dropped_answers: counter(
+            dropped_responses: counter(
                 "cartvane_answers_dropped",
                 "Answers that belong to another attempt",
             ),
@@ -192,7 +192,7 @@
                 "Answers in which a backend server said something of itself, by service and notice",
             ),
         };
-        Ok(Metrics { registry, _provider: provider, i: Arc::new(i) })
+        Ok(Metrics { registry, _provider: provider, instruments: Arc::new(instruments) })
     }
 
     /// Returns all metrics in the Prometheus text format, those with few rows first: of a text that its
@@ -204,21 +204,21 @@
     }
 
     /// Notes that a request began.
-    pub fn request_began(&self) {
-        self.i.in_flight.add(1, &[]);
+    pub fn request_started(&self) {
+        self.instruments.in_flight.add(1, &[]);
     }
 
     /// Notes that a request ended.
-    pub fn request_ended(&self, service: &str, status: u16, outcome: Outcome, took: Duration) {
-        self.i.in_flight.add(-1, &[]);
+    pub fn request_finished(&self, service: &str, status: u16, outcome: Outcome, took: Duration) {
+        self.instruments.in_flight.add(-1, &[]);
         let labels = [kv("service", service), kv("status", status), kv("outcome", outcome)];
-        self.i.requests.add(1, &labels);
-        self.i.total.record(took.as_secs_f64(), &[kv("service", service)]);
+        self.instruments.requests.add(1, &labels);
+        self.instruments.total.record(took.as_secs_f64(), &[kv("service", service)]);
     }
 
     /// Notes the time to an answer's first byte.
     pub fn first_byte(&self, service: &impl fmt::Display, took: Duration) {
-        self.i.first_byte.record(took.as_secs_f64(), &[kv("service", service)]);
+        self.instruments.first_byte.record(took.as_secs_f64(), &[kv("service", service)]);
     }
 
     /// Notes an attempt's result.
@@ -236,31 +236,31 @@
             AttemptFault::StalledBody => "stalled-body",
             AttemptFault::CallerGone => "caller-gone",
         });
-        self.i.attempts.add(1, &[kv("service", service), kv("result", result)]);
+        self.instruments.attempts.add(1, &[kv("service", service), kv("result", result)]);
         if fault == Some(AttemptFault::Foreign) {
-            self.i.dropped_answers.add(1, &[kv("service", service)]);
+            self.instruments.dropped_responses.add(1, &[kv("service", service)]);
         }
     }
 
     /// Notes a retry.
     pub fn retry(&self, service: &impl fmt::Display) {
-        self.i.retries.add(1, &[kv("service", service)]);
+        self.instruments.retries.add(1, &[kv("service", service)]);
     }
 
     /// Notes a resumed stream.
-    pub fn resumed(&self, service: &impl fmt::Display) {
-        self.i.resumed.add(1, &[kv("service", service)]);
+    pub fn stream_resumed(&self, service: &impl fmt::Display) {
+        self.instruments.resumed.add(1, &[kv("service", service)]);
     }
 
     /// Notes a home's reply and the time it took.
     pub fn permit_reply(&self, kind: &'static str, took: Duration) {
-        self.i.permits.add(1, &[kv("reply", kind)]);
-        self.i.decision.record(took.as_secs_f64(), &[]);
+        self.instruments.permits.add(1, &[kv("reply", kind)]);
+        self.instruments.decision.record(took.as_secs_f64(), &[]);
     }
 
     /// Returns what counts control bytes into these metrics.
     pub fn traffic(&self) -> TrafficCounter {
-        let counted = Arc::clone(&self.i);
+        let counted = Arc::clone(&self.instruments);
         TrafficCounter::new(move |purpose, direction, bytes| {
             let labels = [kv("purpose", purpose.name()), kv("direction", direction.name())];
             counted.control_bytes.add(bytes as u64, &labels);
@@ -272,98 +272,98 @@
 
     /// Shows an engine's load.
     pub fn engine_load(&self, server: &BackendId, load: u32) {
-        self.i.engine_load.record(u64::from(load), &[kv("backend_server", server)]);
+        self.instruments.engine_load.record(u64::from(load), &[kv("backend_server", server)]);
     }
 
     /// Shows the bound and queue of a service's shard.
     pub fn shard(&self, service: &ServiceId, bound: u32, queued: usize) {
         let labels = [kv("service", service)];
-        self.i.load_bound.record(u64::from(bound), &labels);
-        self.i.queued.record(queued as u64, &labels);
+        self.instruments.load_bound.record(u64::from(bound), &labels);
+        self.instruments.queued.record(queued as u64, &labels);
     }
 
     /// Shows the revision in force.
     pub fn revision(&self, revision: u64) {
-        self.i.revision.record(revision, &[]);
+        self.instruments.revision.record(revision, &[]);
     }
 
     /// Shows the newest revision that is known to exist.
     pub fn revision_newest(&self, revision: u64) {
-        self.i.revision_newest.record(revision, &[]);
+        self.instruments.revision_newest.record(revision, &[]);
     }
 
     /// Shows the number of shards whose home this is.
     pub fn homes(&self, count: usize) {
-        self.i.homes.record(count as u64, &[]);
+        self.instruments.homes.record(count as u64, &[]);
     }
 
     /// Notes a claim's verdict.
     pub fn claim(&self, verdict: &'static str) {
-        self.i.claims.add(1, &[kv("verdict", verdict)]);
+        self.instruments.claims.add(1, &[kv("verdict", verdict)]);
     }
 
     /// Notes a call to the platform's store.
     pub fn store_call(&self, kind: &'static str, result: &'static str) {
-        self.i.store_calls.add(1, &[kv("kind", kind), kv("result", result)]);
+        self.instruments.store_calls.add(1, &[kv("kind", kind), kv("result", result)]);
     }
 
     /// Shows how old what is believed is.
     pub fn knowledge_age(&self, subject: &'static str, age: Duration) {
-        self.i.knowledge_age.record(age.as_secs_f64(), &[kv("subject", subject)]);
+        self.instruments.knowledge_age.record(age.as_secs_f64(), &[kv("subject", subject)]);
     }
 
     /// Shows the repeats spent in the retry window.
     pub fn budget_spent(&self, service: &impl fmt::Display, repeats: usize) {
-        self.i.budget_spent.record(repeats as u64, &[kv("service", service)]);
+        self.instruments.budget_spent.record(repeats as u64, &[kv("service", service)]);
     }
 
     /// Shows how many requests are held back.
     pub fn held_requests(&self, count: usize) {
-        self.i.held_requests.record(count as u64, &[]);
+        self.instruments.held_requests.record(count as u64, &[]);
     }
 
     /// Notes whether a cold server took a request.
     pub fn cold_permit(&self, service: &impl fmt::Display, result: &'static str) {
-        self.i.cold_permits.add(1, &[kv("service", service), kv("result", result)]);
+        self.instruments.cold_permits.add(1, &[kv("service", service), kv("result", result)]);
     }
 
     /// Shows how many backend servers are cold.
     pub fn cold_servers(&self, count: usize) {
-        self.i.cold_servers.record(count as u64, &[]);
+        self.instruments.cold_servers.record(count as u64, &[]);
     }
 
     /// Shows how many zones are emptied.
     pub fn evacuated_zones(&self, count: usize) {
-        self.i.evacuated_zones.record(count as u64, &[]);
+        self.instruments.evacuated_zones.record(count as u64, &[]);
     }
 
     /// Shows the share of a service's requests that goes to a version which is rolled out.
     pub fn rollout_share(&self, service: &ServiceName, share: f64) {
-        self.i.rollout_share.record(share, &[kv("service", service)]);
+        self.instruments.rollout_share.record(share, &[kv("service", service)]);
     }
 
     /// Shows the store's era.
     pub fn store_era(&self, era: u64) {
-        self.i.store_era.record(era, &[]);
+        self.instruments.store_era.record(era, &[]);
     }
 
     /// Notes a request that was refused without being sent.
     pub fn refusal(&self, service: &impl fmt::Display, reason: &'static str) {
-        self.i.refusals.add(1, &[kv("service", service), kv("reason", reason)]);
+        self.instruments.refusals.add(1, &[kv("service", service), kv("reason", reason)]);
     }
 
     /// Notes an answer in which a backend server said that it leaves, or wants no requests for a while.
     pub fn server_notice(&self, service: &impl fmt::Display, notice: &'static str) {
-        self.i.server_notices.add(1, &[kv("service", service), kv("notice", notice)]);
+        self.instruments.server_notices.add(1, &[kv("service", service), kv("notice", notice)]);
     }
 
     /// Notes log lines that were left out.
     pub fn log_lines_left_out(&self, count: u64) {
-        self.i.log_lines_left_out.add(count, &[]);
+        self.instruments.log_lines_left_out.add(count, &[]);
     }
 
     /// Shows the requests in flight at a backend server.
     pub fn in_flight_at(&self, server: &impl fmt::Display, count: u32) {
-        self.i.engine_load.record(u64::from(count), &[kv("backend_server", server)]);
+        self.instruments.engine_load.record(u64::from(count), &[kv("backend_server", server)]);
     }
 }
