--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -95,9 +95,9 @@
         .with("x-deadline-ms", 4000);
     let answer = call.send_on(conn);
     check(kind, id, &target, body.as_bytes(), &answer, checks);
-    checks.count(answer.status == 200 && answer.whole);
+    checks.count_request(answer.status == 200 && answer.whole);
     if matches!(kind, "once" | "stream") {
-        checks.told_once(id, answer.status);
+        checks.note_once(id, answer.status);
     }
     answer.whole && answer.header("connection") != "close"
 }
@@ -105,21 +105,21 @@
 fn check(kind: &str, id: &str, target: &str, body: &[u8], answer: &Answer, checks: &Checks) {
     if answer.status != 200 {
         if matches!(answer.status, 400 | 401 | 404 | 413 | 431) {
-            let seen = format!("status {}", answer.status);
-            checks.broken("what is allowed is not denied", id, seen);
+            let observed = format!("status {}", answer.status);
+            checks.report_violation("what is allowed is not denied", id, observed);
         }
         return;
     }
     if answer.header("x-request-id") != id || answer.header("x-response-seal").is_empty() {
-        let seen = format!("id {:?}", answer.header("x-request-id"));
-        checks.broken("an answer is the request's own and signed", id, seen);
+        let observed = format!("id {:?}", answer.header("x-request-id"));
+        checks.report_violation("an answer is the request's own and signed", id, observed);
     }
     let whole = if kind.starts_with("stream") { events(1) } else { expected(target, body) };
     let text = answer.text();
     if answer.whole && text != whole {
-        checks.broken("an answer that looks whole is", id, format!("{text:?}"));
+        checks.report_violation("an answer that looks whole is", id, format!("{text:?}"));
     }
     if !answer.whole && !whole.starts_with(&text) {
-        checks.broken("events come in order and once", id, format!("{text:?}"));
+        checks.report_violation("events come in order and once", id, format!("{text:?}"));
     }
 }
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -49,14 +49,14 @@
     stop.store(true, Ordering::SeqCst);
     for caller in callers {
         if caller.join().is_err() {
-            checks.broken("the soak itself works", "load", "a caller panicked");
+            checks.report_violation("the soak itself works", "load", "a caller panicked");
         }
     }
     let beyond = looks.iter().filter(|loads| is_beyond(loads, &looks)).count();
     if beyond as f64 > BEYOND_MAX * looks.len() as f64 {
         let most = looks.iter().max_by_key(|loads| loads.iter().max());
-        let seen = format!("{beyond} of {} looks; the worst: {most:?}", looks.len());
-        checks.broken("no server has more than its bound", "one prompt", seen);
+        let observed = format!("{beyond} of {} looks; the worst: {most:?}", looks.len());
+        checks.report_violation("no server has more than its bound", "one prompt", observed);
     }
 }
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -39,7 +39,7 @@
         match run::run(seed, &options, &interrupted) {
             Ok(report) => {
                 println!("seed {seed}: {report}");
-                if !report.broken.is_empty() {
+                if !report.violations.is_empty() {
                     failed.push(seed);
                 }
             }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -67,9 +67,9 @@
         }
         if let Some(unwanted) = arrivals.iter().find(|arrival| is_unwanted(notice, arrival)) {
             let late = unwanted.at.saturating_duration_since(notice.at).as_millis();
-            let seen = format!("at {id}, {late} ms after {notice:?}");
+            let observed = format!("at {id}, {late} ms after {notice:?}");
             let request = unwanted.head.header("x-request-id").unwrap_or_default();
-            checks.broken("what a server says in an answer is heeded", request, seen);
+            checks.report_violation("what a server says in an answer is heeded", request, observed);
             return;
         }
     }
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -22,12 +22,12 @@
 /// A version is rolled out of which each answer is a failure; then its servers go, and the order is taken back.
 pub(crate) fn roll_out(fleet: &Fleet, checks: &Checks) {
     if let Err(fault) = roll_out_with(fleet, checks) {
-        checks.broken("the soak itself works", "roll-out", fault.to_string());
+        checks.report_violation("the soak itself works", "roll-out", fault.to_string());
     }
 }
 
 fn roll_out_with(fleet: &Fleet, checks: &Checks) -> anyhow::Result<()> {
-    let (before, _) = checks.counts();
+    let (before, _) = checks.request_counts();
     let version = format!("v{before}");
     let order = json!({"service": "app", "to": version, "duration_s": LASTS.as_secs_f64()});
     fleet.store.put("op", ORDER, &order);
@@ -40,11 +40,11 @@
         fleet.store.put("servers", &server.id, &entry);
     }
     thread::sleep(LASTS);
-    let (after, _) = checks.counts();
+    let (after, _) = checks.request_counts();
     let met: usize = new.iter().map(|server| server.arrivals().len()).sum();
     if met as f64 > EXPOSURE.0 * (after - before) as f64 + EXPOSURE.1 {
-        let seen = format!("{met} requests of {}", after - before);
-        checks.broken("few requests meet a bad version", &version, seen);
+        let observed = format!("{met} requests of {}", after - before);
+        checks.report_violation("few requests meet a bad version", &version, observed);
     }
     new.iter().for_each(|server| fleet.store.remove("servers", &server.id));
     // Once no instance uses them any more.
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     callers::Callers,
-    checks::{Broken, Checks},
+    checks::{Checks, Violation},
     fleet::{Fleet, GRACE, IN_FORCE, KEY, LEAVING, send},
     load, notices,
     options::Options,
@@ -51,7 +51,7 @@
 /// What came of a run.
 pub(crate) struct Report {
     /// Broken promises.
-    pub(crate) broken: Vec<Broken>,
+    pub(crate) violations: Vec<Violation>,
     requests: u64,
     served: u64,
     events: usize,
@@ -61,10 +61,10 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} events, {} of {} requests served", self.events, self.served, self.requests)?;
-        for broken in &self.broken {
-            write!(f, "\n  BROKEN {broken}")?;
+        for violation in &self.violations {
+            write!(f, "\n  VIOLATED {violation}")?;
         }
-        if !self.broken.is_empty() {
+        if !self.violations.is_empty() {
             write!(f, "\n  logs: {}", self.logs)?;
         }
         Ok(())
@@ -99,24 +99,24 @@
     let checks = Arc::new(Checks::new());
     wait_all_serve(&fleet, &checks, "a fleet that starts serves");
     let callers = Callers::spawn(options.instances * CALLERS, seed, &fleet, &checks);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut under_way = Vec::new();
     let count = events.len();
     for (at, event, rng) in events {
-        while began.elapsed() < at && !interrupted.load(Ordering::SeqCst) {
+        while started_at.elapsed() < at && !interrupted.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
         if interrupted.load(Ordering::SeqCst) {
             break;
         }
         if options.verbose {
-            println!("  {:6} ms {event:?}", began.elapsed().as_millis());
+            println!("  {:6} ms {event:?}", started_at.elapsed().as_millis());
         }
         under_way.push(happen(event, &fleet, &checks, rng));
     }
     for event in under_way {
         if event.join().is_err() {
-            checks.broken("the soak itself works", "event", "a thread panicked");
+            checks.report_violation("the soak itself works", "event", "a thread panicked");
         }
     }
     wait_all_serve(&fleet, &checks, "everything serves again when the faults are over");
@@ -126,9 +126,9 @@
     // Requests that were given up on end at their servers within their deadlines.
     thread::sleep(Duration::from_millis(500));
     checks.check_runs(&lock(&fleet.servers));
-    let (requests, served) = checks.counts();
+    let (requests, served) = checks.request_counts();
     let logs = dir.display().to_string();
-    Ok(Report { broken: checks.take(), requests, served, events: count, logs })
+    Ok(Report { violations: checks.take_violations(), requests, served, events: count, logs })
 }
 
 /// Lets an event happen in a thread of its own, so that events overlap.
@@ -233,11 +233,15 @@
     let mut instance = lock(&fleet.instances[number]);
     instance.signal(Signal::TERM);
     if !instance.wait(GRACE + plan::LENGTH_MAX + ROOM) {
-        checks.broken("an instance ends within the grace time", &format!("edge-{number}"), "runs");
+        checks.report_violation(
+            "an instance ends within the grace time",
+            &format!("edge-{number}"),
+            "runs",
+        );
         instance.kill();
     }
     if let Err(fault) = instance.start() {
-        checks.broken("the soak itself works", "start", fault.to_string());
+        checks.report_violation("the soak itself works", "start", fault.to_string());
     }
 }
 
@@ -245,13 +249,13 @@
     let mut instance = lock(&fleet.instances[number]);
     instance.kill();
     if let Err(fault) = instance.start() {
-        checks.broken("the soak itself works", "start", fault.to_string());
+        checks.report_violation("the soak itself works", "start", fault.to_string());
     }
 }
 
 pub(crate) fn replace(fleet: &Fleet, checks: &Checks, place: usize) {
     if let Err(fault) = fleet.replace(place) {
-        checks.broken("the soak itself works", "replace", fault.to_string());
+        checks.report_violation("the soak itself works", "replace", fault.to_string());
     }
 }
 
@@ -268,7 +272,11 @@
         for request in &after[before.len()..] {
             let number = request.rsplit_once("-i").and_then(|(_, number)| number.parse().ok());
             if number.is_some_and(|number| is_calm(fleet, number, said)) {
-                checks.broken("a leaving server gets nothing new", request, format!("at {id}"));
+                checks.report_violation(
+                    "a leaving server gets nothing new",
+                    request,
+                    format!("at {id}"),
+                );
             }
         }
     }
@@ -292,8 +300,12 @@
             continue;
         }
         if new == 404 || old == 200 {
-            let seen = format!("version {version}: new {new}, old {old}");
-            checks.broken("a change is in force in time", &format!("edge-{number}"), seen);
+            let observed = format!("version {version}: new {new}, old {old}");
+            checks.report_violation(
+                "a change is in force in time",
+                &format!("edge-{number}"),
+                observed,
+            );
         }
     }
 }
@@ -317,7 +329,7 @@
 }
 
 /// Waits until every instance serves requests of its own.
-fn wait_all_serve(fleet: &Fleet, checks: &Checks, promise: &'static str) {
+fn wait_all_serve(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
     let until = Instant::now() + RECOVERY + ROOM;
     for (number, instance) in fleet.instances.iter().enumerate() {
         let address = lock(instance).callers;
@@ -328,8 +340,8 @@
             status = call.with("x-request-id", "probe").send(address).status;
             if Instant::now() >= until {
                 let ended = lock(instance).ended();
-                let seen = format!("status {status}, ended {ended:?}");
-                checks.broken(promise, &format!("edge-{number}"), seen);
+                let observed = format!("status {status}, ended {ended:?}");
+                checks.report_violation(invariant, &format!("edge-{number}"), observed);
                 return;
             }
             thread::sleep(Duration::from_millis(50));
