--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -22,7 +22,7 @@
 };
 
 /// Longest wait for an answer: over the routes' timeout and a frozen instance's pause.
-const ANSWER_TIME: Duration = Duration::from_secs(8);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Longest pause between two requests of a caller.
 const PAUSE_MAX_MS: u64 = 30;
@@ -90,7 +90,7 @@
     let kind = kinds[rng.usize(..kinds.len())];
     let target = format!("/{kind}/{id}");
     let body = "b".repeat(rng.usize(..3000));
-    let call = Call { timeout: ANSWER_TIME, ..Call::post(&target, KEY, body.clone()) }
+    let call = Call { timeout: RESPONSE_TIMEOUT, ..Call::post(&target, KEY, body.clone()) }
         .with("x-request-id", id)
         .with("x-deadline-ms", 4000);
     let answer = call.send_on(conn);
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -24,13 +24,13 @@
 pub(crate) const KEY: &str = "key-of-crew";
 
 /// Time in which a change must be in force.
-pub(crate) const IN_FORCE: Duration = Duration::from_millis(2000);
+pub(crate) const CONFIG_APPLY_TIME: Duration = Duration::from_millis(2000);
 
 /// Time after which a leaving server must get nothing.
-pub(crate) const LEAVING: Duration = Duration::from_millis(2000);
+pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(2000);
 
 /// Time between the signal to end and the kill.
-pub(crate) const GRACE: Duration = Duration::from_secs(6);
+pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
 /// One instance, running or not.
 pub(crate) struct Instance {
@@ -321,8 +321,8 @@
         },
         "seeds": seeds, "limits": {"max_fds": 1000},
         "bounds": {
-            "drain_ms": LEAVING.as_millis(), "grace_s": GRACE.as_secs(),
-            "config_apply_ms": IN_FORCE.as_millis(), "retry_budget_ratio": 0.2,
+            "drain_ms": DRAIN_TIME.as_millis(), "grace_s": GRACE_PERIOD.as_secs(),
+            "config_apply_ms": CONFIG_APPLY_TIME.as_millis(), "retry_budget_ratio": 0.2,
             "retry_window_s": 10, "budget_slack": 60
         },
         "platform": {"address": store.to_string()}
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -21,19 +21,22 @@
 const CALLERS: usize = 10;
 
 /// Time before loads are looked at: instances have told each other their counts a few times.
-const WARM_UP: Duration = Duration::from_millis(1200);
+const WARM_UP_TIME: Duration = Duration::from_millis(1200);
 
 /// Time in which loads are looked at.
-const LENGTH: Duration = Duration::from_millis(1500);
+const SAMPLING_TIME: Duration = Duration::from_millis(1500);
 
 /// Pause between two looks.
-const PERIOD: Duration = Duration::from_millis(5);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The bound as the settings have it: a multiple of the mean, and requests beyond that.
-const BOUND: (f64, f64) = (2.0, 3.0);
+/// Load bound of a server as a multiple of the mean load, as in the settings.
+const BOUND_FACTOR: f64 = 2.0;
+
+/// Requests that a server may have beyond [`BOUND_FACTOR`] times the mean.
+const BOUND_SLACK: f64 = 3.0;
 
 /// Share of looks at which a server may be beyond the bound: requests on their way.
-const BEYOND_MAX: f64 = 0.1;
+const OVER_BOUND_SHARE_MAX: f64 = 0.1;
 
 /// Sends one prompt from everywhere and checks that no server gets more than its bound.
 pub(crate) fn check(fleet: &Arc<Fleet>, checks: &Checks) {
@@ -44,7 +47,7 @@
             thread::spawn(move || call_until(&stop, &fleet, number))
         })
         .collect();
-    thread::sleep(WARM_UP);
+    thread::sleep(WARM_UP_TIME);
     let looks = look(fleet);
     stop.store(true, Ordering::SeqCst);
     for caller in callers {
@@ -53,7 +56,7 @@
         }
     }
     let beyond = looks.iter().filter(|loads| is_beyond(loads, &looks)).count();
-    if beyond as f64 > BEYOND_MAX * looks.len() as f64 {
+    if beyond as f64 > OVER_BOUND_SHARE_MAX * looks.len() as f64 {
         let most = looks.iter().max_by_key(|loads| loads.iter().max());
         let observed = format!("{beyond} of {} looks; the worst: {most:?}", looks.len());
         checks.report_violation("no server has more than its bound", "one prompt", observed);
@@ -75,11 +78,11 @@
 
 /// Returns the loads of all servers in use, look by look.
 fn look(fleet: &Fleet) -> Vec<Vec<u32>> {
-    let until = Instant::now() + LENGTH;
+    let until = Instant::now() + SAMPLING_TIME;
     let mut looks = Vec::new();
     while Instant::now() < until {
         looks.push(fleet.loads());
-        thread::sleep(PERIOD);
+        thread::sleep(SAMPLE_INTERVAL);
     }
     looks
 }
@@ -88,5 +91,5 @@
 fn is_beyond(loads: &[u32], looks: &[Vec<u32>]) -> bool {
     let used = (0..loads.len()).filter(|&at| looks.iter().any(|loads| loads[at] > 0)).count();
     let mean = f64::from(loads.iter().sum::<u32>()) / used.max(1) as f64;
-    loads.iter().any(|&load| f64::from(load) > BOUND.0 * mean + BOUND.1)
+    loads.iter().any(|&load| f64::from(load) > BOUND_FACTOR * mean + BOUND_SLACK)
 }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -11,21 +11,21 @@
 use crate::{
     checks::Checks,
     fleet::Fleet,
-    run::{ROOM, replace},
+    run::{TOLERANCE, replace},
 };
 
 /// Time after an answer within which requests may still arrive that were on their way.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+const IN_TRANSIT_TIME: Duration = Duration::from_millis(500);
 
 /// How long it is watched that nothing more arrives at a server that leaves.
-const WATCHED: Duration = Duration::from_millis(2500);
+const WATCH_TIME: Duration = Duration::from_millis(2500);
 
 /// A server says in its answers that it leaves, while its entry says that it is ready; then another takes its place.
 pub(crate) fn say_leaving(fleet: &Fleet, checks: &Checks, place: usize) {
     let said = Instant::now();
     let server = lock(&fleet.places[place]).server;
     lock(&fleet.servers)[server].leaves();
-    thread::sleep(WATCHED + ROOM);
+    thread::sleep(WATCH_TIME + TOLERANCE);
     check(fleet, checks, place, server, said);
     if lock(&fleet.places[place]).server == server {
         replace(fleet, checks, place);
@@ -46,13 +46,13 @@
     set(Some(Fault::RefuseFor(backoff)));
     thread::sleep(time);
     set(None);
-    thread::sleep(backoff + ON_THE_WAY);
+    thread::sleep(backoff + IN_TRANSIT_TIME);
     check(fleet, checks, place, server, said);
 }
 
 /// Checks what has arrived at a server since `said` against what it has said since then.
 fn check(fleet: &Fleet, checks: &Checks, place: usize, server: usize, said: Instant) {
-    if lock(&fleet.places[place]).disturbed + ROOM > said {
+    if lock(&fleet.places[place]).disturbed + TOLERANCE > said {
         // Its answers may have been lost.
         return;
     }
@@ -78,7 +78,7 @@
 /// Returns whether something was done to an instance since a moment.
 fn is_excused(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return true };
-    instance.disturbed + ROOM > since
+    instance.disturbed + TOLERANCE > since
 }
 
 /// Returns whether a request came from the same instance at a time when the server wanted none.
@@ -87,7 +87,7 @@
     if instance(request) != instance(&notice.request) {
         return false;
     }
-    let from = notice.at + ON_THE_WAY;
+    let from = notice.at + IN_TRANSIT_TIME;
     let is_before_end = |backoff| arrival.at < notice.at + backoff;
     arrival.at > from && notice.backoff.is_none_or(is_before_end)
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -15,32 +15,32 @@
 const PAUSE_MAX_MS: [u64; 3] = [500, 900, 4000];
 
 /// Length of a fault that ends.
-const LENGTH_MS: std::ops::Range<u64> = 200..3500;
+const FAULT_MS: std::ops::Range<u64> = 200..3500;
 
 /// Routes of one step of growth.
-const GROWTH: usize = 700;
+const GROWTH_ROUTES: usize = 700;
 
 /// Tells what is drawn for growth from what else a seed draws.
-const GROWTH_SEED: u64 = 0x6772_6f77;
+const GROWTH_SEED_MASK: u64 = 0x6772_6f77;
 
 /// Tells what is drawn for returns of the store from what else a seed draws.
-const RETURN_SEED: u64 = 0x7265_7475;
+const RESTORE_SEED_MASK: u64 = 0x7265_7475;
 
 /// Tells what is drawn for servers' notices from what else a seed draws.
-const NOTICE_SEED: u64 = 0x6e6f_7469;
+const NOTICE_SEED_MASK: u64 = 0x6e6f_7469;
 
 /// Tells what is drawn for roll-outs from what else a seed draws.
-const ROLLOUT_SEED: u64 = 0x726f_6c6c;
+const ROLLOUT_SEED_MASK: u64 = 0x726f_6c6c;
 
 /// For how long a server turns requests away, and for how long it wants none.
-const REFUSING_MS: std::ops::Range<u64> = 300..2500;
+const REJECTING_MS: std::ops::Range<u64> = 300..2500;
 const BACKOFF_MS: std::ops::Range<u64> = 800..3000;
 
 /// Age of the copy that the store comes back from.
 const COPY_AGE_MS: std::ops::Range<u64> = 300..3000;
 
 /// Longest fault that ends; a process may stand still for as long.
-pub(crate) const LENGTH_MAX: Duration = Duration::from_millis(LENGTH_MS.end);
+pub(crate) const FAULT_TIME_MAX: Duration = Duration::from_millis(FAULT_MS.end);
 
 /// Something that happens to the fleet from outside.
 #[derive(Debug, Clone, PartialEq)]
@@ -116,12 +116,12 @@
 ///
 /// Drawn apart, so that the other events of a seed stay what they were before there was growth.
 pub(crate) fn draw_growth(seed: u64, length: Duration) -> Growth {
-    let mut rng = Rng::with_seed(seed ^ GROWTH_SEED);
+    let mut rng = Rng::with_seed(seed ^ GROWTH_SEED_MASK);
     let steps = if rng.bool() { rng.u32(1..=3) } else { 0 };
     let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
     let mut at: Vec<u64> = (0..steps).map(|_| rng.u64(..span)).collect();
     at.sort_unstable();
-    let grow = |at| (Duration::from_millis(at), Event::Grow(GROWTH));
+    let grow = |at| (Duration::from_millis(at), Event::Grow(GROWTH_ROUTES));
     let store_link = [0, 2_000_000, 800_000][rng.usize(..3)];
     Growth { events: at.into_iter().map(grow).collect(), store_link }
 }
@@ -130,7 +130,7 @@
 ///
 /// Drawn apart, as growth is.
 pub(crate) fn draw_returns(seed: u64, length: Duration) -> Vec<(Duration, Event)> {
-    let mut rng = Rng::with_seed(seed ^ RETURN_SEED);
+    let mut rng = Rng::with_seed(seed ^ RESTORE_SEED_MASK);
     let times = if rng.bool() { rng.u32(1..=2) } else { 0 };
     let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
     let mut drawn = || {
@@ -144,7 +144,7 @@
 ///
 /// Drawn apart, as growth is.
 pub(crate) fn draw_rollout(seed: u64, length: Duration) -> Option<(Duration, Event)> {
-    let mut rng = Rng::with_seed(seed ^ ROLLOUT_SEED);
+    let mut rng = Rng::with_seed(seed ^ ROLLOUT_SEED_MASK);
     let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
     rng.bool().then(|| (Duration::from_millis(rng.u64(..span)), Event::RollOut))
 }
@@ -153,12 +153,12 @@
 ///
 /// Drawn apart, as growth is.
 pub(crate) fn draw_notices(seed: u64, length: Duration, servers: usize) -> Vec<(Duration, Event)> {
-    let mut rng = Rng::with_seed(seed ^ NOTICE_SEED);
+    let mut rng = Rng::with_seed(seed ^ NOTICE_SEED_MASK);
     let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
     let mut drawn = || {
         let at = Duration::from_millis(rng.u64(..span));
         let place = rng.usize(..servers);
-        let refusing = Duration::from_millis(rng.u64(REFUSING_MS));
+        let refusing = Duration::from_millis(rng.u64(REJECTING_MS));
         let backoff = Duration::from_millis(rng.u64(BACKOFF_MS));
         let event = match rng.u32(..3) {
             0 => Event::SayLeaving(place),
@@ -172,7 +172,7 @@
 fn event(rng: &mut Rng, instances: usize, servers: usize) -> Event {
     let instance = rng.usize(..instances);
     let server = rng.usize(..servers);
-    let time = Duration::from_millis(rng.u64(LENGTH_MS));
+    let time = Duration::from_millis(rng.u64(FAULT_MS));
     match rng.u32(..23) {
         0..=2 => Event::Terminate(instance),
         3 | 4 => Event::Kill(instance, time.min(Duration::from_millis(1500))),
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -14,7 +14,7 @@
 use cartvane::utils::sync::lock;
 
 /// Pause between two looks at a link that lets nothing through.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How the link behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -142,7 +142,7 @@
                 }
                 Link::OneWay if !back => break,
                 Link::Reset => return cut(&from, &to),
-                Link::OneWay | Link::Silent => thread::sleep(LOOK),
+                Link::OneWay | Link::Silent => thread::sleep(POLL_INTERVAL),
             }
             if shared.ended.load(Ordering::SeqCst) {
                 return cut(&from, &to);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -19,7 +19,7 @@
 use crate::{
     callers::Callers,
     checks::{Checks, Violation},
-    fleet::{Fleet, GRACE, IN_FORCE, KEY, LEAVING, send},
+    fleet::{CONFIG_APPLY_TIME, DRAIN_TIME, Fleet, GRACE_PERIOD, KEY, send},
     load, notices,
     options::Options,
     plan::{self, Event},
@@ -28,7 +28,7 @@
 };
 
 /// Time after a return of the store in which operators and servers write again, in milliseconds.
-const WRITTEN_AGAIN_MS: std::ops::Range<u64> = 50..1200;
+const REWRITE_DELAY_MS: std::ops::Range<u64> = 50..1200;
 
 /// Backend servers of a run.
 const SERVERS: usize = 5;
@@ -37,16 +37,16 @@
 const CALLERS: usize = 4;
 
 /// Time without disturbance from which an instance's bounds hold.
-const CALM: Duration = Duration::from_millis(3000);
+const UNDISTURBED_TIME: Duration = Duration::from_millis(3000);
 
 /// Time in which all instances serve again when every fault is over.
-const RECOVERY: Duration = Duration::from_secs(8);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time in which a started process has surely run its first lines.
-const START: Duration = Duration::from_millis(500);
+const STARTUP_TIME: Duration = Duration::from_millis(500);
 
 /// Room for a busy machine, on top of each bound.
-pub(crate) const ROOM: Duration = Duration::from_millis(1500);
+pub(crate) const TOLERANCE: Duration = Duration::from_millis(1500);
 
 /// What came of a run.
 pub(crate) struct Report {
@@ -180,7 +180,7 @@
             thread::sleep(age);
             fleet.disturb_store();
             fleet.store.come_back(copy);
-            thread::sleep(Duration::from_millis(rng.u64(WRITTEN_AGAIN_MS)));
+            thread::sleep(Duration::from_millis(rng.u64(REWRITE_DELAY_MS)));
             fleet.write_again();
             fleet.disturb_store();
         }
@@ -222,7 +222,7 @@
 /// program runs its first lines, the system's own answer to the signal is to end it.
 fn reload(fleet: &Fleet, number: usize) {
     let mut instance = lock(&fleet.instances[number]);
-    if instance.disturbed.elapsed() > START {
+    if instance.disturbed.elapsed() > STARTUP_TIME {
         instance.signal(Signal::HUP);
     }
 }
@@ -232,7 +232,7 @@
     // have begun before.
     let mut instance = lock(&fleet.instances[number]);
     instance.signal(Signal::TERM);
-    if !instance.wait(GRACE + plan::LENGTH_MAX + ROOM) {
+    if !instance.wait(GRACE_PERIOD + plan::FAULT_TIME_MAX + TOLERANCE) {
         checks.report_violation(
             "an instance ends within the grace time",
             &format!("edge-{number}"),
@@ -263,7 +263,7 @@
 fn leave(fleet: &Fleet, checks: &Checks, place: usize) {
     let said = Instant::now();
     fleet.list(place, "draining");
-    thread::sleep(LEAVING + ROOM);
+    thread::sleep(DRAIN_TIME + TOLERANCE);
     let (id, before) = fleet.arrivals(place);
     thread::sleep(Duration::from_millis(700));
     let (still, after) = fleet.arrivals(place);
@@ -292,7 +292,7 @@
         version = fleet.change();
         thread::sleep(Duration::from_millis(60));
     }
-    thread::sleep(IN_FORCE + ROOM);
+    thread::sleep(CONFIG_APPLY_TIME + TOLERANCE);
     for number in 0..fleet.instances.len() {
         let new = probe(fleet, number, version);
         let old = probe(fleet, number, version - 1);
@@ -324,13 +324,13 @@
 /// Returns whether nothing has been done to the store and an instance from a little before `since`.
 fn is_calm(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return false };
-    let calm = |at: Instant| at + CALM < since;
+    let calm = |at: Instant| at + UNDISTURBED_TIME < since;
     calm(instance.disturbed) && calm(*lock(&fleet.store_disturbed))
 }
 
 /// Waits until every instance serves requests of its own.
 fn wait_all_serve(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
-    let until = Instant::now() + RECOVERY + ROOM;
+    let until = Instant::now() + RECOVERY_TIMEOUT + TOLERANCE;
     for (number, instance) in fleet.instances.iter().enumerate() {
         let address = lock(instance).callers;
         let mut status = 0;
@@ -352,7 +352,7 @@
 /// Changes the intent and lets a server leave once more, when nothing else happens: then the bounds
 /// hold for every instance.
 fn check_in_calm(fleet: &Fleet, checks: &Checks, interrupted: &AtomicBool) {
-    thread::sleep(CALM + Duration::from_millis(100));
+    thread::sleep(UNDISTURBED_TIME + Duration::from_millis(100));
     if interrupted.load(Ordering::SeqCst) {
         return;
     }
