--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -47,7 +47,7 @@
 }
 
 /// One place of a backend server, with the incarnation that has it now.
-pub(crate) struct Place {
+pub(crate) struct ServerEndpoint {
     /// Its link.
     pub(crate) link: Proxy,
     /// Index of the incarnation in [`Fleet::servers`].
@@ -65,7 +65,7 @@
     /// Ids of the instances' processes, 0 for none: a process can be frozen while it is told to end.
     pub(crate) pids: Vec<Arc<AtomicI32>>,
     /// Places of backend servers.
-    pub(crate) places: Vec<Mutex<Place>>,
+    pub(crate) endpoints: Vec<Mutex<ServerEndpoint>>,
     /// All incarnations that there were.
     pub(crate) servers: Mutex<Vec<Listed>>,
     /// Version of the intent.
@@ -87,12 +87,16 @@
         fs::create_dir_all(dir)?;
         let store = StoreStandIn::spawn()?;
         let mut all = Vec::new();
-        let mut places = Vec::new();
+        let mut endpoints = Vec::new();
         for number in 0..servers {
             let server = Listed::spawn(&format!("s{number}-0"))?;
             let link = Proxy::spawn(server.address())?;
             all.push(server);
-            places.push(Mutex::new(Place { link, server: number, disturbed: Instant::now() }));
+            endpoints.push(Mutex::new(ServerEndpoint {
+                link,
+                server: number,
+                disturbed: Instant::now(),
+            }));
         }
         // Every run has loopback addresses of its own, so that ports can be the same everywhere.
         let net = [127, 64 + (std::process::id() % 64) as u8, (seed % 250) as u8];
@@ -122,14 +126,14 @@
             store,
             instances: started,
             pids,
-            places,
+            endpoints,
             servers: Mutex::new(all),
             version: Mutex::new(10),
             idle_routes: Mutex::default(),
             store_disturbed: Mutex::new(Instant::now()),
         };
-        for place in 0..servers {
-            fleet.list(place, "ready");
+        for endpoint in 0..servers {
+            fleet.list(endpoint, "ready");
         }
         fleet.write_intent();
         for instance in &fleet.instances {
@@ -139,32 +143,32 @@
     }
 
     /// Writes the entry of a place's server.
-    pub(crate) fn list(&self, place: usize, state: &str) {
-        let place = lock(&self.places[place]);
+    pub(crate) fn list(&self, endpoint: usize, state: &str) {
+        let endpoint = lock(&self.endpoints[endpoint]);
         let servers = lock(&self.servers);
-        let mut entry = servers[place.server].entry("app", state);
-        entry["address"] = place.link.address().to_string().into();
-        self.store.put("servers", &servers[place.server].id, &entry);
+        let mut entry = servers[endpoint.server].entry("app", state);
+        entry["address"] = endpoint.link.address().to_string().into();
+        self.store.put("servers", &servers[endpoint.server].id, &entry);
     }
 
     /// Puts a new incarnation in a place; the one before keeps its address of its own.
-    pub(crate) fn replace(&self, place: usize) -> anyhow::Result<()> {
-        let mut at = lock(&self.places[place]);
+    pub(crate) fn replace(&self, endpoint: usize) -> anyhow::Result<()> {
+        let mut at = lock(&self.endpoints[endpoint]);
         let mut servers = lock(&self.servers);
-        let id = format!("s{place}-{}", servers.len());
+        let id = format!("s{endpoint}-{}", servers.len());
         let server = Listed::spawn(&id)?;
         self.store.remove("servers", &servers[at.server].id);
         at.link.retarget(server.address());
         at.server = servers.len();
         servers.push(server);
         drop((at, servers));
-        self.list(place, "ready");
+        self.list(endpoint, "ready");
         Ok(())
     }
 
     /// Returns the id of a place's server and the ids of the requests that have arrived there.
-    pub(crate) fn arrivals(&self, place: usize) -> (String, Vec<String>) {
-        let at = lock(&self.places[place]).server;
+    pub(crate) fn arrivals(&self, endpoint: usize) -> (String, Vec<String>) {
+        let at = lock(&self.endpoints[endpoint]).server;
         let servers = lock(&self.servers);
         let arrivals = servers[at].arrivals();
         let id = |request: &Received| request.head.header("x-request-id").unwrap_or("").to_owned();
@@ -173,21 +177,22 @@
 
     /// Returns the requests under way at the servers in use.
     pub(crate) fn loads(&self) -> Vec<u32> {
-        let used: Vec<usize> = self.places.iter().map(|place| lock(place).server).collect();
+        let used: Vec<usize> =
+            self.endpoints.iter().map(|endpoint| lock(endpoint).server).collect();
         let servers = lock(&self.servers);
         used.into_iter().map(|at| servers[at].in_flight()).collect()
     }
 
     /// Has a place's link behave otherwise.
-    pub(crate) fn disturb_place(&self, place: usize, link: Link) {
-        let mut place = lock(&self.places[place]);
-        place.link.set(link);
-        place.disturbed = Instant::now();
+    pub(crate) fn disturb_place(&self, endpoint: usize, link: Link) {
+        let mut endpoint = lock(&self.endpoints[endpoint]);
+        endpoint.link.set(link);
+        endpoint.disturbed = Instant::now();
     }
 
     /// Gives the next requests at a place these faults.
-    pub(crate) fn faults(&self, place: usize, faults: &[Fault]) {
-        let at = lock(&self.places[place]).server;
+    pub(crate) fn faults(&self, endpoint: usize, faults: &[Fault]) {
+        let at = lock(&self.endpoints[endpoint]).server;
         lock(&self.servers)[at].faults.push(faults.iter().copied());
     }
 
@@ -206,10 +211,10 @@
     /// Writes what the operator and the servers have written, as after a return of the store from a copy.
     pub(crate) fn write_again(&self) {
         self.write_intent();
-        let used: Vec<String> = (0..self.places.len())
-            .map(|place| {
-                self.list(place, "ready");
-                let at = lock(&self.places[place]).server;
+        let used: Vec<String> = (0..self.endpoints.len())
+            .map(|endpoint| {
+                self.list(endpoint, "ready");
+                let at = lock(&self.endpoints[endpoint]).server;
                 lock(&self.servers)[at].id.clone()
             })
             .collect();
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -21,14 +21,14 @@
 const WATCH_TIME: Duration = Duration::from_millis(2500);
 
 /// A server says in its answers that it leaves, while its entry says that it is ready; then another takes its place.
-pub(crate) fn say_leaving(fleet: &Fleet, checks: &Checks, place: usize) {
+pub(crate) fn say_leaving(fleet: &Fleet, checks: &Checks, endpoint: usize) {
     let said = Instant::now();
-    let server = lock(&fleet.places[place]).server;
+    let server = lock(&fleet.endpoints[endpoint]).server;
     lock(&fleet.servers)[server].leaves();
     thread::sleep(WATCH_TIME + TOLERANCE);
-    check(fleet, checks, place, server, said);
-    if lock(&fleet.places[place]).server == server {
-        replace(fleet, checks, place);
+    check(fleet, checks, endpoint, server, said);
+    if lock(&fleet.endpoints[endpoint]).server == server {
+        replace(fleet, checks, endpoint);
     }
 }
 
@@ -36,23 +36,23 @@
 pub(crate) fn refuse(
     fleet: &Fleet,
     checks: &Checks,
-    place: usize,
+    endpoint: usize,
     time: Duration,
     backoff: Duration,
 ) {
     let said = Instant::now();
-    let server = lock(&fleet.places[place]).server;
+    let server = lock(&fleet.endpoints[endpoint]).server;
     let set = |fault| lock(&fleet.servers)[server].faults.set_standing(fault);
     set(Some(Fault::RefuseFor(backoff)));
     thread::sleep(time);
     set(None);
     thread::sleep(backoff + IN_TRANSIT_TIME);
-    check(fleet, checks, place, server, said);
+    check(fleet, checks, endpoint, server, said);
 }
 
 /// Checks what has arrived at a server since `said` against what it has said since then.
-fn check(fleet: &Fleet, checks: &Checks, place: usize, server: usize, said: Instant) {
-    if lock(&fleet.places[place]).disturbed + TOLERANCE > said {
+fn check(fleet: &Fleet, checks: &Checks, endpoint: usize, server: usize, said: Instant) {
+    if lock(&fleet.endpoints[endpoint]).disturbed + TOLERANCE > said {
         // Its answers may have been lost.
         return;
     }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -157,12 +157,12 @@
     let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
     let mut drawn = || {
         let at = Duration::from_millis(rng.u64(..span));
-        let place = rng.usize(..servers);
+        let endpoint = rng.usize(..servers);
         let refusing = Duration::from_millis(rng.u64(REJECTING_MS));
         let backoff = Duration::from_millis(rng.u64(BACKOFF_MS));
         let event = match rng.u32(..3) {
-            0 => Event::SayLeaving(place),
-            _ => Event::Refuse(place, refusing, backoff),
+            0 => Event::SayLeaving(endpoint),
+            _ => Event::Refuse(endpoint, refusing, backoff),
         };
         (at, event)
     };
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -184,17 +184,19 @@
             fleet.write_again();
             fleet.disturb_store();
         }
-        Event::ServerLink(place, link, time) => {
-            fleet.disturb_place(place, link);
+        Event::ServerLink(endpoint, link, time) => {
+            fleet.disturb_place(endpoint, link);
             thread::sleep(time);
-            fleet.disturb_place(place, Link::Open);
+            fleet.disturb_place(endpoint, Link::Open);
+        }
+        Event::SayLeaving(endpoint) => notices::say_leaving(fleet, checks, endpoint),
+        Event::Refuse(endpoint, time, backoff) => {
+            notices::refuse(fleet, checks, endpoint, time, backoff)
         }
-        Event::SayLeaving(place) => notices::say_leaving(fleet, checks, place),
-        Event::Refuse(place, time, backoff) => notices::refuse(fleet, checks, place, time, backoff),
         Event::RollOut => rollouts::roll_out(fleet, checks),
-        Event::Replace(place) => leave(fleet, checks, place),
-        Event::Crash(place) => replace(fleet, checks, place),
-        Event::ServerFaults(place) => {
+        Event::Replace(endpoint) => leave(fleet, checks, endpoint),
+        Event::Crash(endpoint) => replace(fleet, checks, endpoint),
+        Event::ServerFaults(endpoint) => {
             let faults = [
                 Fault::RefuseNotRun,
                 Fault::CloseAfterRun,
@@ -208,7 +210,7 @@
                 Fault::Late(Duration::from_millis(400)),
             ];
             let drawn: Vec<Fault> = (0..6).map(|_| faults[rng.usize(..faults.len())]).collect();
-            fleet.faults(place, &drawn);
+            fleet.faults(endpoint, &drawn);
         }
         Event::Change(times) => change(fleet, checks, times),
         Event::Grow(routes) => {
@@ -253,20 +255,20 @@
     }
 }
 
-pub(crate) fn replace(fleet: &Fleet, checks: &Checks, place: usize) {
-    if let Err(fault) = fleet.replace(place) {
+pub(crate) fn replace(fleet: &Fleet, checks: &Checks, endpoint: usize) {
+    if let Err(fault) = fleet.replace(endpoint) {
         checks.report_violation("the soak itself works", "replace", fault.to_string());
     }
 }
 
 /// A server says that it leaves; once that must be known, nothing more may arrive there.
-fn leave(fleet: &Fleet, checks: &Checks, place: usize) {
+fn leave(fleet: &Fleet, checks: &Checks, endpoint: usize) {
     let said = Instant::now();
-    fleet.list(place, "draining");
+    fleet.list(endpoint, "draining");
     thread::sleep(DRAIN_TIME + TOLERANCE);
-    let (id, before) = fleet.arrivals(place);
+    let (id, before) = fleet.arrivals(endpoint);
     thread::sleep(Duration::from_millis(700));
-    let (still, after) = fleet.arrivals(place);
+    let (still, after) = fleet.arrivals(endpoint);
     if id == still {
         // The caller's id of a request names the instance that it was sent to.
         for request in &after[before.len()..] {
@@ -280,7 +282,7 @@
             }
         }
     }
-    replace(fleet, checks, place);
+    replace(fleet, checks, endpoint);
 }
 
 /// The intent changes; once that must be in force, calm instances serve by it and not by the one
