--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 use standins::{fault::Fault, listed::Listed, server::Received, store::StoreStandIn};
 
-use crate::proxy::{Link, Proxy};
+use crate::proxy::{LinkMode, Proxy};
 
 /// Key of the callers' team.
 pub(crate) const KEY: &str = "key-of-crew";
@@ -37,7 +37,7 @@
     /// Callers' address.
     pub(crate) callers: SocketAddr,
     /// Its link to the store.
-    pub(crate) store_link: Proxy,
+    pub(crate) store_proxy: Proxy,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
@@ -49,7 +49,7 @@
 /// One place of a backend server, with the incarnation that has it now.
 pub(crate) struct ServerEndpoint {
     /// Its link.
-    pub(crate) link: Proxy,
+    pub(crate) proxy: Proxy,
     /// Index of the incarnation in [`Fleet::servers`].
     pub(crate) server: usize,
     /// When something was last done to the link.
@@ -90,10 +90,10 @@
         let mut endpoints = Vec::new();
         for number in 0..servers {
             let server = Listed::spawn(&format!("s{number}-0"))?;
-            let link = Proxy::spawn(server.address())?;
+            let proxy = Proxy::spawn(server.address())?;
             all.push(server);
             endpoints.push(Mutex::new(ServerEndpoint {
-                link,
+                proxy,
                 server: number,
                 disturbed: Instant::now(),
             }));
@@ -106,16 +106,16 @@
         let mut started = Vec::new();
         let mut pids: Vec<Arc<AtomicI32>> = Vec::new();
         for number in 0..instances {
-            let store_link = Proxy::spawn(store.address())?;
+            let store_proxy = Proxy::spawn(store.address())?;
             let address = |port: u16| SocketAddr::from((ip(number), port));
-            let text = settings(number, &address, &seeds, store_link.address());
+            let text = settings(number, &address, &seeds, store_proxy.address());
             let settings = dir.join(format!("{number}.json"));
             fs::write(&settings, text.to_string())?;
             pids.push(Arc::default());
             started.push(Mutex::new(Instance {
                 pid: Arc::clone(&pids[number]),
                 callers: address(7000),
-                store_link,
+                store_proxy,
                 settings,
                 log: dir.join(format!("{number}.log")),
                 child: None,
@@ -147,7 +147,7 @@
         let endpoint = lock(&self.endpoints[endpoint]);
         let servers = lock(&self.servers);
         let mut entry = servers[endpoint.server].entry("app", state);
-        entry["address"] = endpoint.link.address().to_string().into();
+        entry["address"] = endpoint.proxy.address().to_string().into();
         self.store.put("servers", &servers[endpoint.server].id, &entry);
     }
 
@@ -158,7 +158,7 @@
         let id = format!("s{endpoint}-{}", servers.len());
         let server = Listed::spawn(&id)?;
         self.store.remove("servers", &servers[at.server].id);
-        at.link.retarget(server.address());
+        at.proxy.retarget(server.address());
         at.server = servers.len();
         servers.push(server);
         drop((at, servers));
@@ -184,9 +184,9 @@
     }
 
     /// Has a place's link behave otherwise.
-    pub(crate) fn disturb_place(&self, endpoint: usize, link: Link) {
+    pub(crate) fn set_link_mode(&self, endpoint: usize, mode: LinkMode) {
         let mut endpoint = lock(&self.endpoints[endpoint]);
-        endpoint.link.set(link);
+        endpoint.proxy.set_mode(mode);
         endpoint.disturbed = Instant::now();
     }
 
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use standins::store::StoreMode;
 
-use crate::proxy::Link;
+use crate::proxy::LinkMode;
 
 /// Shortest pause between two faults.
 const PAUSE_MIN_MS: u64 = 100;
@@ -58,11 +58,11 @@
     /// The store behaves otherwise for a while.
     Store(StoreMode, Duration),
     /// An instance's link to the store does.
-    StoreLink(usize, Link, Duration),
+    StoreLink(usize, LinkMode, Duration),
     /// The store forgets its history.
     ForgetHistory,
     /// A backend server's link behaves otherwise for a while.
-    ServerLink(usize, Link, Duration),
+    ServerLink(usize, LinkMode, Duration),
     /// A backend server leaves, and another takes its address.
     Replace(usize),
     /// A backend server is gone at once, and another takes its address.
@@ -89,7 +89,7 @@
     /// Changes that make it larger, with their times.
     pub(crate) events: Vec<(Duration, Event)>,
     /// Bytes a second on each connection to the store; 0: as fast as it goes.
-    pub(crate) store_link: usize,
+    pub(crate) store_bytes_per_s: usize,
 }
 
 /// Draws the events of a run, with their times.
@@ -122,8 +122,8 @@
     let mut at: Vec<u64> = (0..steps).map(|_| rng.u64(..span)).collect();
     at.sort_unstable();
     let grow = |at| (Duration::from_millis(at), Event::Grow(GROWTH_ROUTES));
-    let store_link = [0, 2_000_000, 800_000][rng.usize(..3)];
-    Growth { events: at.into_iter().map(grow).collect(), store_link }
+    let store_bytes_per_s = [0, 2_000_000, 800_000][rng.usize(..3)];
+    Growth { events: at.into_iter().map(grow).collect(), store_bytes_per_s }
 }
 
 /// Draws when the store of a run comes back from a copy: in one run of two, once or twice.
@@ -180,9 +180,9 @@
         7 => Event::Reload(instance),
         8 => Event::KillAll,
         9 | 10 => Event::Store(store_mode(rng), time),
-        11 | 12 => Event::StoreLink(instance, link(rng), time),
+        11 | 12 => Event::StoreLink(instance, link_mode(rng), time),
         13 => Event::ForgetHistory,
-        14 | 15 => Event::ServerLink(server, link(rng), time),
+        14 | 15 => Event::ServerLink(server, link_mode(rng), time),
         16 => Event::Replace(server),
         17 => Event::Crash(server),
         18 | 19 => Event::ServerFaults(server),
@@ -195,11 +195,11 @@
     modes[rng.usize(..modes.len())]
 }
 
-fn link(rng: &mut Rng) -> Link {
+fn link_mode(rng: &mut Rng) -> LinkMode {
     match rng.u32(..4) {
-        0 => Link::Delayed(Duration::from_millis(rng.u64(5..80))),
-        1 => Link::OneWay,
-        2 => Link::Silent,
-        _ => Link::Reset,
+        0 => LinkMode::Delayed(Duration::from_millis(rng.u64(5..80))),
+        1 => LinkMode::OneWay,
+        2 => LinkMode::Silent,
+        _ => LinkMode::Reset,
     }
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -18,7 +18,7 @@
 
 /// How the link behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Link {
+pub(crate) enum LinkMode {
     /// It passes bytes on.
     Open,
     /// It passes them on this late.
@@ -32,11 +32,11 @@
 }
 
 struct Shared {
-    link: Mutex<Link>,
+    mode: Mutex<LinkMode>,
     target: Mutex<SocketAddr>,
     /// Both ends of each connection, to reset them.
     open: Mutex<Vec<TcpStream>>,
-    ended: AtomicBool,
+    closed: AtomicBool,
 }
 
 /// A running proxy.
@@ -51,19 +51,19 @@
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            link: Mutex::new(Link::Open),
+            mode: Mutex::new(LinkMode::Open),
             target: Mutex::new(target),
             open: Mutex::default(),
-            ended: AtomicBool::new(false),
+            closed: AtomicBool::new(false),
         });
         let accepting = Arc::clone(&shared);
         thread::Builder::new().name("proxy".to_owned()).spawn(move || {
-            for near in listener.incoming() {
-                if accepting.ended.load(Ordering::SeqCst) {
+            for client in listener.incoming() {
+                if accepting.closed.load(Ordering::SeqCst) {
                     return;
                 }
-                let Ok(near) = near else { continue };
-                connect(&accepting, near);
+                let Ok(client) = client else { continue };
+                connect(&accepting, client);
             }
         })?;
         Ok(Proxy { address, shared })
@@ -75,9 +75,9 @@
     }
 
     /// Changes how the link behaves.
-    pub(crate) fn set(&self, link: Link) {
-        *lock(&self.shared.link) = link;
-        if link == Link::Reset {
+    pub(crate) fn set_mode(&self, mode: LinkMode) {
+        *lock(&self.shared.mode) = mode;
+        if mode == LinkMode::Reset {
             self.reset_all();
         }
     }
@@ -98,21 +98,21 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.shared.ended.store(true, Ordering::SeqCst);
+        self.shared.closed.store(true, Ordering::SeqCst);
         self.reset_all();
         // The accept call returns for this connection and sees the end.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
     }
 }
 
-fn connect(shared: &Arc<Shared>, near: TcpStream) {
-    if *lock(&shared.link) == Link::Reset {
+fn connect(shared: &Arc<Shared>, client: TcpStream) {
+    if *lock(&shared.mode) == LinkMode::Reset {
         return;
     }
     let target = *lock(&shared.target);
-    let Ok(far) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else { return };
-    let pair = [(&near, &far, false), (&far, &near, true)];
-    for (from, to, back) in pair {
+    let Ok(server) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else { return };
+    let pair = [(&client, &server, false), (&server, &client, true)];
+    for (from, to, is_response) in pair {
         let (Ok(from), Ok(to), Ok(kept)) = (from.try_clone(), to.try_clone(), from.try_clone())
         else {
             return;
@@ -121,11 +121,11 @@
         let _ = to.set_nodelay(true);
         lock(&shared.open).push(kept);
         let shared = Arc::clone(shared);
-        thread::spawn(move || pump(&shared, from, to, back));
+        thread::spawn(move || forward(&shared, from, to, is_response));
     }
 }
 
-fn pump(shared: &Shared, mut from: TcpStream, mut to: TcpStream, back: bool) {
+fn forward(shared: &Shared, mut from: TcpStream, mut to: TcpStream, is_response: bool) {
     let mut buf = vec![0; 16 << 10];
     loop {
         let count = match from.read(&mut buf) {
@@ -133,30 +133,30 @@
             Ok(count) => count,
         };
         loop {
-            let link = *lock(&shared.link);
-            match link {
-                Link::Open => break,
-                Link::Delayed(time) => {
+            let mode = *lock(&shared.mode);
+            match mode {
+                LinkMode::Open => break,
+                LinkMode::Delayed(time) => {
                     thread::sleep(time);
                     break;
                 }
-                Link::OneWay if !back => break,
-                Link::Reset => return cut(&from, &to),
-                Link::OneWay | Link::Silent => thread::sleep(POLL_INTERVAL),
+                LinkMode::OneWay if !is_response => break,
+                LinkMode::Reset => return shut_down(&from, &to),
+                LinkMode::OneWay | LinkMode::Silent => thread::sleep(POLL_INTERVAL),
             }
-            if shared.ended.load(Ordering::SeqCst) {
-                return cut(&from, &to);
+            if shared.closed.load(Ordering::SeqCst) {
+                return shut_down(&from, &to);
             }
         }
         if to.write_all(&buf[..count]).is_err() {
-            return cut(&from, &to);
+            return shut_down(&from, &to);
         }
     }
     // The other direction goes on, as after a half close.
     let _ = to.shutdown(Shutdown::Write);
 }
 
-fn cut(from: &TcpStream, to: &TcpStream) {
+fn shut_down(from: &TcpStream, to: &TcpStream) {
     // Ends that are gone need no cutting.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -23,7 +23,7 @@
     load, notices,
     options::Options,
     plan::{self, Event},
-    proxy::Link,
+    proxy::LinkMode,
     rollouts,
 };
 
@@ -95,7 +95,7 @@
     events.extend(rollout.into_iter().map(|(at, event)| (at, event, rng.fork())));
     events.sort_by_key(|(at, ..)| *at);
     let fleet = Fleet::start(seed, options.instances, SERVERS, &dir)?;
-    fleet.store.set_link(growth.store_link);
+    fleet.store.set_link(growth.store_bytes_per_s);
     let checks = Arc::new(Checks::new());
     wait_all_serve(&fleet, &checks, "a fleet that starts serves");
     let callers = Callers::spawn(options.instances * CALLERS, seed, &fleet, &checks);
@@ -164,11 +164,11 @@
             fleet.store.set_mode(StoreMode::Up);
             fleet.disturb_store();
         }
-        Event::StoreLink(number, link, time) => {
-            lock(&fleet.instances[number]).store_link.set(link);
+        Event::StoreLink(number, mode, time) => {
+            lock(&fleet.instances[number]).store_proxy.set_mode(mode);
             lock(&fleet.instances[number]).note_disturbed();
             thread::sleep(time);
-            lock(&fleet.instances[number]).store_link.set(Link::Open);
+            lock(&fleet.instances[number]).store_proxy.set_mode(LinkMode::Open);
             lock(&fleet.instances[number]).note_disturbed();
         }
         Event::ForgetHistory => {
@@ -184,10 +184,10 @@
             fleet.write_again();
             fleet.disturb_store();
         }
-        Event::ServerLink(endpoint, link, time) => {
-            fleet.disturb_place(endpoint, link);
+        Event::ServerLink(endpoint, mode, time) => {
+            fleet.set_link_mode(endpoint, mode);
             thread::sleep(time);
-            fleet.disturb_place(endpoint, Link::Open);
+            fleet.set_link_mode(endpoint, LinkMode::Open);
         }
         Event::SayLeaving(endpoint) => notices::say_leaving(fleet, checks, endpoint),
         Event::Refuse(endpoint, time, backoff) => {
