--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -60,7 +60,7 @@
     /// An instance's link to the store does.
     StoreLink(usize, LinkMode, Duration),
     /// The store forgets its history.
-    ForgetHistory,
+    ExpireHistory,
     /// A backend server's link behaves otherwise for a while.
     ServerLink(usize, LinkMode, Duration),
     /// A backend server leaves, and another takes its address.
@@ -70,15 +70,15 @@
     /// The next requests at a backend server go wrong.
     ServerFaults(usize),
     /// The operator's intent changes, this many times in a row.
-    Change(u32),
+    ChangeIntent(u32),
     /// The operator's intent changes and grows by this many routes.
-    Grow(usize),
+    GrowIntent(usize),
     /// The store comes back from a copy of this age; all write again what was lost.
-    ComeBack(Duration),
+    RestoreStore(Duration),
     /// A backend server says in its answers that it leaves, and its entry does not say so.
-    SayLeaving(usize),
+    AnnounceLeaving(usize),
     /// A backend server turns requests away for the first time and wants none for the second.
-    Refuse(usize, Duration, Duration),
+    AnnounceBackoff(usize, Duration, Duration),
     /// Operators order a version that fails.
     RollOut,
 }
@@ -93,7 +93,7 @@
 }
 
 /// Draws the events of a run, with their times.
-pub(crate) fn draw(
+pub(crate) fn random_events(
     rng: &mut Rng,
     length: Duration,
     instances: usize,
@@ -107,7 +107,7 @@
         if at >= length {
             return events;
         }
-        events.push((at, event(rng, instances, servers)));
+        events.push((at, random_event(rng, instances, servers)));
     }
 }
 
@@ -115,13 +115,13 @@
 /// intent, 2,100 routes of 0.3 KB, takes 1 s: more than a call to the store may be silent.
 ///
 /// Drawn apart, so that the other events of a seed stay what they were before there was growth.
-pub(crate) fn draw_growth(seed: u64, length: Duration) -> Growth {
+pub(crate) fn random_growth(seed: u64, length: Duration) -> Growth {
     let mut rng = Rng::with_seed(seed ^ GROWTH_SEED_MASK);
     let steps = if rng.bool() { rng.u32(1..=3) } else { 0 };
-    let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
-    let mut at: Vec<u64> = (0..steps).map(|_| rng.u64(..span)).collect();
+    let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
+    let mut at: Vec<u64> = (0..steps).map(|_| rng.u64(..length_ms)).collect();
     at.sort_unstable();
-    let grow = |at| (Duration::from_millis(at), Event::Grow(GROWTH_ROUTES));
+    let grow = |at| (Duration::from_millis(at), Event::GrowIntent(GROWTH_ROUTES));
     let store_bytes_per_s = [0, 2_000_000, 800_000][rng.usize(..3)];
     Growth { events: at.into_iter().map(grow).collect(), store_bytes_per_s }
 }
@@ -129,47 +129,51 @@
 /// Draws when the store of a run comes back from a copy: in one run of two, once or twice.
 ///
 /// Drawn apart, as growth is.
-pub(crate) fn draw_returns(seed: u64, length: Duration) -> Vec<(Duration, Event)> {
+pub(crate) fn random_restores(seed: u64, length: Duration) -> Vec<(Duration, Event)> {
     let mut rng = Rng::with_seed(seed ^ RESTORE_SEED_MASK);
     let times = if rng.bool() { rng.u32(1..=2) } else { 0 };
-    let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
-    let mut drawn = || {
-        let at = Duration::from_millis(rng.u64(..span));
-        (at, Event::ComeBack(Duration::from_millis(rng.u64(COPY_AGE_MS))))
+    let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
+    let mut random_restore = || {
+        let at = Duration::from_millis(rng.u64(..length_ms));
+        (at, Event::RestoreStore(Duration::from_millis(rng.u64(COPY_AGE_MS))))
     };
-    (0..times).map(|_| drawn()).collect()
+    (0..times).map(|_| random_restore()).collect()
 }
 
 /// Draws when operators of a run order a bad version: in one run of two, once.
 ///
 /// Drawn apart, as growth is.
-pub(crate) fn draw_rollout(seed: u64, length: Duration) -> Option<(Duration, Event)> {
+pub(crate) fn random_rollout(seed: u64, length: Duration) -> Option<(Duration, Event)> {
     let mut rng = Rng::with_seed(seed ^ ROLLOUT_SEED_MASK);
-    let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
-    rng.bool().then(|| (Duration::from_millis(rng.u64(..span)), Event::RollOut))
+    let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
+    rng.bool().then(|| (Duration::from_millis(rng.u64(..length_ms)), Event::RollOut))
 }
 
 /// Draws when servers of a run say something of themselves in their answers: up to three times.
 ///
 /// Drawn apart, as growth is.
-pub(crate) fn draw_notices(seed: u64, length: Duration, servers: usize) -> Vec<(Duration, Event)> {
+pub(crate) fn random_notices(
+    seed: u64,
+    length: Duration,
+    servers: usize,
+) -> Vec<(Duration, Event)> {
     let mut rng = Rng::with_seed(seed ^ NOTICE_SEED_MASK);
-    let span = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
-    let mut drawn = || {
-        let at = Duration::from_millis(rng.u64(..span));
+    let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
+    let mut random_notice = || {
+        let at = Duration::from_millis(rng.u64(..length_ms));
         let endpoint = rng.usize(..servers);
-        let refusing = Duration::from_millis(rng.u64(REJECTING_MS));
+        let rejecting = Duration::from_millis(rng.u64(REJECTING_MS));
         let backoff = Duration::from_millis(rng.u64(BACKOFF_MS));
         let event = match rng.u32(..3) {
-            0 => Event::SayLeaving(endpoint),
-            _ => Event::Refuse(endpoint, refusing, backoff),
+            0 => Event::AnnounceLeaving(endpoint),
+            _ => Event::AnnounceBackoff(endpoint, rejecting, backoff),
         };
         (at, event)
     };
-    (0..3).map(|_| drawn()).collect()
+    (0..3).map(|_| random_notice()).collect()
 }
 
-fn event(rng: &mut Rng, instances: usize, servers: usize) -> Event {
+fn random_event(rng: &mut Rng, instances: usize, servers: usize) -> Event {
     let instance = rng.usize(..instances);
     let server = rng.usize(..servers);
     let time = Duration::from_millis(rng.u64(FAULT_MS));
@@ -179,27 +183,27 @@
         5 | 6 => Event::Freeze(instance, time),
         7 => Event::Reload(instance),
         8 => Event::KillAll,
-        9 | 10 => Event::Store(store_mode(rng), time),
-        11 | 12 => Event::StoreLink(instance, link_mode(rng), time),
-        13 => Event::ForgetHistory,
-        14 | 15 => Event::ServerLink(server, link_mode(rng), time),
+        9 | 10 => Event::Store(random_store_mode(rng), time),
+        11 | 12 => Event::StoreLink(instance, random_link_mode(rng), time),
+        13 => Event::ExpireHistory,
+        14 | 15 => Event::ServerLink(server, random_link_mode(rng), time),
         16 => Event::Replace(server),
         17 => Event::Crash(server),
         18 | 19 => Event::ServerFaults(server),
-        _ => Event::Change(rng.u32(1..4)),
+        _ => Event::ChangeIntent(rng.u32(1..4)),
     }
 }
 
-fn store_mode(rng: &mut Rng) -> StoreMode {
+fn random_store_mode(rng: &mut Rng) -> StoreMode {
     let modes = StoreMode::failing(150);
     modes[rng.usize(..modes.len())]
 }
 
-fn link_mode(rng: &mut Rng) -> LinkMode {
+fn random_link_mode(rng: &mut Rng) -> LinkMode {
     match rng.u32(..4) {
         0 => LinkMode::Delayed(Duration::from_millis(rng.u64(5..80))),
         1 => LinkMode::OneWay,
-        2 => LinkMode::Silent,
+        2 => LinkMode::Blocked,
         _ => LinkMode::Reset,
     }
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -26,7 +26,7 @@
     /// It passes nothing back; bytes wait, as behind a partition.
     OneWay,
     /// It passes nothing; bytes wait.
-    Silent,
+    Blocked,
     /// Connections are closed, new ones too.
     Reset,
 }
@@ -142,7 +142,7 @@
                 }
                 LinkMode::OneWay if !is_response => break,
                 LinkMode::Reset => return shut_down(&from, &to),
-                LinkMode::OneWay | LinkMode::Silent => thread::sleep(POLL_INTERVAL),
+                LinkMode::OneWay | LinkMode::Blocked => thread::sleep(POLL_INTERVAL),
             }
             if shared.closed.load(Ordering::SeqCst) {
                 return shut_down(&from, &to);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -82,16 +82,16 @@
         std::fs::remove_dir_all(&dir)?;
     }
     let mut rng = Rng::with_seed(seed);
-    let events = plan::draw(&mut rng, options.faults, options.instances, SERVERS);
-    let growth = plan::draw_growth(seed, options.faults);
+    let events = plan::random_events(&mut rng, options.faults, options.instances, SERVERS);
+    let growth = plan::random_growth(seed, options.faults);
     let mut events: Vec<(Duration, Event, Rng)> =
         events.into_iter().map(|(at, event)| (at, event, rng.fork())).collect();
     events.extend(growth.events.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let returns = plan::draw_returns(seed, options.faults);
-    events.extend(returns.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let notices = plan::draw_notices(seed, options.faults, SERVERS);
+    let restores = plan::random_restores(seed, options.faults);
+    events.extend(restores.into_iter().map(|(at, event)| (at, event, rng.fork())));
+    let notices = plan::random_notices(seed, options.faults, SERVERS);
     events.extend(notices.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let rollout = plan::draw_rollout(seed, options.faults);
+    let rollout = plan::random_rollout(seed, options.faults);
     events.extend(rollout.into_iter().map(|(at, event)| (at, event, rng.fork())));
     events.sort_by_key(|(at, ..)| *at);
     let fleet = Fleet::start(seed, options.instances, SERVERS, &dir)?;
@@ -171,11 +171,11 @@
             lock(&fleet.instances[number]).store_proxy.set_mode(LinkMode::Open);
             lock(&fleet.instances[number]).note_disturbed();
         }
-        Event::ForgetHistory => {
+        Event::ExpireHistory => {
             fleet.disturb_store();
             fleet.store.forget_history();
         }
-        Event::ComeBack(age) => {
+        Event::RestoreStore(age) => {
             let copy = fleet.store.copy();
             thread::sleep(age);
             fleet.disturb_store();
@@ -189,8 +189,8 @@
             thread::sleep(time);
             fleet.set_link_mode(endpoint, LinkMode::Open);
         }
-        Event::SayLeaving(endpoint) => notices::say_leaving(fleet, checks, endpoint),
-        Event::Refuse(endpoint, time, backoff) => {
+        Event::AnnounceLeaving(endpoint) => notices::say_leaving(fleet, checks, endpoint),
+        Event::AnnounceBackoff(endpoint, time, backoff) => {
             notices::refuse(fleet, checks, endpoint, time, backoff)
         }
         Event::RollOut => rollouts::roll_out(fleet, checks),
@@ -209,11 +209,12 @@
                 Fault::SilentAfter(2, Duration::from_millis(700)),
                 Fault::Late(Duration::from_millis(400)),
             ];
-            let drawn: Vec<Fault> = (0..6).map(|_| faults[rng.usize(..faults.len())]).collect();
-            fleet.faults(endpoint, &drawn);
+            let random_faults: Vec<Fault> =
+                (0..6).map(|_| faults[rng.usize(..faults.len())]).collect();
+            fleet.faults(endpoint, &random_faults);
         }
-        Event::Change(times) => change(fleet, checks, times),
-        Event::Grow(routes) => {
+        Event::ChangeIntent(times) => change(fleet, checks, times),
+        Event::GrowIntent(routes) => {
             fleet.grow(routes);
             change(fleet, checks, 1);
         }
