--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -76,7 +76,7 @@
         for _ in 0..rng.u32(1..20) {
             sent += 1;
             let id = format!("c{number}-{sent}-i{instance}");
-            if stop.load(Ordering::SeqCst) || !one(&mut conn, &id, &mut rng, checks) {
+            if stop.load(Ordering::SeqCst) || !send_request(&mut conn, &id, &mut rng, checks) {
                 break;
             }
             thread::sleep(Duration::from_millis(rng.u64(..PAUSE_MAX_MS)));
@@ -85,7 +85,7 @@
 }
 
 /// Sends one request and checks its answer; returns whether the connection goes on.
-fn one(conn: &mut Conn, id: &str, rng: &mut Rng, checks: &Checks) -> bool {
+fn send_request(conn: &mut Conn, id: &str, rng: &mut Rng, checks: &Checks) -> bool {
     let kinds = ["idem", "once", "stream", "stream-resumable"];
     let kind = kinds[rng.usize(..kinds.len())];
     let target = format!("/{kind}/{id}");
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -43,7 +43,7 @@
     child: Option<Child>,
     pid: Arc<AtomicI32>,
     /// Last moment at which something was done to it.
-    pub(crate) disturbed: Instant,
+    pub(crate) disturbed_at: Instant,
 }
 
 /// One place of a backend server, with the incarnation that has it now.
@@ -53,7 +53,7 @@
     /// Index of the incarnation in [`Fleet::servers`].
     pub(crate) server: usize,
     /// When something was last done to the link.
-    pub(crate) disturbed: Instant,
+    pub(crate) disturbed_at: Instant,
 }
 
 /// The fleet of a run.
@@ -73,7 +73,7 @@
     /// Routes of the intent that nobody asks for.
     idle_routes: Mutex<usize>,
     /// Last moment at which something was done to the store.
-    pub(crate) store_disturbed: Mutex<Instant>,
+    pub(crate) store_disturbed_at: Mutex<Instant>,
 }
 
 impl Fleet {
@@ -95,7 +95,7 @@
             endpoints.push(Mutex::new(ServerEndpoint {
                 proxy,
                 server: number,
-                disturbed: Instant::now(),
+                disturbed_at: Instant::now(),
             }));
         }
         // Every run has loopback addresses of its own, so that ports can be the same everywhere.
@@ -119,7 +119,7 @@
                 settings,
                 log: dir.join(format!("{number}.log")),
                 child: None,
-                disturbed: Instant::now(),
+                disturbed_at: Instant::now(),
             }));
         }
         let fleet = Fleet {
@@ -130,10 +130,10 @@
             servers: Mutex::new(all),
             version: Mutex::new(10),
             idle_routes: Mutex::default(),
-            store_disturbed: Mutex::new(Instant::now()),
+            store_disturbed_at: Mutex::new(Instant::now()),
         };
         for endpoint in 0..servers {
-            fleet.list(endpoint, "ready");
+            fleet.write_entry(endpoint, "ready");
         }
         fleet.write_intent();
         for instance in &fleet.instances {
@@ -143,7 +143,7 @@
     }
 
     /// Writes the entry of a place's server.
-    pub(crate) fn list(&self, endpoint: usize, state: &str) {
+    pub(crate) fn write_entry(&self, endpoint: usize, state: &str) {
         let endpoint = lock(&self.endpoints[endpoint]);
         let servers = lock(&self.servers);
         let mut entry = servers[endpoint.server].entry("app", state);
@@ -152,7 +152,7 @@
     }
 
     /// Puts a new incarnation in a place; the one before keeps its address of its own.
-    pub(crate) fn replace(&self, endpoint: usize) -> anyhow::Result<()> {
+    pub(crate) fn replace_server(&self, endpoint: usize) -> anyhow::Result<()> {
         let mut at = lock(&self.endpoints[endpoint]);
         let mut servers = lock(&self.servers);
         let id = format!("s{endpoint}-{}", servers.len());
@@ -162,7 +162,7 @@
         at.server = servers.len();
         servers.push(server);
         drop((at, servers));
-        self.list(endpoint, "ready");
+        self.write_entry(endpoint, "ready");
         Ok(())
     }
 
@@ -187,33 +187,33 @@
     pub(crate) fn set_link_mode(&self, endpoint: usize, mode: LinkMode) {
         let mut endpoint = lock(&self.endpoints[endpoint]);
         endpoint.proxy.set_mode(mode);
-        endpoint.disturbed = Instant::now();
+        endpoint.disturbed_at = Instant::now();
     }
 
     /// Gives the next requests at a place these faults.
-    pub(crate) fn faults(&self, endpoint: usize, faults: &[Fault]) {
+    pub(crate) fn inject_faults(&self, endpoint: usize, faults: &[Fault]) {
         let at = lock(&self.endpoints[endpoint]).server;
         lock(&self.servers)[at].faults.push(faults.iter().copied());
     }
 
     /// Makes the next version of the intent the operator's and returns it.
-    pub(crate) fn change(&self) -> u64 {
+    pub(crate) fn change_intent(&self) -> u64 {
         *lock(&self.version) += 1;
         self.write_intent();
         *lock(&self.version)
     }
 
     /// Makes the versions from the next one on larger.
-    pub(crate) fn grow(&self, routes: usize) {
+    pub(crate) fn add_idle_routes(&self, routes: usize) {
         *lock(&self.idle_routes) += routes;
     }
 
     /// Writes what the operator and the servers have written, as after a return of the store from a copy.
-    pub(crate) fn write_again(&self) {
+    pub(crate) fn rewrite_all(&self) {
         self.write_intent();
         let used: Vec<String> = (0..self.endpoints.len())
             .map(|endpoint| {
-                self.list(endpoint, "ready");
+                self.write_entry(endpoint, "ready");
                 let at = lock(&self.endpoints[endpoint]).server;
                 lock(&self.servers)[at].id.clone()
             })
@@ -229,15 +229,15 @@
     }
 
     /// Notes that something was done to the store.
-    pub(crate) fn disturb_store(&self) {
-        *lock(&self.store_disturbed) = Instant::now();
+    pub(crate) fn note_store_disturbed(&self) {
+        *lock(&self.store_disturbed_at) = Instant::now();
     }
 }
 
 impl Instance {
     /// Starts the process.
     pub(crate) fn start(&mut self) -> anyhow::Result<()> {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
         let binary = std::env::current_exe()?.with_file_name("cartvane");
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&binary)
@@ -257,20 +257,20 @@
     /// Notes that something was done to the process. The time is read under the lock: read before, it may be from before
     /// the last start, and the process is told to reload before it has run its first lines.
     pub(crate) fn note_disturbed(&mut self) {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
     }
 
     /// Sends a signal to the process, if it runs.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
         send(&self.pid, signal);
     }
 
     /// Waits for the process to end; returns whether it did so by itself before `time` was over.
     pub(crate) fn wait(&mut self, time: Duration) -> bool {
-        let until = Instant::now() + time;
+        let deadline = Instant::now() + time;
         let Some(child) = &mut self.child else { return true };
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             if matches!(child.try_wait(), Ok(Some(_))) {
                 self.pid.store(0, Ordering::SeqCst);
                 self.child = None;
@@ -283,7 +283,7 @@
 
     /// Kills the process, if it runs.
     pub(crate) fn kill(&mut self) {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
         self.pid.store(0, Ordering::SeqCst);
         if let Some(mut child) = self.child.take() {
             // It may have ended by itself.
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -48,17 +48,17 @@
         })
         .collect();
     thread::sleep(WARM_UP_TIME);
-    let looks = look(fleet);
+    let samples = sample_loads(fleet);
     stop.store(true, Ordering::SeqCst);
     for caller in callers {
         if caller.join().is_err() {
             checks.report_violation("the soak itself works", "load", "a caller panicked");
         }
     }
-    let beyond = looks.iter().filter(|loads| is_beyond(loads, &looks)).count();
-    if beyond as f64 > OVER_BOUND_SHARE_MAX * looks.len() as f64 {
-        let most = looks.iter().max_by_key(|loads| loads.iter().max());
-        let observed = format!("{beyond} of {} looks; the worst: {most:?}", looks.len());
+    let over_bound = samples.iter().filter(|loads| is_over_bound(loads, &samples)).count();
+    if over_bound as f64 > OVER_BOUND_SHARE_MAX * samples.len() as f64 {
+        let most = samples.iter().max_by_key(|loads| loads.iter().max());
+        let observed = format!("{over_bound} of {} looks; the worst: {most:?}", samples.len());
         checks.report_violation("no server has more than its bound", "one prompt", observed);
     }
 }
@@ -77,19 +77,19 @@
 }
 
 /// Returns the loads of all servers in use, look by look.
-fn look(fleet: &Fleet) -> Vec<Vec<u32>> {
-    let until = Instant::now() + SAMPLING_TIME;
-    let mut looks = Vec::new();
-    while Instant::now() < until {
-        looks.push(fleet.loads());
+fn sample_loads(fleet: &Fleet) -> Vec<Vec<u32>> {
+    let deadline = Instant::now() + SAMPLING_TIME;
+    let mut samples = Vec::new();
+    while Instant::now() < deadline {
+        samples.push(fleet.loads());
         thread::sleep(SAMPLE_INTERVAL);
     }
-    looks
+    samples
 }
 
 /// Returns whether a server is beyond the bound; servers that never had a request do not count.
-fn is_beyond(loads: &[u32], looks: &[Vec<u32>]) -> bool {
-    let used = (0..loads.len()).filter(|&at| looks.iter().any(|loads| loads[at] > 0)).count();
+fn is_over_bound(loads: &[u32], samples: &[Vec<u32>]) -> bool {
+    let used = (0..loads.len()).filter(|&at| samples.iter().any(|loads| loads[at] > 0)).count();
     let mean = f64::from(loads.iter().sum::<u32>()) / used.max(1) as f64;
     loads.iter().any(|&load| f64::from(load) > BOUND_FACTOR * mean + BOUND_SLACK)
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -22,15 +22,15 @@
 fn main() -> ExitCode {
     let options = match Options::parse(std::env::args_os().skip(1).collect()) {
         Ok(options) => options,
-        Err(fault) => {
-            eprintln!("soak: {fault}\n\n{}", options::USAGE);
+        Err(error) => {
+            eprintln!("soak: {error}\n\n{}", options::USAGE);
             return ExitCode::from(2);
         }
     };
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        if let Err(fault) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
-            eprintln!("soak: cannot watch signals: {fault}");
+        if let Err(error) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
+            eprintln!("soak: cannot watch signals: {error}");
             return ExitCode::from(2);
         }
     }
@@ -43,8 +43,8 @@
                     failed.push(seed);
                 }
             }
-            Err(fault) => {
-                println!("seed {seed}: not run: {fault:#}");
+            Err(error) => {
+                println!("seed {seed}: not run: {error:#}");
                 failed.push(seed);
             }
         }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -11,7 +11,7 @@
 use crate::{
     checks::Checks,
     fleet::Fleet,
-    run::{TOLERANCE, replace},
+    run::{TOLERANCE, replace_server},
 };
 
 /// Time after an answer within which requests may still arrive that were on their way.
@@ -21,38 +21,38 @@
 const WATCH_TIME: Duration = Duration::from_millis(2500);
 
 /// A server says in its answers that it leaves, while its entry says that it is ready; then another takes its place.
-pub(crate) fn say_leaving(fleet: &Fleet, checks: &Checks, endpoint: usize) {
-    let said = Instant::now();
+pub(crate) fn announce_leaving(fleet: &Fleet, checks: &Checks, endpoint: usize) {
+    let since = Instant::now();
     let server = lock(&fleet.endpoints[endpoint]).server;
     lock(&fleet.servers)[server].leaves();
     thread::sleep(WATCH_TIME + TOLERANCE);
-    check(fleet, checks, endpoint, server, said);
+    check(fleet, checks, endpoint, server, since);
     if lock(&fleet.endpoints[endpoint]).server == server {
-        replace(fleet, checks, endpoint);
+        replace_server(fleet, checks, endpoint);
     }
 }
 
 /// A server turns requests away for a while, each time with the time for which it wants none.
-pub(crate) fn refuse(
+pub(crate) fn announce_backoff(
     fleet: &Fleet,
     checks: &Checks,
     endpoint: usize,
     time: Duration,
     backoff: Duration,
 ) {
-    let said = Instant::now();
+    let since = Instant::now();
     let server = lock(&fleet.endpoints[endpoint]).server;
     let set = |fault| lock(&fleet.servers)[server].faults.set_standing(fault);
     set(Some(Fault::RefuseFor(backoff)));
     thread::sleep(time);
     set(None);
     thread::sleep(backoff + IN_TRANSIT_TIME);
-    check(fleet, checks, endpoint, server, said);
+    check(fleet, checks, endpoint, server, since);
 }
 
-/// Checks what has arrived at a server since `said` against what it has said since then.
-fn check(fleet: &Fleet, checks: &Checks, endpoint: usize, server: usize, said: Instant) {
-    if lock(&fleet.endpoints[endpoint]).disturbed + TOLERANCE > said {
+/// Checks what has arrived at a server since `since` against what it has said since then.
+fn check(fleet: &Fleet, checks: &Checks, endpoint: usize, server: usize, since: Instant) {
+    if lock(&fleet.endpoints[endpoint]).disturbed_at + TOLERANCE > since {
         // Its answers may have been lost.
         return;
     }
@@ -60,9 +60,9 @@
         let servers = lock(&fleet.servers);
         (servers[server].id.clone(), servers[server].notices(), servers[server].arrivals())
     };
-    for notice in notices.iter().filter(|notice| notice.at >= said) {
+    for notice in notices.iter().filter(|notice| notice.at >= since) {
         let Some(number) = instance(&notice.request) else { continue };
-        if is_excused(fleet, number, notice.at) {
+        if is_disturbed(fleet, number, notice.at) {
             continue;
         }
         if let Some(unwanted) = arrivals.iter().find(|arrival| is_unwanted(notice, arrival)) {
@@ -76,9 +76,9 @@
 }
 
 /// Returns whether something was done to an instance since a moment.
-fn is_excused(fleet: &Fleet, number: usize, since: Instant) -> bool {
+fn is_disturbed(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return true };
-    instance.disturbed + TOLERANCE > since
+    instance.disturbed_at + TOLERANCE > since
 }
 
 /// Returns whether a request came from the same instance at a time when the server wanted none.
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -24,8 +24,8 @@
 
 /// A version is rolled out of which each answer is a failure; then its servers go, and the order is taken back.
 pub(crate) fn roll_out(fleet: &Fleet, checks: &Checks) {
-    if let Err(fault) = roll_out_with(fleet, checks) {
-        checks.report_violation("the soak itself works", "roll-out", fault.to_string());
+    if let Err(error) = roll_out_with(fleet, checks) {
+        checks.report_violation("the soak itself works", "roll-out", error.to_string());
     }
 }
 
@@ -45,9 +45,9 @@
     }
     thread::sleep(ROLLOUT_DURATION);
     let (after, _) = checks.request_counts();
-    let met: usize = new.iter().map(|server| server.arrivals().len()).sum();
-    if met as f64 > EXPOSURE_SHARE * (after - before) as f64 + EXPOSURE_SLACK {
-        let observed = format!("{met} requests of {}", after - before);
+    let received: usize = new.iter().map(|server| server.arrivals().len()).sum();
+    if received as f64 > EXPOSURE_SHARE * (after - before) as f64 + EXPOSURE_SLACK {
+        let observed = format!("{received} requests of {}", after - before);
         checks.report_violation("few requests meet a bad version", &version, observed);
     }
     new.iter().for_each(|server| fleet.store.remove("servers", &server.id));
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -97,10 +97,10 @@
     let fleet = Fleet::start(seed, options.instances, SERVERS, &dir)?;
     fleet.store.set_link(growth.store_bytes_per_s);
     let checks = Arc::new(Checks::new());
-    wait_all_serve(&fleet, &checks, "a fleet that starts serves");
+    wait_until_serving(&fleet, &checks, "a fleet that starts serves");
     let callers = Callers::spawn(options.instances * CALLERS, seed, &fleet, &checks);
     let started_at = Instant::now();
-    let mut under_way = Vec::new();
+    let mut running_events = Vec::new();
     let count = events.len();
     for (at, event, rng) in events {
         while started_at.elapsed() < at && !interrupted.load(Ordering::SeqCst) {
@@ -112,15 +112,15 @@
         if options.verbose {
             println!("  {:6} ms {event:?}", started_at.elapsed().as_millis());
         }
-        under_way.push(happen(event, &fleet, &checks, rng));
+        running_events.push(spawn_event(event, &fleet, &checks, rng));
     }
-    for event in under_way {
+    for event in running_events {
         if event.join().is_err() {
             checks.report_violation("the soak itself works", "event", "a thread panicked");
         }
     }
-    wait_all_serve(&fleet, &checks, "everything serves again when the faults are over");
-    check_in_calm(&fleet, &checks, interrupted);
+    wait_until_serving(&fleet, &checks, "everything serves again when the faults are over");
+    check_undisturbed(&fleet, &checks, interrupted);
     load::check(&fleet, &checks);
     callers.finish();
     // Requests that were given up on end at their servers within their deadlines.
@@ -132,12 +132,12 @@
 }
 
 /// Lets an event happen in a thread of its own, so that events overlap.
-fn happen(event: Event, fleet: &Arc<Fleet>, checks: &Arc<Checks>, rng: Rng) -> JoinHandle<()> {
+fn spawn_event(event: Event, fleet: &Arc<Fleet>, checks: &Arc<Checks>, rng: Rng) -> JoinHandle<()> {
     let (fleet, checks) = (Arc::clone(fleet), Arc::clone(checks));
-    thread::spawn(move || act(event, &fleet, &checks, rng))
+    thread::spawn(move || apply_event(event, &fleet, &checks, rng))
 }
 
-fn act(event: Event, fleet: &Fleet, checks: &Checks, mut rng: Rng) {
+fn apply_event(event: Event, fleet: &Fleet, checks: &Checks, mut rng: Rng) {
     match event {
         Event::Terminate(number) => terminate(fleet, checks, number),
         Event::Kill(number, time) => {
@@ -158,11 +158,11 @@
             (0..fleet.instances.len()).for_each(|number| restart(fleet, checks, number));
         }
         Event::Store(mode, time) => {
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
             fleet.store.set_mode(mode);
             thread::sleep(time);
             fleet.store.set_mode(StoreMode::Up);
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
         }
         Event::StoreLink(number, mode, time) => {
             lock(&fleet.instances[number]).store_proxy.set_mode(mode);
@@ -172,30 +172,30 @@
             lock(&fleet.instances[number]).note_disturbed();
         }
         Event::ExpireHistory => {
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
             fleet.store.forget_history();
         }
         Event::RestoreStore(age) => {
             let copy = fleet.store.copy();
             thread::sleep(age);
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
             fleet.store.come_back(copy);
             thread::sleep(Duration::from_millis(rng.u64(REWRITE_DELAY_MS)));
-            fleet.write_again();
-            fleet.disturb_store();
+            fleet.rewrite_all();
+            fleet.note_store_disturbed();
         }
         Event::ServerLink(endpoint, mode, time) => {
             fleet.set_link_mode(endpoint, mode);
             thread::sleep(time);
             fleet.set_link_mode(endpoint, LinkMode::Open);
         }
-        Event::AnnounceLeaving(endpoint) => notices::say_leaving(fleet, checks, endpoint),
+        Event::AnnounceLeaving(endpoint) => notices::announce_leaving(fleet, checks, endpoint),
         Event::AnnounceBackoff(endpoint, time, backoff) => {
-            notices::refuse(fleet, checks, endpoint, time, backoff)
+            notices::announce_backoff(fleet, checks, endpoint, time, backoff)
         }
         Event::RollOut => rollouts::roll_out(fleet, checks),
-        Event::Replace(endpoint) => leave(fleet, checks, endpoint),
-        Event::Crash(endpoint) => replace(fleet, checks, endpoint),
+        Event::Replace(endpoint) => drain_server(fleet, checks, endpoint),
+        Event::Crash(endpoint) => replace_server(fleet, checks, endpoint),
         Event::ServerFaults(endpoint) => {
             let faults = [
                 Fault::RefuseNotRun,
@@ -211,12 +211,12 @@
             ];
             let random_faults: Vec<Fault> =
                 (0..6).map(|_| faults[rng.usize(..faults.len())]).collect();
-            fleet.faults(endpoint, &random_faults);
+            fleet.inject_faults(endpoint, &random_faults);
         }
-        Event::ChangeIntent(times) => change(fleet, checks, times),
+        Event::ChangeIntent(times) => change_intent(fleet, checks, times),
         Event::GrowIntent(routes) => {
-            fleet.grow(routes);
-            change(fleet, checks, 1);
+            fleet.add_idle_routes(routes);
+            change_intent(fleet, checks, 1);
         }
     }
 }
@@ -225,7 +225,7 @@
 /// program runs its first lines, the system's own answer to the signal is to end it.
 fn reload(fleet: &Fleet, number: usize) {
     let mut instance = lock(&fleet.instances[number]);
-    if instance.disturbed.elapsed() > STARTUP_TIME {
+    if instance.disturbed_at.elapsed() > STARTUP_TIME {
         instance.signal(Signal::HUP);
     }
 }
@@ -243,29 +243,29 @@
         );
         instance.kill();
     }
-    if let Err(fault) = instance.start() {
-        checks.report_violation("the soak itself works", "start", fault.to_string());
+    if let Err(error) = instance.start() {
+        checks.report_violation("the soak itself works", "start", error.to_string());
     }
 }
 
 fn restart(fleet: &Fleet, checks: &Checks, number: usize) {
     let mut instance = lock(&fleet.instances[number]);
     instance.kill();
-    if let Err(fault) = instance.start() {
-        checks.report_violation("the soak itself works", "start", fault.to_string());
+    if let Err(error) = instance.start() {
+        checks.report_violation("the soak itself works", "start", error.to_string());
     }
 }
 
-pub(crate) fn replace(fleet: &Fleet, checks: &Checks, endpoint: usize) {
-    if let Err(fault) = fleet.replace(endpoint) {
-        checks.report_violation("the soak itself works", "replace", fault.to_string());
+pub(crate) fn replace_server(fleet: &Fleet, checks: &Checks, endpoint: usize) {
+    if let Err(error) = fleet.replace_server(endpoint) {
+        checks.report_violation("the soak itself works", "replace", error.to_string());
     }
 }
 
 /// A server says that it leaves; once that must be known, nothing more may arrive there.
-fn leave(fleet: &Fleet, checks: &Checks, endpoint: usize) {
-    let said = Instant::now();
-    fleet.list(endpoint, "draining");
+fn drain_server(fleet: &Fleet, checks: &Checks, endpoint: usize) {
+    let since = Instant::now();
+    fleet.write_entry(endpoint, "draining");
     thread::sleep(DRAIN_TIME + TOLERANCE);
     let (id, before) = fleet.arrivals(endpoint);
     thread::sleep(Duration::from_millis(700));
@@ -274,7 +274,7 @@
         // The caller's id of a request names the instance that it was sent to.
         for request in &after[before.len()..] {
             let number = request.rsplit_once("-i").and_then(|(_, number)| number.parse().ok());
-            if number.is_some_and(|number| is_calm(fleet, number, said)) {
+            if number.is_some_and(|number| is_undisturbed(fleet, number, since)) {
                 checks.report_violation(
                     "a leaving server gets nothing new",
                     request,
@@ -283,23 +283,23 @@
             }
         }
     }
-    replace(fleet, checks, endpoint);
+    replace_server(fleet, checks, endpoint);
 }
 
 /// The intent changes; once that must be in force, calm instances serve by it and not by the one
 /// before.
-fn change(fleet: &Fleet, checks: &Checks, times: u32) {
-    let said = Instant::now();
+fn change_intent(fleet: &Fleet, checks: &Checks, times: u32) {
+    let since = Instant::now();
     let mut version = 0;
     for _ in 0..times {
-        version = fleet.change();
+        version = fleet.change_intent();
         thread::sleep(Duration::from_millis(60));
     }
     thread::sleep(CONFIG_APPLY_TIME + TOLERANCE);
     for number in 0..fleet.instances.len() {
         let new = probe(fleet, number, version);
         let old = probe(fleet, number, version - 1);
-        if *lock(&fleet.version) != version || !is_calm(fleet, number, said) {
+        if *lock(&fleet.version) != version || !is_undisturbed(fleet, number, since) {
             continue;
         }
         if new == 404 || old == 200 {
@@ -325,15 +325,15 @@
 }
 
 /// Returns whether nothing has been done to the store and an instance from a little before `since`.
-fn is_calm(fleet: &Fleet, number: usize, since: Instant) -> bool {
+fn is_undisturbed(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return false };
-    let calm = |at: Instant| at + UNDISTURBED_TIME < since;
-    calm(instance.disturbed) && calm(*lock(&fleet.store_disturbed))
+    let undisturbed = |at: Instant| at + UNDISTURBED_TIME < since;
+    undisturbed(instance.disturbed_at) && undisturbed(*lock(&fleet.store_disturbed_at))
 }
 
 /// Waits until every instance serves requests of its own.
-fn wait_all_serve(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
-    let until = Instant::now() + RECOVERY_TIMEOUT + TOLERANCE;
+fn wait_until_serving(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
+    let deadline = Instant::now() + RECOVERY_TIMEOUT + TOLERANCE;
     for (number, instance) in fleet.instances.iter().enumerate() {
         let address = lock(instance).callers;
         let mut status = 0;
@@ -341,7 +341,7 @@
             let call =
                 Call { timeout: Duration::from_secs(2), ..Call::post("/idem/", KEY, "probe") };
             status = call.with("x-request-id", "probe").send(address).status;
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let ended = lock(instance).ended();
                 let observed = format!("status {status}, ended {ended:?}");
                 checks.report_violation(invariant, &format!("edge-{number}"), observed);
@@ -354,13 +354,19 @@
 
 /// Changes the intent and lets a server leave once more, when nothing else happens: then the bounds
 /// hold for every instance.
-fn check_in_calm(fleet: &Fleet, checks: &Checks, interrupted: &AtomicBool) {
+fn check_undisturbed(fleet: &Fleet, checks: &Checks, interrupted: &AtomicBool) {
     thread::sleep(UNDISTURBED_TIME + Duration::from_millis(100));
     if interrupted.load(Ordering::SeqCst) {
         return;
     }
-    change(fleet, checks, 1);
-    leave(fleet, checks, 0);
-    notices::refuse(fleet, checks, 0, Duration::from_millis(800), Duration::from_millis(2000));
-    notices::say_leaving(fleet, checks, 0);
+    change_intent(fleet, checks, 1);
+    drain_server(fleet, checks, 0);
+    notices::announce_backoff(
+        fleet,
+        checks,
+        0,
+        Duration::from_millis(800),
+        Duration::from_millis(2000),
+    );
+    notices::announce_leaving(fleet, checks, 0);
 }
