--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends one request after the other on connections that it keeps until they end.
+//! Callers that send requests one after another on persistent connections and check each response.
 
 use std::{
     sync::{
@@ -21,20 +21,20 @@
     fleet::{Fleet, KEY},
 };
 
-/// Longest wait for an answer: over the routes' timeout and a frozen instance's pause.
+/// Longest wait for a response: longer than the routes' timeout plus the time for which an instance is frozen.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Longest pause between two requests of a caller.
+/// Longest pause between two requests of one caller.
 const PAUSE_MAX_MS: u64 = 30;
 
-/// Running callers.
+/// Threads of the running callers.
 pub(crate) struct Callers {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Callers {
-    /// Starts `count` callers whose choices follow from `seed`.
+    /// Starts `count` callers whose random choices follow from `seed`.
     pub(crate) fn spawn(
         count: usize,
         seed: u64,
@@ -51,7 +51,7 @@
         Callers { stop, threads }
     }
 
-    /// Ends the callers after their last answers.
+    /// Stops the callers after the responses to their current requests.
     pub(crate) fn finish(self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -72,7 +72,7 @@
             thread::sleep(Duration::from_millis(rng.u64(..PAUSE_MAX_MS)));
             continue;
         };
-        // Kept connections are used until they end, whatever happens to the instance.
+        // A connection is reused until it closes, whatever happens to the instance.
         for _ in 0..rng.u32(1..20) {
             sent += 1;
             let id = format!("c{number}-{sent}-i{instance}");
@@ -84,7 +84,7 @@
     }
 }
 
-/// Sends one request and checks its answer; returns whether the connection goes on.
+/// Sends one request and checks its response; returns whether the connection can be reused.
 fn send_request(conn: &mut Conn, id: &str, rng: &mut Rng, checks: &Checks) -> bool {
     let kinds = ["idem", "once", "stream", "stream-resumable"];
     let kind = kinds[rng.usize(..kinds.len())];
@@ -106,20 +106,32 @@
     if answer.status != 200 {
         if matches!(answer.status, 400 | 401 | 404 | 413 | 431) {
             let observed = format!("status {}", answer.status);
-            checks.report_violation("what is allowed is not denied", id, observed);
+            checks.report_violation(
+                "a valid request is not rejected as a caller's error",
+                id,
+                observed,
+            );
         }
         return;
     }
     if answer.header("x-request-id") != id || answer.header("x-response-seal").is_empty() {
         let observed = format!("id {:?}", answer.header("x-request-id"));
-        checks.report_violation("an answer is the request's own and signed", id, observed);
+        checks.report_violation("a response belongs to its request and has a seal", id, observed);
     }
     let whole = if kind.starts_with("stream") { events(1) } else { expected(target, body) };
     let text = answer.text();
     if answer.whole && text != whole {
-        checks.report_violation("an answer that looks whole is", id, format!("{text:?}"));
+        checks.report_violation(
+            "a complete response has the expected body",
+            id,
+            format!("{text:?}"),
+        );
     }
     if !answer.whole && !whole.starts_with(&text) {
-        checks.report_violation("events come in order and once", id, format!("{text:?}"));
+        checks.report_violation(
+            "an incomplete response is a prefix of the expected body",
+            id,
+            format!("{text:?}"),
+        );
     }
 }
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,20 +1,20 @@
-//! The promises, checked from what callers and backend servers saw.
+//! Invariants of the fleet, checked against what callers and backend servers observed.
 
 use std::{fmt, sync::Mutex, time::Instant};
 
 use cartvane::utils::sync::lock;
 use standins::listed::Listed;
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Violation {
-    /// The promise.
+    /// The invariant.
     pub(crate) invariant: &'static str,
-    /// The request, or what else it is about.
+    /// The request, instance or part of the soak that violated it.
     pub(crate) subject: String,
-    /// What was seen.
+    /// What was observed instead.
     pub(crate) observed: String,
-    /// Milliseconds since the run began.
+    /// Milliseconds since the start of the run.
     pub(crate) at_ms: u128,
 }
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// What a caller was told of a request that may run only once.
+/// The response to a request that may run at most once.
 #[derive(Debug, Clone)]
 struct OnceResponse {
     id: String,
     status: u16,
 }
 
-/// Collects what callers saw.
+/// Collects what callers observed.
 pub(crate) struct Checks {
     started_at: Instant,
     violations: Mutex<Vec<Violation>>,
@@ -40,7 +40,7 @@
 }
 
 impl Checks {
-    /// Returns the checks of a run that begins now.
+    /// Returns the checks of a run that starts now.
     pub(crate) fn new() -> Checks {
         Checks {
             started_at: Instant::now(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes a broken promise.
+    /// Records a violated invariant.
     pub(crate) fn report_violation(
         &self,
         invariant: &'static str,
@@ -62,41 +62,45 @@
         lock(&self.violations).push(Violation { invariant, subject, observed, at_ms });
     }
 
-    /// Notes the answer to a request that may run only once.
+    /// Records the response to a request that may run at most once.
     pub(crate) fn note_once(&self, id: &str, status: u16) {
         lock(&self.once).push(OnceResponse { id: id.to_owned(), status });
     }
 
-    /// Counts a request, and whether it was served.
+    /// Counts a request and whether it was served with a complete response.
     pub(crate) fn count_request(&self, served: bool) {
         let mut counts = lock(&self.request_counts);
         counts.0 += 1;
         counts.1 += u64::from(served);
     }
 
-    /// Returns the requests and how many of them were served.
+    /// Returns the number of requests and how many of them were served.
     pub(crate) fn request_counts(&self) -> (u64, u64) {
         *lock(&self.request_counts)
     }
 
-    /// Checks the runs of requests that may run only once, when all is over.
+    /// Checks how often the servers ran each request that may run at most once; called after the last response.
     pub(crate) fn check_runs(&self, servers: &[Listed]) {
         for response in lock(&self.once).iter() {
             let runs: u32 = servers.iter().map(|server| server.runs(&response.id)).sum();
             if runs > 1 {
-                self.report_violation("it runs at most once", &response.id, format!("{runs} runs"));
+                self.report_violation(
+                    "a non-idempotent request runs at most once",
+                    &response.id,
+                    format!("{runs} runs"),
+                );
             }
             if matches!(response.status, 408 | 421 | 429 | 503) && runs > 0 {
                 let observed = format!("status {} and {runs} runs", response.status);
                 self.report_violation(
-                    "a refusal that says not-run is true",
+                    "a request rejected as not run has not run",
                     &response.id,
                     observed,
                 );
             }
             if response.status == 200 && runs == 0 {
                 self.report_violation(
-                    "an answer is a server's",
+                    "a successful response comes from a backend server",
                     &response.id,
                     "status 200 and no run",
                 );
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Returns the broken promises.
+    /// Returns the violations and clears them.
     pub(crate) fn take_violations(&self) -> Vec<Violation> {
         std::mem::take(&mut lock(&self.violations))
     }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, the store and the backend servers, and what can be done to them.
+//! The instances, store and backend servers of a run, and the operations on them that events use.
 
 use std::{
     fs::{self, File},
@@ -20,39 +20,39 @@
 
 use crate::proxy::{LinkMode, Proxy};
 
-/// Key of the callers' team.
+/// API key of the callers' team.
 pub(crate) const KEY: &str = "key-of-crew";
 
-/// Time in which a change must be in force.
+/// Time within which instances must apply a change of the intent.
 pub(crate) const CONFIG_APPLY_TIME: Duration = Duration::from_millis(2000);
 
-/// Time after which a leaving server must get nothing.
+/// Time after which a draining server must receive no new requests.
 pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(2000);
 
-/// Time between the signal to end and the kill.
+/// Time that an instance has for its shutdown after SIGTERM.
 pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// One instance, running or not.
+/// An instance, whether its process runs or not.
 pub(crate) struct Instance {
-    /// Callers' address.
+    /// Address that callers connect to.
     pub(crate) callers: SocketAddr,
-    /// Its link to the store.
+    /// Proxy between the instance and the store.
     pub(crate) store_proxy: Proxy,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
     pid: Arc<AtomicI32>,
-    /// Last moment at which something was done to it.
+    /// Time of the last event that affected it.
     pub(crate) disturbed_at: Instant,
 }
 
-/// One place of a backend server, with the incarnation that has it now.
+/// The address of a backend server, with the incarnation that uses it now.
 pub(crate) struct ServerEndpoint {
-    /// Its link.
+    /// Proxy whose address is in the server's entry.
     pub(crate) proxy: Proxy,
-    /// Index of the incarnation in [`Fleet::servers`].
+    /// Index of the current incarnation in [`Fleet::servers`].
     pub(crate) server: usize,
-    /// When something was last done to the link.
+    /// Time of the last change of the proxy's mode.
     pub(crate) disturbed_at: Instant,
 }
 
@@ -60,19 +60,20 @@
 pub(crate) struct Fleet {
     /// The store.
     pub(crate) store: StoreStandIn,
-    /// Instances.
+    /// Instances, by number.
     pub(crate) instances: Vec<Mutex<Instance>>,
-    /// Ids of the instances' processes, 0 for none: a process can be frozen while it is told to end.
+    /// Process ids of the instances, 0 for none. Outside the instances' locks, since a process may be frozen while
+    /// another event holds its lock and waits for it to exit.
     pub(crate) pids: Vec<Arc<AtomicI32>>,
-    /// Places of backend servers.
+    /// Endpoints of backend servers.
     pub(crate) endpoints: Vec<Mutex<ServerEndpoint>>,
-    /// All incarnations that there were.
+    /// All incarnations of backend servers, former ones included.
     pub(crate) servers: Mutex<Vec<Listed>>,
-    /// Version of the intent.
+    /// Current version of the intent.
     pub(crate) version: Mutex<u64>,
-    /// Routes of the intent that nobody asks for.
+    /// Number of routes in the intent that no caller uses.
     idle_routes: Mutex<usize>,
-    /// Last moment at which something was done to the store.
+    /// Time of the last event that affected the store.
     pub(crate) store_disturbed_at: Mutex<Instant>,
 }
 
@@ -98,7 +99,7 @@
                 disturbed_at: Instant::now(),
             }));
         }
-        // Every run has loopback addresses of its own, so that ports can be the same everywhere.
+        // Every run has its own loopback addresses, so that concurrent runs can use the same ports.
         let net = [127, 64 + (std::process::id() % 64) as u8, (seed % 250) as u8];
         let ip = |number: usize| [net[0], net[1], net[2], number as u8 + 1];
         let seeds: Vec<String> =
@@ -142,7 +143,7 @@
         Ok(Arc::new(fleet))
     }
 
-    /// Writes the entry of a place's server.
+    /// Writes the entry of an endpoint's server to the store.
     pub(crate) fn write_entry(&self, endpoint: usize, state: &str) {
         let endpoint = lock(&self.endpoints[endpoint]);
         let servers = lock(&self.servers);
@@ -151,7 +152,7 @@
         self.store.put("servers", &servers[endpoint.server].id, &entry);
     }
 
-    /// Puts a new incarnation in a place; the one before keeps its address of its own.
+    /// Starts a new incarnation behind an endpoint; the one before keeps running at its own address.
     pub(crate) fn replace_server(&self, endpoint: usize) -> anyhow::Result<()> {
         let mut at = lock(&self.endpoints[endpoint]);
         let mut servers = lock(&self.servers);
@@ -166,7 +167,7 @@
         Ok(())
     }
 
-    /// Returns the id of a place's server and the ids of the requests that have arrived there.
+    /// Returns the id of an endpoint's server and the ids of the requests that have arrived there.
     pub(crate) fn arrivals(&self, endpoint: usize) -> (String, Vec<String>) {
         let at = lock(&self.endpoints[endpoint]).server;
         let servers = lock(&self.servers);
@@ -175,7 +176,7 @@
         (servers[at].id.clone(), arrivals.iter().map(id).collect())
     }
 
-    /// Returns the requests under way at the servers in use.
+    /// Returns the number of requests in flight at each current server.
     pub(crate) fn loads(&self) -> Vec<u32> {
         let used: Vec<usize> =
             self.endpoints.iter().map(|endpoint| lock(endpoint).server).collect();
@@ -183,32 +184,32 @@
         used.into_iter().map(|at| servers[at].in_flight()).collect()
     }
 
-    /// Has a place's link behave otherwise.
+    /// Sets the mode of an endpoint's proxy.
     pub(crate) fn set_link_mode(&self, endpoint: usize, mode: LinkMode) {
         let mut endpoint = lock(&self.endpoints[endpoint]);
         endpoint.proxy.set_mode(mode);
         endpoint.disturbed_at = Instant::now();
     }
 
-    /// Gives the next requests at a place these faults.
+    /// Injects faults into the next requests at an endpoint, one for each.
     pub(crate) fn inject_faults(&self, endpoint: usize, faults: &[Fault]) {
         let at = lock(&self.endpoints[endpoint]).server;
         lock(&self.servers)[at].faults.push(faults.iter().copied());
     }
 
-    /// Makes the next version of the intent the operator's and returns it.
+    /// Writes the next version of the intent and returns its number.
     pub(crate) fn change_intent(&self) -> u64 {
         *lock(&self.version) += 1;
         self.write_intent();
         *lock(&self.version)
     }
 
-    /// Makes the versions from the next one on larger.
+    /// Adds unused routes to all following versions of the intent.
     pub(crate) fn add_idle_routes(&self, routes: usize) {
         *lock(&self.idle_routes) += routes;
     }
 
-    /// Writes what the operator and the servers have written, as after a return of the store from a copy.
+    /// Writes the intent and the servers' entries again, as after a restore of the store from a copy.
     pub(crate) fn rewrite_all(&self) {
         self.write_intent();
         let used: Vec<String> = (0..self.endpoints.len())
@@ -218,7 +219,7 @@
                 lock(&self.servers)[at].id.clone()
             })
             .collect();
-        // Entries that nobody writes lapse.
+        // Entries of former servers, which the copy may contain, are removed as if they had expired.
         let left = self.store.keys("servers").into_iter().filter(|id| !used.contains(id));
         left.for_each(|id| self.store.remove("servers", &id));
     }
@@ -228,7 +229,7 @@
         self.store.put("op", "config", &intent(version, idle_routes));
     }
 
-    /// Notes that something was done to the store.
+    /// Records that an event affected the store.
     pub(crate) fn note_store_disturbed(&self) {
         *lock(&self.store_disturbed_at) = Instant::now();
     }
@@ -254,8 +255,8 @@
         Ok(())
     }
 
-    /// Notes that something was done to the process. The time is read under the lock: read before, it may be from before
-    /// the last start, and the process is told to reload before it has run its first lines.
+    /// Records that an event affected the process. Reads the time under the lock: a time read earlier may precede the
+    /// last start, and SIGHUP would then be sent before the process has installed its handler, and terminate it.
     pub(crate) fn note_disturbed(&mut self) {
         self.disturbed_at = Instant::now();
     }
@@ -266,7 +267,7 @@
         send(&self.pid, signal);
     }
 
-    /// Waits for the process to end; returns whether it did so by itself before `time` was over.
+    /// Waits for the process to exit; returns whether it did within `time`.
     pub(crate) fn wait(&mut self, time: Duration) -> bool {
         let deadline = Instant::now() + time;
         let Some(child) = &mut self.child else { return true };
@@ -286,14 +287,14 @@
         self.disturbed_at = Instant::now();
         self.pid.store(0, Ordering::SeqCst);
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // Fails if the process has exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Returns how the process has ended by itself, if it has.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status of a process that exited without being stopped or killed.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
     }
 }
@@ -304,10 +305,10 @@
     }
 }
 
-/// Sends a signal to the process whose id stands in `pid`, if there is one.
+/// Sends a signal to the process with the id in `pid`, if there is one.
 pub(crate) fn send(pid: &AtomicI32, signal: Signal) {
     if let Some(pid) = Pid::from_raw(pid.load(Ordering::SeqCst)) {
-        // A process that has just ended takes no signal.
+        // Fails if the process has just exited.
         let _ = kill_process(pid, signal);
     }
 }
@@ -334,8 +335,7 @@
     })
 }
 
-/// Returns the intent of a version: beside the lasting routes one that only this version has, and some that
-/// nobody asks for.
+/// Returns the intent of a version: the routes that callers use, one that only this version has, and unused ones.
 fn intent(version: u64, idle_routes: usize) -> Value {
     let route = |name: &str, kind: &str, resume: bool| {
         json!({
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -1,4 +1,4 @@
-//! Many requests with one prompt at once, and the load that they bring to the backend servers.
+//! Concurrent requests with the same prompt, and the check that the load of each backend server stays within its bound.
 
 use std::{
     sync::{
@@ -17,16 +17,16 @@
     fleet::{Fleet, KEY},
 };
 
-/// Callers for each instance: together several times what one server may have.
+/// Callers for each instance: together they send several times as many requests as one server may run.
 const CALLERS: usize = 10;
 
-/// Time before loads are looked at: instances have told each other their counts a few times.
+/// Time before the first sample, in which the instances exchange their request counts a few times.
 const WARM_UP_TIME: Duration = Duration::from_millis(1200);
 
-/// Time in which loads are looked at.
+/// Time over which loads are sampled.
 const SAMPLING_TIME: Duration = Duration::from_millis(1500);
 
-/// Pause between two looks.
+/// Pause between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Load bound of a server as a multiple of the mean load, as in the settings.
@@ -35,10 +35,10 @@
 /// Requests that a server may have beyond [`BOUND_FACTOR`] times the mean.
 const BOUND_SLACK: f64 = 3.0;
 
-/// Share of looks at which a server may be beyond the bound: requests on their way.
+/// Share of samples in which a server may be over its bound, because of requests in transit.
 const OVER_BOUND_SHARE_MAX: f64 = 0.1;
 
-/// Sends one prompt from everywhere and checks that no server gets more than its bound.
+/// Sends requests with one prompt to all instances and checks that no server exceeds its load bound.
 pub(crate) fn check(fleet: &Arc<Fleet>, checks: &Checks) {
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..fleet.instances.len() * CALLERS)
@@ -58,8 +58,13 @@
     let over_bound = samples.iter().filter(|loads| is_over_bound(loads, &samples)).count();
     if over_bound as f64 > OVER_BOUND_SHARE_MAX * samples.len() as f64 {
         let most = samples.iter().max_by_key(|loads| loads.iter().max());
-        let observed = format!("{over_bound} of {} looks; the worst: {most:?}", samples.len());
-        checks.report_violation("no server has more than its bound", "one prompt", observed);
+        let observed =
+            format!("{over_bound} of {} samples over the bound; worst: {most:?}", samples.len());
+        checks.report_violation(
+            "the load of a server stays within its bound",
+            "one prompt",
+            observed,
+        );
     }
 }
 
@@ -68,7 +73,7 @@
     let mut sent = 0;
     while !stop.load(Ordering::SeqCst) {
         sent += 1;
-        // What comes back is checked by the other callers; here only the load counts.
+        // Responses are checked in callers.rs; only the load matters here.
         let _ = Call { timeout: Duration::from_secs(4), ..Call::post("/stream/load", KEY, "load") }
             .with("x-request-id", format!("load-{number}-{sent}"))
             .with("x-prefix-hash", format!("ab12:900,{number:x}:50"))
@@ -76,7 +81,7 @@
     }
 }
 
-/// Returns the loads of all servers in use, look by look.
+/// Returns the loads of all current servers, one list for each sample.
 fn sample_loads(fleet: &Fleet) -> Vec<Vec<u32>> {
     let deadline = Instant::now() + SAMPLING_TIME;
     let mut samples = Vec::new();
@@ -87,7 +92,7 @@
     samples
 }
 
-/// Returns whether a server is beyond the bound; servers that never had a request do not count.
+/// Returns whether a server is over its bound. Servers without a request in any sample do not count for the mean.
 fn is_over_bound(loads: &[u32], samples: &[Vec<u32>]) -> bool {
     let used = (0..loads.len()).filter(|&at| samples.iter().any(|loads| loads[at] > 0)).count();
     let mean = f64::from(loads.iter().sum::<u32>()) / used.max(1) as f64;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! The fault soak: real instances as separate processes, faults from outside them, and the promises
-//! checked while they run, from what callers and backend servers see.
+//! Soak test with fault injection: runs instances as separate processes, injects faults from outside, and checks
+//! invariants against what callers and backend servers observe.
 
 mod callers;
 mod checks;
@@ -30,7 +30,7 @@
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         if let Err(error) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
-            eprintln!("soak: cannot watch signals: {error}");
+            eprintln!("soak: cannot register a signal handler: {error}");
             return ExitCode::from(2);
         }
     }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say something of themselves in their answers, and the promise that it is heeded.
+//! Backend servers that announce in their responses that they leave or back off, and the check that instances comply.
 
 use std::{
     thread,
@@ -14,13 +14,13 @@
     run::{TOLERANCE, replace_server},
 };
 
-/// Time after an answer within which requests may still arrive that were on their way.
+/// Time after a notice in which requests that were already in transit may still arrive.
 const IN_TRANSIT_TIME: Duration = Duration::from_millis(500);
 
-/// How long it is watched that nothing more arrives at a server that leaves.
+/// Time for which a server that announced that it leaves is checked for new requests.
 const WATCH_TIME: Duration = Duration::from_millis(2500);
 
-/// A server says in its answers that it leaves, while its entry says that it is ready; then another takes its place.
+/// Has a server announce in its responses that it leaves while its entry still says `ready`, then replaces it.
 pub(crate) fn announce_leaving(fleet: &Fleet, checks: &Checks, endpoint: usize) {
     let since = Instant::now();
     let server = lock(&fleet.endpoints[endpoint]).server;
@@ -32,7 +32,7 @@
     }
 }
 
-/// A server turns requests away for a while, each time with the time for which it wants none.
+/// Has a server reject requests for `time`, each response asking for no requests during `backoff`.
 pub(crate) fn announce_backoff(
     fleet: &Fleet,
     checks: &Checks,
@@ -50,10 +50,10 @@
     check(fleet, checks, endpoint, server, since);
 }
 
-/// Checks what has arrived at a server since `since` against what it has said since then.
+/// Checks the requests that arrived at a server since `since` against the notices that it sent since then.
 fn check(fleet: &Fleet, checks: &Checks, endpoint: usize, server: usize, since: Instant) {
     if lock(&fleet.endpoints[endpoint]).disturbed_at + TOLERANCE > since {
-        // Its answers may have been lost.
+        // Responses with notices may have been lost on the disturbed link.
         return;
     }
     let (id, notices, arrivals) = {
@@ -69,19 +69,23 @@
             let late = unwanted.at.saturating_duration_since(notice.at).as_millis();
             let observed = format!("at {id}, {late} ms after {notice:?}");
             let request = unwanted.head.header("x-request-id").unwrap_or_default();
-            checks.report_violation("what a server says in an answer is heeded", request, observed);
+            checks.report_violation(
+                "no request is sent against a server's notice",
+                request,
+                observed,
+            );
             return;
         }
     }
 }
 
-/// Returns whether something was done to an instance since a moment.
+/// Returns whether an instance was disturbed after, or shortly before, `since`.
 fn is_disturbed(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return true };
     instance.disturbed_at + TOLERANCE > since
 }
 
-/// Returns whether a request came from the same instance at a time when the server wanted none.
+/// Returns whether the instance that received the notice sent this request while the notice applied.
 fn is_unwanted(notice: &SentNotice, arrival: &Received) -> bool {
     let request = arrival.head.header("x-request-id").unwrap_or_default();
     if instance(request) != instance(&notice.request) {
@@ -92,7 +96,7 @@
     arrival.at > from && notice.backoff.is_none_or(is_before_end)
 }
 
-/// Returns the number of the instance that a caller sent a request to, which is in its id.
+/// Returns the number of the instance that a caller sent a request to; it is part of the request id.
 fn instance(request: &str) -> Option<usize> {
     request.rsplit_once("-i")?.1.parse().ok()
 }
--- a/soak/src/options.rs
+++ b/soak/src/options.rs
@@ -2,39 +2,39 @@
 
 use std::{ffi::OsString, ops::Range, time::Duration};
 
-/// How to call the soak.
+/// Usage text.
 pub(crate) const USAGE: &str =
     "soak [--seed N | --seeds A..B] [--seconds S] [--instances N] [--verbose]
 
-  --seed N       one run, everything drawn from N; also to replay a seed that failed
-  --seeds A..B   a run for each seed from A to B - 1 (as usual 1..4)
-  --seconds S    length of the faults of a run (as usual 12)
-  --instances N  instances in the fleet (as usual 4)
-  --verbose      print each fault as it happens
+  --seed N       one run whose random choices follow from N; also replays a failed seed
+  --seeds A..B   a run for each seed from A to B - 1 (default 1..4)
+  --seconds S    time in which faults are injected in a run (default 12)
+  --instances N  instances in the fleet (default 4)
+  --verbose      print each event as it is applied
 
-Logs of a run's processes are in target/soak/SEED/.";
+The processes of a run log to target/soak/SEED/.";
 
-/// Longest run: an hour of faults.
+/// Longest time in which faults are injected, in seconds.
 const SECONDS_MAX: u64 = 3600;
 
-/// Most instances: with their servers and callers a few hundred processes and threads.
+/// Maximum number of instances: with their servers and callers they make a few hundred processes and threads.
 const INSTANCES_MAX: usize = 100;
 
-/// What the command line asks for.
+/// Parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
-    /// Seeds to run.
+    /// Seeds, with one run each.
     pub(crate) seeds: Range<u64>,
-    /// Length of the faults of a run.
+    /// Time in which faults are injected in a run.
     pub(crate) faults: Duration,
-    /// Instances.
+    /// Number of instances.
     pub(crate) instances: usize,
-    /// Whether faults are printed.
+    /// Whether events are printed.
     pub(crate) verbose: bool,
 }
 
 impl Options {
-    /// Reads the command line.
+    /// Parses the command line.
     pub(crate) fn parse(args: Vec<OsString>) -> anyhow::Result<Options> {
         let mut args = pico_args::Arguments::from_vec(args);
         let seed: Option<u64> = args.opt_value_from_str("--seed")?;
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, drawn from its seed.
+//! Random events of a run, all of which follow from its seed.
 
 use std::time::Duration;
 
@@ -7,92 +7,94 @@
 
 use crate::proxy::LinkMode;
 
-/// Shortest pause between two faults.
+/// Shortest pause between two events, in milliseconds.
 const PAUSE_MIN_MS: u64 = 100;
 
-/// Longest pauses of a run, of which one is drawn: in most runs faults overlap, in some the fleet
-/// comes to rest in between.
+/// Choices for a run's longest pause between two events, in milliseconds. Faults overlap with the shorter ones; with
+/// the longest the fleet can recover in between.
 const PAUSE_MAX_MS: [u64; 3] = [500, 900, 4000];
 
-/// Length of a fault that ends.
+/// Duration of a temporary fault, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 200..3500;
 
-/// Routes of one step of growth.
+/// Routes that one step of growth adds to the intent.
 const GROWTH_ROUTES: usize = 700;
 
-/// Tells what is drawn for growth from what else a seed draws.
+/// Mixed into a run's seed for the growth of the intent, so that it does not change the other events.
 const GROWTH_SEED_MASK: u64 = 0x6772_6f77;
 
-/// Tells what is drawn for returns of the store from what else a seed draws.
+/// Mixed into a run's seed for restores of the store.
 const RESTORE_SEED_MASK: u64 = 0x7265_7475;
 
-/// Tells what is drawn for servers' notices from what else a seed draws.
+/// Mixed into a run's seed for notices of servers.
 const NOTICE_SEED_MASK: u64 = 0x6e6f_7469;
 
-/// Tells what is drawn for roll-outs from what else a seed draws.
+/// Mixed into a run's seed for roll-outs.
 const ROLLOUT_SEED_MASK: u64 = 0x726f_6c6c;
 
-/// For how long a server turns requests away, and for how long it wants none.
+/// Time for which a server rejects requests, in milliseconds.
 const REJECTING_MS: std::ops::Range<u64> = 300..2500;
+
+/// Backoff that a server asks for in each rejection, in milliseconds.
 const BACKOFF_MS: std::ops::Range<u64> = 800..3000;
 
-/// Age of the copy that the store comes back from.
+/// Age of the copy that the store is restored from, in milliseconds.
 const COPY_AGE_MS: std::ops::Range<u64> = 300..3000;
 
-/// Longest fault that ends; a process may stand still for as long.
+/// Longest temporary fault; a process may be frozen for as long.
 pub(crate) const FAULT_TIME_MAX: Duration = Duration::from_millis(FAULT_MS.end);
 
-/// Something that happens to the fleet from outside.
+/// An event that is applied to the fleet from outside.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Event {
-    /// An instance is told to end, and starts again once it has.
+    /// An instance receives SIGTERM and is started again once it has exited.
     Terminate(usize),
-    /// An instance is killed and starts again after a while.
+    /// An instance is killed and started again after this time.
     Kill(usize, Duration),
-    /// An instance stands still for a while.
+    /// An instance is stopped with SIGSTOP for this time.
     Freeze(usize, Duration),
-    /// An instance is told to read its settings again.
+    /// An instance receives SIGHUP and reloads its settings.
     Reload(usize),
-    /// Every instance is killed and starts again.
+    /// Every instance is killed and started again.
     KillAll,
-    /// The store behaves otherwise for a while.
+    /// The store is in another mode for this time.
     Store(StoreMode, Duration),
-    /// An instance's link to the store does.
+    /// An instance's link to the store is in another mode for this time.
     StoreLink(usize, LinkMode, Duration),
-    /// The store forgets its history.
+    /// The store's history of changes expires.
     ExpireHistory,
-    /// A backend server's link behaves otherwise for a while.
+    /// A backend server's link is in another mode for this time.
     ServerLink(usize, LinkMode, Duration),
-    /// A backend server leaves, and another takes its address.
+    /// A backend server drains, and another one is started at its address.
     Replace(usize),
-    /// A backend server is gone at once, and another takes its address.
+    /// A backend server is replaced without notice by another one at its address.
     Crash(usize),
-    /// The next requests at a backend server go wrong.
+    /// The next requests at a backend server fail.
     ServerFaults(usize),
     /// The operator's intent changes, this many times in a row.
     ChangeIntent(u32),
     /// The operator's intent changes and grows by this many routes.
     GrowIntent(usize),
-    /// The store comes back from a copy of this age; all write again what was lost.
+    /// The store is restored from a copy of this age; operators and servers write again what was lost.
     RestoreStore(Duration),
-    /// A backend server says in its answers that it leaves, and its entry does not say so.
+    /// A backend server announces in its responses that it leaves, while its entry does not say so.
     AnnounceLeaving(usize),
-    /// A backend server turns requests away for the first time and wants none for the second.
+    /// A backend server rejects requests for the first time, and asks in each response for a backoff of the second.
     AnnounceBackoff(usize, Duration, Duration),
-    /// Operators order a version that fails.
+    /// Operators order the roll-out of a version that fails every request.
     RollOut,
 }
 
-/// How large a run's intent becomes, and how fast the store sends it.
+/// Growth of a run's intent, and the rate at which the store sends it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Growth {
-    /// Changes that make it larger, with their times.
+    /// Events that add routes, with their times.
     pub(crate) events: Vec<(Duration, Event)>,
-    /// Bytes a second on each connection to the store; 0: as fast as it goes.
+    /// Bytes per second on each connection to the store; 0 for no limit.
     pub(crate) store_bytes_per_s: usize,
 }
 
-/// Draws the events of a run, with their times.
+/// Returns the events of a run, with their times.
 pub(crate) fn random_events(
     rng: &mut Rng,
     length: Duration,
@@ -111,10 +113,10 @@
     }
 }
 
-/// Draws how the intent of a run grows: in one of two, by up to three steps. With the slowest link the largest
-/// intent, 2,100 routes of 0.3 KB, takes 1 s: more than a call to the store may be silent.
+/// Returns how the intent of a run grows: in one of two runs, by up to three steps. On the slowest link the largest
+/// intent, 2,100 routes of 0.3 KB, takes 1 s, which is longer than the time for which a call to the store may stall.
 ///
-/// Drawn apart, so that the other events of a seed stay what they were before there was growth.
+/// Uses a generator of its own, so that the other events of a seed do not depend on it.
 pub(crate) fn random_growth(seed: u64, length: Duration) -> Growth {
     let mut rng = Rng::with_seed(seed ^ GROWTH_SEED_MASK);
     let steps = if rng.bool() { rng.u32(1..=3) } else { 0 };
@@ -126,9 +128,9 @@
     Growth { events: at.into_iter().map(grow).collect(), store_bytes_per_s }
 }
 
-/// Draws when the store of a run comes back from a copy: in one run of two, once or twice.
+/// Returns when the store is restored from a copy: in one run of two, once or twice.
 ///
-/// Drawn apart, as growth is.
+/// Uses a generator of its own, as [`random_growth`] does.
 pub(crate) fn random_restores(seed: u64, length: Duration) -> Vec<(Duration, Event)> {
     let mut rng = Rng::with_seed(seed ^ RESTORE_SEED_MASK);
     let times = if rng.bool() { rng.u32(1..=2) } else { 0 };
@@ -140,18 +142,18 @@
     (0..times).map(|_| random_restore()).collect()
 }
 
-/// Draws when operators of a run order a bad version: in one run of two, once.
+/// Returns when operators order a failing version: in one run of two, once.
 ///
-/// Drawn apart, as growth is.
+/// Uses a generator of its own, as [`random_growth`] does.
 pub(crate) fn random_rollout(seed: u64, length: Duration) -> Option<(Duration, Event)> {
     let mut rng = Rng::with_seed(seed ^ ROLLOUT_SEED_MASK);
     let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX).max(1);
     rng.bool().then(|| (Duration::from_millis(rng.u64(..length_ms)), Event::RollOut))
 }
 
-/// Draws when servers of a run say something of themselves in their answers: up to three times.
+/// Returns the three notices that servers of a run send in their responses.
 ///
-/// Drawn apart, as growth is.
+/// Uses a generator of its own, as [`random_growth`] does.
 pub(crate) fn random_notices(
     seed: u64,
     length: Duration,
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose links can be delayed, cut one way, silenced or reset.
+//! A loopback TCP proxy that can delay, block (in one or both directions) or reset its connections.
 
 use std::{
     io::{Read, Write},
@@ -13,28 +13,28 @@
 
 use cartvane::utils::sync::lock;
 
-/// Pause between two looks at a link that lets nothing through.
+/// Interval at which a blocked connection checks the mode.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the link behaves.
+/// How the proxy treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkMode {
-    /// It passes bytes on.
+    /// Forwards bytes.
     Open,
-    /// It passes them on this late.
+    /// Forwards bytes after this delay.
     Delayed(Duration),
-    /// It passes nothing back; bytes wait, as behind a partition.
+    /// Forwards no bytes to the client; they wait, as in a network partition.
     OneWay,
-    /// It passes nothing; bytes wait.
+    /// Forwards nothing; bytes wait.
     Blocked,
-    /// Connections are closed, new ones too.
+    /// Closes all connections, new ones as well.
     Reset,
 }
 
 struct Shared {
     mode: Mutex<LinkMode>,
     target: Mutex<SocketAddr>,
-    /// Both ends of each connection, to reset them.
+    /// Both sockets of each connection, to shut them down.
     open: Mutex<Vec<TcpStream>>,
     closed: AtomicBool,
 }
@@ -46,7 +46,7 @@
 }
 
 impl Proxy {
-    /// Listens on a port of its own before `target`.
+    /// Listens on a free port and forwards connections to `target`.
     pub(crate) fn spawn(target: SocketAddr) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
@@ -69,12 +69,12 @@
         Ok(Proxy { address, shared })
     }
 
-    /// Returns the address.
+    /// Returns the address that it listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how the link behaves.
+    /// Changes the mode, for open connections as well.
     pub(crate) fn set_mode(&self, mode: LinkMode) {
         *lock(&self.shared.mode) = mode;
         if mode == LinkMode::Reset {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Leads to another target from now on; what was open is reset.
+    /// Forwards new connections to another target and closes the open ones.
     pub(crate) fn retarget(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
         self.reset_all();
@@ -90,7 +90,7 @@
 
     fn reset_all(&self) {
         for stream in lock(&self.shared.open).drain(..) {
-            // A connection that has ended needs no reset.
+            // Fails if the connection is closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -100,7 +100,7 @@
     fn drop(&mut self) {
         self.shared.closed.store(true, Ordering::SeqCst);
         self.reset_all();
-        // The accept call returns for this connection and sees the end.
+        // Unblocks the accept call, which then sees that the proxy is closed.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
     }
 }
@@ -117,7 +117,7 @@
         else {
             return;
         };
-        // Delays of small packets would hide the order of events.
+        // Nagle's algorithm would delay small packets and hide the order of events.
         let _ = to.set_nodelay(true);
         lock(&shared.open).push(kept);
         let shared = Arc::clone(shared);
@@ -152,12 +152,12 @@
             return shut_down(&from, &to);
         }
     }
-    // The other direction goes on, as after a half close.
+    // Half-close: the other direction stays open.
     let _ = to.shutdown(Shutdown::Write);
 }
 
 fn shut_down(from: &TcpStream, to: &TcpStream) {
-    // Ends that are gone need no cutting.
+    // Fails if the connection is closed already.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/soak/src/rollouts.rs
+++ b/soak/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of a version that fails, and the promise that few requests meet it.
+//! Roll-outs of a failing version, and the check that it receives few requests.
 
 use std::{thread, time::Duration};
 
@@ -8,10 +8,10 @@
 
 use crate::{checks::Checks, fleet::Fleet};
 
-/// Time that operators give a roll-out.
+/// Duration of a roll-out, as operators order it.
 const ROLLOUT_DURATION: Duration = Duration::from_secs(6);
 
-/// Servers of the new version.
+/// Number of servers of the new version.
 const SERVERS: usize = 2;
 
 /// Share of all requests that operators allow a failing version to receive.
@@ -20,9 +20,10 @@
 /// Requests that a failing version may receive beyond [`EXPOSURE_SHARE`].
 const EXPOSURE_SLACK: f64 = 50.0;
 
+/// Key of the roll-out order in the operators' table.
 const ORDER_KEY: &str = "rollout/app";
 
-/// A version is rolled out of which each answer is a failure; then its servers go, and the order is taken back.
+/// Rolls out a version that fails every request, then removes its servers and the order.
 pub(crate) fn roll_out(fleet: &Fleet, checks: &Checks) {
     if let Err(error) = roll_out_with(fleet, checks) {
         checks.report_violation("the soak itself works", "roll-out", error.to_string());
@@ -47,11 +48,11 @@
     let (after, _) = checks.request_counts();
     let received: usize = new.iter().map(|server| server.arrivals().len()).sum();
     if received as f64 > EXPOSURE_SHARE * (after - before) as f64 + EXPOSURE_SLACK {
-        let observed = format!("{received} requests of {}", after - before);
-        checks.report_violation("few requests meet a bad version", &version, observed);
+        let observed = format!("{received} of {} requests", after - before);
+        checks.report_violation("a failing version receives few requests", &version, observed);
     }
     new.iter().for_each(|server| fleet.store.remove("servers", &server.id));
-    // Once no instance uses them any more.
+    // Waits until no instance uses the removed servers any more.
     thread::sleep(Duration::from_secs(2));
     fleet.store.remove("op", ORDER_KEY);
     lock(&fleet.servers).extend(new);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, callers, the drawn events, and the checks at the end.
+//! One run: starts the fleet and the callers, applies random events, and checks the invariants.
 
 use std::{
     fmt,
@@ -27,30 +27,31 @@
     rollouts,
 };
 
-/// Time after a return of the store in which operators and servers write again, in milliseconds.
+/// Time between a restore of the store and the writes with which operators and servers restore their rows, in
+/// milliseconds.
 const REWRITE_DELAY_MS: std::ops::Range<u64> = 50..1200;
 
-/// Backend servers of a run.
+/// Number of backend servers in use at any time.
 const SERVERS: usize = 5;
 
-/// Callers for each instance.
+/// Number of callers for each instance.
 const CALLERS: usize = 4;
 
-/// Time without disturbance from which an instance's bounds hold.
+/// Time without a disturbance after which the time bounds of an instance hold.
 const UNDISTURBED_TIME: Duration = Duration::from_millis(3000);
 
-/// Time in which all instances serve again when every fault is over.
+/// Time within which all instances serve again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time in which a started process has surely run its first lines.
+/// Time after which a started process has installed its signal handlers.
 const STARTUP_TIME: Duration = Duration::from_millis(500);
 
-/// Room for a busy machine, on top of each bound.
+/// Added to each time bound, because processes are scheduled late on a busy machine.
 pub(crate) const TOLERANCE: Duration = Duration::from_millis(1500);
 
-/// What came of a run.
+/// Result of a run.
 pub(crate) struct Report {
-    /// Broken promises.
+    /// Violated invariants.
     pub(crate) violations: Vec<Violation>,
     requests: u64,
     served: u64,
@@ -97,7 +98,7 @@
     let fleet = Fleet::start(seed, options.instances, SERVERS, &dir)?;
     fleet.store.set_link(growth.store_bytes_per_s);
     let checks = Arc::new(Checks::new());
-    wait_until_serving(&fleet, &checks, "a fleet that starts serves");
+    wait_until_serving(&fleet, &checks, "all instances serve after their start");
     let callers = Callers::spawn(options.instances * CALLERS, seed, &fleet, &checks);
     let started_at = Instant::now();
     let mut running_events = Vec::new();
@@ -119,11 +120,11 @@
             checks.report_violation("the soak itself works", "event", "a thread panicked");
         }
     }
-    wait_until_serving(&fleet, &checks, "everything serves again when the faults are over");
+    wait_until_serving(&fleet, &checks, "all instances serve again after the last fault");
     check_undisturbed(&fleet, &checks, interrupted);
     load::check(&fleet, &checks);
     callers.finish();
-    // Requests that were given up on end at their servers within their deadlines.
+    // Servers may still run requests whose callers have given up on them; they finish within their deadlines.
     thread::sleep(Duration::from_millis(500));
     checks.check_runs(&lock(&fleet.servers));
     let (requests, served) = checks.request_counts();
@@ -131,7 +132,7 @@
     Ok(Report { violations: checks.take_violations(), requests, served, events: count, logs })
 }
 
-/// Lets an event happen in a thread of its own, so that events overlap.
+/// Applies an event in a thread of its own, so that events overlap.
 fn spawn_event(event: Event, fleet: &Arc<Fleet>, checks: &Arc<Checks>, rng: Rng) -> JoinHandle<()> {
     let (fleet, checks) = (Arc::clone(fleet), Arc::clone(checks));
     thread::spawn(move || apply_event(event, &fleet, &checks, rng))
@@ -146,7 +147,7 @@
             restart(fleet, checks, number);
         }
         Event::Freeze(number, time) => {
-            // Not under the instance's lock: it may be told to end while it stands still.
+            // Does not hold the instance's lock, so that a frozen process can receive other signals.
             send(&fleet.pids[number], Signal::STOP);
             thread::sleep(time);
             send(&fleet.pids[number], Signal::CONT);
@@ -221,8 +222,8 @@
     }
 }
 
-/// Tells an instance to read its settings again, unless it has only just been started: until a
-/// program runs its first lines, the system's own answer to the signal is to end it.
+/// Has an instance reload its settings, unless it was started only just now: before the process has installed its
+/// handler, the default action of SIGHUP terminates it.
 fn reload(fleet: &Fleet, number: usize) {
     let mut instance = lock(&fleet.instances[number]);
     if instance.disturbed_at.elapsed() > STARTUP_TIME {
@@ -231,15 +232,14 @@
 }
 
 fn terminate(fleet: &Fleet, checks: &Checks, number: usize) {
-    // The lock is held while the process ends: nothing else is done to it, but for what others
-    // have begun before.
+    // Holds the lock until the process exits, so that no other event except one that already runs affects it.
     let mut instance = lock(&fleet.instances[number]);
     instance.signal(Signal::TERM);
     if !instance.wait(GRACE_PERIOD + plan::FAULT_TIME_MAX + TOLERANCE) {
         checks.report_violation(
-            "an instance ends within the grace time",
+            "an instance exits within the grace period",
             &format!("edge-{number}"),
-            "runs",
+            "still running",
         );
         instance.kill();
     }
@@ -262,7 +262,7 @@
     }
 }
 
-/// A server says that it leaves; once that must be known, nothing more may arrive there.
+/// Marks a server's entry as draining and checks that no request arrives there once the drain time has passed.
 fn drain_server(fleet: &Fleet, checks: &Checks, endpoint: usize) {
     let since = Instant::now();
     fleet.write_entry(endpoint, "draining");
@@ -271,12 +271,12 @@
     thread::sleep(Duration::from_millis(700));
     let (still, after) = fleet.arrivals(endpoint);
     if id == still {
-        // The caller's id of a request names the instance that it was sent to.
+        // A request id contains the number of the instance that the caller sent it to.
         for request in &after[before.len()..] {
             let number = request.rsplit_once("-i").and_then(|(_, number)| number.parse().ok());
             if number.is_some_and(|number| is_undisturbed(fleet, number, since)) {
                 checks.report_violation(
-                    "a leaving server gets nothing new",
+                    "a draining server receives no new requests",
                     request,
                     format!("at {id}"),
                 );
@@ -286,8 +286,8 @@
     replace_server(fleet, checks, endpoint);
 }
 
-/// The intent changes; once that must be in force, calm instances serve by it and not by the one
-/// before.
+/// Changes the intent and checks that, after the time for applying it, undisturbed instances serve the new version
+/// and not the one before.
 fn change_intent(fleet: &Fleet, checks: &Checks, times: u32) {
     let since = Instant::now();
     let mut version = 0;
@@ -305,7 +305,7 @@
         if new == 404 || old == 200 {
             let observed = format!("version {version}: new {new}, old {old}");
             checks.report_violation(
-                "a change is in force in time",
+                "an intent change is applied in time",
                 &format!("edge-{number}"),
                 observed,
             );
@@ -324,14 +324,14 @@
     call.with("x-request-id", format!("probe-{number}-{version}")).send(address).status
 }
 
-/// Returns whether nothing has been done to the store and an instance from a little before `since`.
+/// Returns whether the store and an instance were undisturbed for [`UNDISTURBED_TIME`] before `since` and ever since.
 fn is_undisturbed(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return false };
     let undisturbed = |at: Instant| at + UNDISTURBED_TIME < since;
     undisturbed(instance.disturbed_at) && undisturbed(*lock(&fleet.store_disturbed_at))
 }
 
-/// Waits until every instance serves requests of its own.
+/// Waits until every instance serves a request; reports a violation if that takes too long.
 fn wait_until_serving(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
     let deadline = Instant::now() + RECOVERY_TIMEOUT + TOLERANCE;
     for (number, instance) in fleet.instances.iter().enumerate() {
@@ -342,8 +342,8 @@
                 Call { timeout: Duration::from_secs(2), ..Call::post("/idem/", KEY, "probe") };
             status = call.with("x-request-id", "probe").send(address).status;
             if Instant::now() >= deadline {
-                let ended = lock(instance).ended();
-                let observed = format!("status {status}, ended {ended:?}");
+                let exited = lock(instance).exit_status();
+                let observed = format!("status {status}, exit {exited:?}");
                 checks.report_violation(invariant, &format!("edge-{number}"), observed);
                 return;
             }
@@ -352,7 +352,7 @@
     }
 }
 
-/// Changes the intent and lets a server leave once more, when nothing else happens: then the bounds
+/// Changes the intent and announces that servers leave or back off while no other event runs: then the time bounds
 /// hold for every instance.
 fn check_undisturbed(fleet: &Fleet, checks: &Checks, interrupted: &AtomicBool) {
     thread::sleep(UNDISTURBED_TIME + Duration::from_millis(100));
