--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -66,7 +66,7 @@
     let mut sent = 0;
     while !stop.load(Ordering::SeqCst) {
         let instance = rng.usize(..fleet.instances.len());
-        let address = lock(&fleet.instances[instance]).callers;
+        let address = lock(&fleet.instances[instance]).frontend;
         let conn = Conn::connect(address, Duration::from_secs(1), &Clock::system());
         let Ok(mut conn) = conn else {
             thread::sleep(Duration::from_millis(rng.u64(..PAUSE_MAX_MS)));
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -35,7 +35,7 @@
 /// An instance, whether its process runs or not.
 pub(crate) struct Instance {
     /// Address that callers connect to.
-    pub(crate) callers: SocketAddr,
+    pub(crate) frontend: SocketAddr,
     /// Proxy between the instance and the store.
     pub(crate) store_proxy: Proxy,
     settings: PathBuf,
@@ -115,7 +115,7 @@
             pids.push(Arc::default());
             started.push(Mutex::new(Instance {
                 pid: Arc::clone(&pids[number]),
-                callers: address(7000),
+                frontend: address(7000),
                 store_proxy,
                 settings,
                 log: dir.join(format!("{number}.log")),
@@ -154,26 +154,26 @@
 
     /// Starts a new incarnation behind an endpoint; the one before keeps running at its own address.
     pub(crate) fn replace_server(&self, endpoint: usize) -> anyhow::Result<()> {
-        let mut at = lock(&self.endpoints[endpoint]);
+        let mut current = lock(&self.endpoints[endpoint]);
         let mut servers = lock(&self.servers);
         let id = format!("s{endpoint}-{}", servers.len());
         let server = Listed::spawn(&id)?;
-        self.store.remove("servers", &servers[at.server].id);
-        at.proxy.retarget(server.address());
-        at.server = servers.len();
+        self.store.remove("servers", &servers[current.server].id);
+        current.proxy.retarget(server.address());
+        current.server = servers.len();
         servers.push(server);
-        drop((at, servers));
+        drop((current, servers));
         self.write_entry(endpoint, "ready");
         Ok(())
     }
 
     /// Returns the id of an endpoint's server and the ids of the requests that have arrived there.
     pub(crate) fn arrivals(&self, endpoint: usize) -> (String, Vec<String>) {
-        let at = lock(&self.endpoints[endpoint]).server;
+        let server = lock(&self.endpoints[endpoint]).server;
         let servers = lock(&self.servers);
-        let arrivals = servers[at].arrivals();
+        let arrivals = servers[server].arrivals();
         let id = |request: &Received| request.head.header("x-request-id").unwrap_or("").to_owned();
-        (servers[at].id.clone(), arrivals.iter().map(id).collect())
+        (servers[server].id.clone(), arrivals.iter().map(id).collect())
     }
 
     /// Returns the number of requests in flight at each current server.
@@ -181,7 +181,7 @@
         let used: Vec<usize> =
             self.endpoints.iter().map(|endpoint| lock(endpoint).server).collect();
         let servers = lock(&self.servers);
-        used.into_iter().map(|at| servers[at].in_flight()).collect()
+        used.into_iter().map(|server| servers[server].in_flight()).collect()
     }
 
     /// Sets the mode of an endpoint's proxy.
@@ -193,8 +193,8 @@
 
     /// Injects faults into the next requests at an endpoint, one for each.
     pub(crate) fn inject_faults(&self, endpoint: usize, faults: &[Fault]) {
-        let at = lock(&self.endpoints[endpoint]).server;
-        lock(&self.servers)[at].faults.push(faults.iter().copied());
+        let server = lock(&self.endpoints[endpoint]).server;
+        lock(&self.servers)[server].faults.push(faults.iter().copied());
     }
 
     /// Writes the next version of the intent and returns its number.
@@ -215,8 +215,8 @@
         let used: Vec<String> = (0..self.endpoints.len())
             .map(|endpoint| {
                 self.write_entry(endpoint, "ready");
-                let at = lock(&self.endpoints[endpoint]).server;
-                lock(&self.servers)[at].id.clone()
+                let server = lock(&self.endpoints[endpoint]).server;
+                lock(&self.servers)[server].id.clone()
             })
             .collect();
         // Entries of former servers, which the copy may contain, are removed as if they had expired.
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -69,7 +69,7 @@
 }
 
 fn call_until(stop: &AtomicBool, fleet: &Fleet, number: usize) {
-    let address = lock(&fleet.instances[number % fleet.instances.len()]).callers;
+    let address = lock(&fleet.instances[number % fleet.instances.len()]).frontend;
     let mut sent = 0;
     while !stop.load(Ordering::SeqCst) {
         sent += 1;
--- a/soak/src/options.rs
+++ b/soak/src/options.rs
@@ -26,7 +26,7 @@
     /// Seeds, with one run each.
     pub(crate) seeds: Range<u64>,
     /// Time in which faults are injected in a run.
-    pub(crate) faults: Duration,
+    pub(crate) fault_time: Duration,
     /// Number of instances.
     pub(crate) instances: usize,
     /// Whether events are printed.
@@ -42,8 +42,8 @@
         let seconds: u64 = args.opt_value_from_str("--seconds")?.unwrap_or(12);
         let instances: usize = args.opt_value_from_str("--instances")?.unwrap_or(4);
         let verbose = args.contains("--verbose");
-        let rest = args.finish();
-        anyhow::ensure!(rest.is_empty(), "unknown option {rest:?}");
+        let unknown = args.finish();
+        anyhow::ensure!(unknown.is_empty(), "unknown option {unknown:?}");
         anyhow::ensure!((1..=SECONDS_MAX).contains(&seconds), "--seconds takes 1 to {SECONDS_MAX}");
         anyhow::ensure!(
             (1..=INSTANCES_MAX).contains(&instances),
@@ -62,6 +62,6 @@
             }
         };
         anyhow::ensure!(!seeds.is_empty(), "the range of seeds is empty");
-        Ok(Options { seeds, faults: Duration::from_secs(seconds), instances, verbose })
+        Ok(Options { seeds, fault_time: Duration::from_secs(seconds), instances, verbose })
     }
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -83,16 +83,16 @@
         std::fs::remove_dir_all(&dir)?;
     }
     let mut rng = Rng::with_seed(seed);
-    let events = plan::random_events(&mut rng, options.faults, options.instances, SERVERS);
-    let growth = plan::random_growth(seed, options.faults);
+    let events = plan::random_events(&mut rng, options.fault_time, options.instances, SERVERS);
+    let growth = plan::random_growth(seed, options.fault_time);
     let mut events: Vec<(Duration, Event, Rng)> =
         events.into_iter().map(|(at, event)| (at, event, rng.fork())).collect();
     events.extend(growth.events.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let restores = plan::random_restores(seed, options.faults);
+    let restores = plan::random_restores(seed, options.fault_time);
     events.extend(restores.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let notices = plan::random_notices(seed, options.faults, SERVERS);
+    let notices = plan::random_notices(seed, options.fault_time, SERVERS);
     events.extend(notices.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let rollout = plan::random_rollout(seed, options.faults);
+    let rollout = plan::random_rollout(seed, options.fault_time);
     events.extend(rollout.into_iter().map(|(at, event)| (at, event, rng.fork())));
     events.sort_by_key(|(at, ..)| *at);
     let fleet = Fleet::start(seed, options.instances, SERVERS, &dir)?;
@@ -315,7 +315,7 @@
 
 fn probe(fleet: &Fleet, number: usize, version: u64) -> u16 {
     let Ok(instance) = fleet.instances[number].try_lock() else { return 0 };
-    let address = instance.callers;
+    let address = instance.frontend;
     drop(instance);
     let call = Call {
         timeout: Duration::from_secs(3),
@@ -335,7 +335,7 @@
 fn wait_until_serving(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
     let deadline = Instant::now() + RECOVERY_TIMEOUT + TOLERANCE;
     for (number, instance) in fleet.instances.iter().enumerate() {
-        let address = lock(instance).callers;
+        let address = lock(instance).frontend;
         let mut status = 0;
         while status != 200 {
             let call =
