--- a/src/report/chart.rs
+++ b/src/report/chart.rs
@@ -38,17 +38,18 @@
 pub fn svg(summary: &Summary) -> Result<String, ChartError> {
     let seconds: Vec<(&str, [u64; Ending::ALL.len()])> =
         summary.seconds().map(|(second, counts)| (second, *counts)).collect();
-    let most = seconds.iter().flat_map(|(_, counts)| counts).copied().max();
-    let most = most.ok_or(ChartError::Empty)?;
+    let max_count = seconds.iter().flat_map(|(_, counts)| counts).copied().max();
+    let max_count = max_count.ok_or(ChartError::Empty)?;
     let mut text = String::new();
-    draw(summary, &seconds, most, &mut text).map_err(|e| ChartError::Drawing(e.to_string()))?;
+    draw(summary, &seconds, max_count, &mut text)
+        .map_err(|e| ChartError::Drawing(e.to_string()))?;
     Ok(text)
 }
 
 fn draw(
     summary: &Summary,
     seconds: &[(&str, [u64; Ending::ALL.len()])],
-    most: u64,
+    max_count: u64,
     text: &mut String,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
@@ -57,7 +58,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d(0..seconds.len().max(1), 0..most + 1)?;
+        .build_cartesian_2d(0..seconds.len().max(1), 0..max_count + 1)?;
     let name = |at: &usize| {
         seconds.get(*at).map_or(String::new(), |(s, _)| s[11.min(s.len())..].to_owned())
     };
@@ -78,10 +79,11 @@
     let marked = summary.state_changes().filter(|(_, event, _)| MARKED_EVENTS.contains(event));
     for (second, event, _) in marked {
         let Ok(at) = seconds.binary_search_by(|(known, _)| (*known).cmp(second)) else { continue };
-        let line = PathElement::new([(at, 0), (at, most + 1)], BLACK.mix(0.25));
+        let line = PathElement::new([(at, 0), (at, max_count + 1)], BLACK.mix(0.25));
         chart.draw_series([line])?;
-        let place = MARKED_EVENTS.iter().position(|marked| *marked == event).unwrap_or(0) as u64;
-        let height = most.saturating_sub(place * most / 12);
+        let label_index =
+            MARKED_EVENTS.iter().position(|marked| *marked == event).unwrap_or(0) as u64;
+        let height = max_count.saturating_sub(label_index * max_count / 12);
         chart.draw_series([Text::new(event.to_owned(), (at, height), ("sans-serif", 11))])?;
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
--- a/src/report/times.rs
+++ b/src/report/durations.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 
 /// Longest time that is told apart, in milliseconds: an hour.
-const MOST_MS: u64 = 3_600_000;
+const DURATION_MAX_MS: u64 = 3_600_000;
 
 /// Significant digits kept.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Times of a group of requests.
 #[derive(Debug, Default)]
-pub struct Times {
+pub struct Durations {
     /// Made with the first time: most groups of a long table have few.
     histogram: Option<Histogram<u32>>,
     count: u64,
@@ -28,17 +28,22 @@
     pub p99_ms: u64,
 }
 
-impl Times {
+impl Durations {
     /// Counts a request, with its time if it is known.
-    pub fn note(&mut self, took_ms: Option<f64>) {
+    pub fn record(&mut self, took_ms: Option<f64>) {
         self.count += 1;
-        let Some(took) = took_ms.filter(|took| took.is_finite() && *took >= 0.0) else { return };
+        let Some(duration_ms) =
+            took_ms.filter(|duration_ms| duration_ms.is_finite() && *duration_ms >= 0.0)
+        else {
+            return;
+        };
         if self.histogram.is_none() {
             // The bounds are constants that the library takes, so there is always one.
-            self.histogram = Histogram::new_with_bounds(1, MOST_MS, DIGITS).ok();
+            self.histogram =
+                Histogram::new_with_bounds(1, DURATION_MAX_MS, SIGNIFICANT_DIGITS).ok();
         }
         if let Some(histogram) = &mut self.histogram {
-            histogram.saturating_record((took.round() as u64).max(1));
+            histogram.saturating_record((duration_ms.round() as u64).max(1));
         }
     }
 
--- a/src/report/line.rs
+++ b/src/report/line.rs
@@ -89,13 +89,13 @@
             _ if reason == "caller left" => Ending::Left,
             0 => Ending::Left,
             200..300 if reason == "stream broke" => Ending::Failed,
-            200..300 => self.on_time(),
+            200..300 => self.timeliness(),
             408 | 421 | 429 | 503 if self.outcome.as_deref() != Some("unknown") => Ending::Refused,
             _ => Ending::Failed,
         })
     }
 
-    fn on_time(&self) -> Ending {
+    fn timeliness(&self) -> Ending {
         let first = self.first_ms.filter(|&first| first >= 0.0).or(self.took_ms);
         match (first, self.target_ms) {
             (Some(first), Some(target)) if first > target => Ending::Late,
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -2,10 +2,10 @@
 //! failed, and what changed in belief, on one time line.
 
 pub mod chart;
+pub mod durations;
 pub mod line;
 pub mod request_trace;
 pub mod summary;
-pub mod times;
 
 pub use line::LogLine;
 pub use request_trace::RequestTrace;
--- a/src/report/summary.rs
+++ b/src/report/summary.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 
 use super::{
+    durations::{Durations, Percentiles},
     line::{Ending, LogLine},
-    times::{Percentiles, Times},
 };
 
 /// Groups of one kind that are kept apart; what is beyond is counted together, so that memory stays
@@ -17,7 +17,7 @@
 const GROUPS_MAX: usize = 10_000;
 
 /// Rows of a table.
-const ROWS: usize = 20;
+const TABLE_ROWS_MAX: usize = 20;
 
 /// Name of the group that takes what is beyond the bound.
 const OTHERS: &str = "(others)";
@@ -41,7 +41,7 @@
     lines: u64,
     damaged: u64,
     left_out: u64,
-    requests: HashMap<RequestGroup, Times>,
+    requests: HashMap<RequestGroup, Durations>,
     attempts: HashMap<AttemptGroup, u64>,
     repeats_denied: u64,
     /// Lines of belief by second and event.
@@ -57,7 +57,7 @@
     group: &'a RequestGroup,
     count: u64,
     #[serde(flatten)]
-    times: Option<Percentiles>,
+    durations: Option<Percentiles>,
 }
 
 /// A row of attempts, for JSON.
@@ -103,7 +103,7 @@
         let text = |text: &Option<String>| text.clone().unwrap_or_else(|| "-".to_owned());
         let group = RequestGroup { route: text(&line.route), ending, reason: text(&line.reason) };
         let others = RequestGroup { route: OTHERS.to_owned(), ending, reason: OTHERS.to_owned() };
-        bounded(&mut self.requests, group, others).note(line.took_ms);
+        bounded_entry(&mut self.requests, group, others).record(line.took_ms);
         let second = line.second();
         if let Some(counts) = self.seconds.get_mut(second) {
             counts[ending as usize] += 1;
@@ -116,7 +116,7 @@
         let fault = line.fault.clone().unwrap_or_else(|| "server error".to_owned());
         let server = line.server.clone().unwrap_or_else(|| "-".to_owned());
         let others = AttemptGroup { fault: fault.clone(), server: OTHERS.to_owned() };
-        *bounded(&mut self.attempts, AttemptGroup { fault, server }, others) += 1;
+        *bounded_entry(&mut self.attempts, AttemptGroup { fault, server }, others) += 1;
     }
 
     /// Returns requests by second and ending, in order of time.
@@ -130,10 +130,10 @@
     }
 
     fn request_rows(&self) -> Vec<RequestRow<'_>> {
-        let row = |(group, times): (_, &Times)| RequestRow {
+        let row = |(group, durations): (_, &Durations)| RequestRow {
             group,
-            count: times.count(),
-            times: times.percentiles(),
+            count: durations.count(),
+            durations: durations.percentiles(),
         };
         let mut rows: Vec<RequestRow<'_>> = self.requests.iter().map(row).collect();
         rows.sort_by(|a, b| b.count.cmp(&a.count).then_with(|| a.group.cmp(b.group)));
@@ -174,23 +174,27 @@
         );
         text.push_str("\nrequests   ending    p50 ms   p90 ms   p99 ms  route, reason\n");
         let rows = self.request_rows();
-        for row in rows.iter().take(ROWS) {
-            let times = row.times.map_or_else(
+        for row in rows.iter().take(TABLE_ROWS_MAX) {
+            let durations = row.durations.map_or_else(
                 || format!("{:>8} {:>8} {:>8}", "-", "-", "-"),
                 |t| format!("{:>8} {:>8} {:>8}", t.p50_ms, t.p90_ms, t.p99_ms),
             );
             let RequestGroup { route, ending, reason } = row.group;
             // Writing to a string cannot fail.
-            let _ =
-                writeln!(text, "{:>8}   {:<8}{times}  {route}, {reason}", row.count, ending.name());
+            let _ = writeln!(
+                text,
+                "{:>8}   {:<8}{durations}  {route}, {reason}",
+                row.count,
+                ending.name()
+            );
         }
-        more(&mut text, rows.len());
+        note_omitted_rows(&mut text, rows.len());
         let _ = writeln!(text, "\nattempts   fault          server");
         let rows = self.attempt_rows();
-        for AttemptRow { group, count } in rows.iter().take(ROWS) {
+        for AttemptRow { group, count } in rows.iter().take(TABLE_ROWS_MAX) {
             let _ = writeln!(text, "{count:>8}   {:<14} {}", group.fault, group.server);
         }
-        more(&mut text, rows.len());
+        note_omitted_rows(&mut text, rows.len());
         let _ = writeln!(text, "{:>8}   repeats denied by the retry budget", self.repeats_denied);
         text.push_str("\nwhat changed in belief, by second\n");
         let mut last = "";
@@ -203,18 +207,18 @@
     }
 }
 
-fn more(text: &mut String, rows: usize) {
-    if rows > ROWS {
-        let _ = writeln!(text, "           ({} rows more; --json has all)", rows - ROWS);
+fn note_omitted_rows(text: &mut String, rows: usize) {
+    if rows > TABLE_ROWS_MAX {
+        let _ = writeln!(text, "           ({} rows more; --json has all)", rows - TABLE_ROWS_MAX);
     }
 }
 
 /// Returns the entry of `key`, or of `others` where there are too many.
-fn bounded<K: std::hash::Hash + Eq, V: Default>(
+fn bounded_entry<K: std::hash::Hash + Eq, V: Default>(
     map: &mut HashMap<K, V>,
     key: K,
     others: K,
 ) -> &mut V {
-    let full = map.len() >= GROUPS_MAX && !map.contains_key(&key);
-    map.entry(if full { others } else { key }).or_default()
+    let is_full = map.len() >= GROUPS_MAX && !map.contains_key(&key);
+    map.entry(if is_full { others } else { key }).or_default()
 }
