--- a/src/report/chart.rs
+++ b/src/report/chart.rs
@@ -1,16 +1,17 @@
-//! Requests over time as a picture, with the moments at which something changed in belief.
+//! An SVG chart of requests over time, with marks at notable changes of state.
 
 use plotters::prelude::*;
 
 use super::{Summary, line::Ending};
 
-/// Size of the picture, in pixels.
+/// Width and height of the chart, in pixels.
 const SIZE: (u32, u32) = (1200, 480);
 
-/// Events of belief that are marked: those that tell of trouble.
+/// Changes of state that are marked in the chart: starts, and failures of the store, servers, peers or requests.
 const MARKED_EVENTS: [&str; 6] =
     ["started", "store_lost", "server_silent", "server_gone", "peer_silent", "request_found"];
 
+/// Line colours, in the order of [`Ending::ALL`].
 const COLOURS: [RGBColor; Ending::ALL.len()] = [
     RGBColor(60, 140, 80),
     RGBColor(220, 160, 40),
@@ -19,22 +20,22 @@
     RGBColor(150, 150, 150),
 ];
 
-/// Why there is no picture.
+/// Why a chart cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ChartError {
-    /// The lines tell of no request.
-    #[error("no line tells of a request; give the logs of instances that had some")]
+    /// No log line is about a request.
+    #[error("the logs contain no request; pass the logs of instances that received requests")]
     Empty,
-    /// It could not be drawn.
-    #[error("the picture could not be drawn: {0}")]
+    /// The drawing library failed.
+    #[error("the chart could not be drawn: {0}")]
     Drawing(String),
 }
 
-/// Returns requests a second by ending as an SVG picture.
+/// Returns an SVG chart of the requests per second by ending.
 ///
 /// # Errors
 ///
-/// There are no requests, or the drawing fails.
+/// The summary has no requests, or the drawing fails.
 pub fn svg(summary: &Summary) -> Result<String, ChartError> {
     let seconds: Vec<(&str, [u64; Ending::ALL.len()])> =
         summary.seconds().map(|(second, counts)| (second, *counts)).collect();
--- a/src/report/durations.rs
+++ b/src/report/durations.rs
@@ -1,18 +1,18 @@
-//! Times of requests in bounded memory.
+//! Durations of requests in bounded memory.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest time that is told apart, in milliseconds: an hour.
+/// Largest recorded duration, an hour; longer ones count as this one.
 const DURATION_MAX_MS: u64 = 3_600_000;
 
-/// Significant digits kept.
+/// Precision of the histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times of a group of requests.
+/// Durations of a group of requests.
 #[derive(Debug, Default)]
 pub struct Durations {
-    /// Made with the first time: most groups of a long table have few.
+    /// Allocated with the first duration: most groups of a large report have few requests.
     histogram: Option<Histogram<u32>>,
     count: u64,
 }
@@ -20,16 +20,16 @@
 /// Percentiles, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Half of the times are at most this.
+    /// Median duration.
     pub p50_ms: u64,
-    /// Nine in ten are.
+    /// 90th percentile.
     pub p90_ms: u64,
-    /// Ninety-nine in a hundred are.
+    /// 99th percentile.
     pub p99_ms: u64,
 }
 
 impl Durations {
-    /// Counts a request, with its time if it is known.
+    /// Counts a request, and records its duration if that is known.
     pub fn record(&mut self, took_ms: Option<f64>) {
         self.count += 1;
         let Some(duration_ms) =
@@ -38,7 +38,7 @@
             return;
         };
         if self.histogram.is_none() {
-            // The bounds are constants that the library takes, so there is always one.
+            // Always succeeds, since the library accepts these constants.
             self.histogram =
                 Histogram::new_with_bounds(1, DURATION_MAX_MS, SIGNIFICANT_DIGITS).ok();
         }
@@ -52,7 +52,7 @@
         self.count
     }
 
-    /// Returns the percentiles; `None` where no time is known.
+    /// Returns the percentiles, or `None` if no duration is known.
     pub fn percentiles(&self) -> Option<Percentiles> {
         let histogram = self.histogram.as_ref().filter(|histogram| !histogram.is_empty())?;
         let at = |quantile| histogram.value_at_quantile(quantile);
--- a/src/report/line.rs
+++ b/src/report/line.rs
@@ -1,38 +1,38 @@
-//! One log line of an instance.
+//! Parses log lines of instances.
 
 use serde::Deserialize;
 
-/// What is understood of a line; whatever else it holds is left aside.
+/// The keys of a log line that the report uses; all others are ignored.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct LogLine {
-    /// Time of day, in RFC 3339.
+    /// Wall-clock time, in RFC 3339.
     pub at: String,
-    /// The instance.
+    /// Id of the instance.
     pub instance: String,
-    /// What the line tells.
+    /// Name of the event.
     pub event: String,
-    /// Id of the request that it tells of.
+    /// Id of the request, if the event is about one.
     pub request: Option<String>,
-    /// The request's route.
+    /// Route of the request.
     pub route: Option<String>,
-    /// Backend server.
+    /// Id of the backend server.
     pub server: Option<String>,
-    /// Status that the caller got; 0 where it left before any.
+    /// Status of the response to the caller; 0 if the caller disconnected before it.
     pub status: Option<u16>,
-    /// Whether the request ran.
+    /// Outcome: whether the request ran.
     pub outcome: Option<String>,
-    /// What decided the end.
+    /// Reason for the status.
     pub reason: Option<String>,
-    /// How an attempt failed.
+    /// Kind of fault of a failed attempt.
     pub fault: Option<String>,
-    /// Milliseconds from the request's head to its end.
+    /// Milliseconds from the request's head until the request ended.
     pub took_ms: Option<f64>,
-    /// Milliseconds from the request's head to the first bytes of a server's answer.
+    /// Milliseconds from the request's head to the first bytes of a server's response; negative if there were none.
     pub first_ms: Option<f64>,
-    /// Milliseconds within which those were due.
+    /// Target for `first_ms`.
     pub target_ms: Option<f64>,
-    /// Lines that were left out.
+    /// Number of log lines that the instance dropped.
     pub count: Option<u64>,
 }
 
@@ -40,24 +40,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// A good answer, its first bytes within the target.
+    /// A successful response, with its first bytes within the target.
     InTime,
-    /// A good answer, later.
+    /// A successful response, with its first bytes after the target.
     Late,
-    /// Refused, and truthfully not run.
+    /// Rejected without having run.
     Refused,
-    /// A failure, or a cut answer.
+    /// Any other status, or a response that broke off.
     Failed,
-    /// The caller left first.
+    /// The caller disconnected before the end.
     Left,
 }
 
 impl Ending {
-    /// Every ending, the best first.
+    /// Every ending, from best to worst for the caller, then [`Ending::Left`].
     pub const ALL: [Ending; 5] =
         [Ending::InTime, Ending::Late, Ending::Refused, Ending::Failed, Ending::Left];
 
-    /// Returns the name in tables.
+    /// Returns the name that tables and charts show.
     pub fn name(self) -> &'static str {
         match self {
             Ending::InTime => "in time",
@@ -70,15 +70,15 @@
 }
 
 impl LogLine {
-    /// Reads a line; what stands before its JSON object, such as a collector's own time and name, is
-    /// passed over. `None` where there is no whole object with an event in it.
+    /// Parses a line. Text before the JSON object, such as a time and a name that a log collector adds, is skipped.
+    /// Returns `None` if there is no complete object with an event.
     pub fn parse(text: &str) -> Option<LogLine> {
         let object = &text[text.find('{')?..];
         let line: LogLine = serde_json::from_str(object.trim_end()).ok()?;
         (!line.event.is_empty()).then_some(line)
     }
 
-    /// Returns how the request of this line ended, if the line tells of that.
+    /// Returns how the request ended, if this line is about the end of a request.
     pub fn ending(&self) -> Option<Ending> {
         if !matches!(self.event.as_str(), "request" | "refused") {
             return None;
@@ -95,6 +95,8 @@
         })
     }
 
+    /// Returns whether a successful response was in time. Lines without the time of the first bytes count by their
+    /// whole duration, and lines without a target as in time.
     fn timeliness(&self) -> Ending {
         let first = self.first_ms.filter(|&first| first >= 0.0).or(self.took_ms);
         match (first, self.target_ms) {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Returns whether the line tells of a change in what an instance believes, or of its process.
+    /// Returns whether the event is a change in what the instance knows of the cluster, or in its own process.
     pub fn is_state_change(&self) -> bool {
         const STATE_CHANGES: [&str; 21] = [
             "started",
@@ -131,7 +133,7 @@
         STATE_CHANGES.contains(&self.event.as_str())
     }
 
-    /// Returns the second that the line belongs to, as text that sorts by time.
+    /// Returns the time down to the second, as text that sorts by time.
     pub fn second(&self) -> &str {
         self.at.get(..19).unwrap_or(&self.at)
     }
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! What the log lines of any number of instances say together: requests by route and result, attempts that
-//! failed, and what changed in belief, on one time line.
+//! Summary of the log lines of any number of instances: requests by route and result, failed attempts, and changes of
+//! state over time.
 
 pub mod chart;
 pub mod durations;
--- a/src/report/request_trace.rs
+++ b/src/report/request_trace.rs
@@ -1,8 +1,8 @@
-//! All that instances told of one request, in order of time.
+//! All log lines about one request, in order of time.
 
 use super::LogLine;
 
-/// The lines of one request.
+/// Log lines about one request.
 #[derive(Debug)]
 pub struct RequestTrace {
     id: String,
@@ -10,14 +10,14 @@
 }
 
 impl RequestTrace {
-    /// Returns the story of a request that nothing is known of yet.
+    /// Returns an empty trace of the request `id`.
     pub fn new(id: impl Into<String>) -> RequestTrace {
         RequestTrace { id: id.into(), lines: Vec::new() }
     }
 
-    /// Takes a line as it was written, if it tells of the request.
+    /// Adds a log line, as it was written, if it is about the request.
     pub fn add_line(&mut self, text: &str) {
-        // Reading a line costs far more than looking for the id in it.
+        // Parsing a line costs far more than searching it for the id.
         if !text.contains(&self.id) {
             return;
         }
@@ -28,10 +28,9 @@
         }
     }
 
-    /// Returns the lines in order of time, as they were written; empty where there are none.
+    /// Returns the lines in order of time, as they were written but without any text before their JSON object.
     ///
-    /// Instances' clocks may differ by some seconds, so lines of two instances may stand in the wrong
-    /// order.
+    /// Clocks of instances may differ by some seconds, so lines of different instances may be in the wrong order.
     pub fn lines(&self) -> Vec<&str> {
         let mut lines: Vec<&(LogLine, String)> = self.lines.iter().collect();
         lines.sort_by(|a, b| a.0.at.cmp(&b.0.at));
--- a/src/report/summary.rs
+++ b/src/report/summary.rs
@@ -1,4 +1,4 @@
-//! Counts over all lines.
+//! Counts of requests, attempts and changes of state over all log lines.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,14 +12,14 @@
     line::{Ending, LogLine},
 };
 
-/// Groups of one kind that are kept apart; what is beyond is counted together, so that memory stays
-/// bounded whatever the lines say.
+/// Maximum number of groups of one kind. Requests and attempts of further groups are counted under [`OTHERS`], and
+/// further entries by second are dropped, so that memory stays bounded for any input.
 const GROUPS_MAX: usize = 10_000;
 
-/// Rows of a table.
+/// Maximum number of rows in a table.
 const TABLE_ROWS_MAX: usize = 20;
 
-/// Name of the group that takes what is beyond the bound.
+/// Name of the group for everything beyond [`GROUPS_MAX`].
 const OTHERS: &str = "(others)";
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
@@ -35,7 +35,7 @@
     server: String,
 }
 
-/// Counts of requests and attempts, and what changed in belief.
+/// Counts of requests, attempts and changes of state.
 #[derive(Debug, Default)]
 pub struct Summary {
     lines: u64,
@@ -44,9 +44,9 @@
     requests: HashMap<RequestGroup, Durations>,
     attempts: HashMap<AttemptGroup, u64>,
     repeats_denied: u64,
-    /// Lines of belief by second and event.
+    /// Number of lines about changes of state, by second and event.
     state_changes: BTreeMap<(String, String), u64>,
-    /// Requests by second and ending.
+    /// Number of requests, by second and ending.
     seconds: BTreeMap<String, [u64; Ending::ALL.len()]>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Summary {
-    /// Takes a line as it was written.
+    /// Counts a log line, as it was written.
     pub fn add_line(&mut self, text: &str) {
         if text.trim().is_empty() {
             return;
@@ -119,12 +119,12 @@
         *bounded_entry(&mut self.attempts, AttemptGroup { fault, server }, others) += 1;
     }
 
-    /// Returns requests by second and ending, in order of time.
+    /// Returns the number of requests by second and ending, in order of time.
     pub fn seconds(&self) -> impl Iterator<Item = (&str, &[u64; Ending::ALL.len()])> {
         self.seconds.iter().map(|(second, counts)| (second.as_str(), counts))
     }
 
-    /// Returns the seconds in which something changed in belief, with what did.
+    /// Returns the changes of state in order of time: the second, the event and the number of lines.
     pub fn state_changes(&self) -> impl Iterator<Item = (&str, &str, u64)> {
         self.state_changes.iter().map(|((at, event), count)| (at.as_str(), event.as_str(), *count))
     }
@@ -147,7 +147,7 @@
         rows
     }
 
-    /// Returns everything as JSON.
+    /// Returns the summary as JSON.
     pub fn json(&self) -> serde_json::Value {
         let state_changes: Vec<_> = self
             .state_changes()
@@ -166,7 +166,7 @@
         })
     }
 
-    /// Returns everything as tables.
+    /// Returns the summary as tables, each with its most frequent rows only.
     pub fn text(&self) -> String {
         let mut text = format!(
             "{} lines, {} damaged, {} left out when they were written\n",
@@ -213,7 +213,7 @@
     }
 }
 
-/// Returns the entry of `key`, or of `others` where there are too many.
+/// Returns the entry of `key`, or of `others` if the map is full and `key` is not in it.
 fn bounded_entry<K: std::hash::Hash + Eq, V: Default>(
     map: &mut HashMap<K, V>,
     key: K,
