--- a/tests/suite/report.rs
+++ b/tests/suite/report.rs
@@ -1,11 +1,11 @@
-//! What `cartvane report` makes of log lines.
+//! Tests of `cartvane report`: parsing, summary, trace of a request, and chart.
 
 use std::{fs, process::Command};
 
 use cartvane::report::{LogLine, RequestTrace, Summary, chart, line::Ending};
 
-/// Lines of two instances as a collector may hand them on: with its own time and name before some, one cut,
-/// one that is none, and not in order.
+/// Log lines of two instances as a log collector may forward them: out of order, some with a time and a name in front,
+/// one truncated, and one that is no log line.
 const LINES: &str = r#"
    5.08 edge-b {"at":"2026-04-11T19:34:36.900Z","event":"request","instance":"edge-b","request":"r2","route":"chat","status":200,"outcome":"run","reason":"answered","took_ms":900,"first_ms":410,"target_ms":300,"server":"s1","arrivals":2}
    5.08 edge-b {"at":"2026-04-11T19:34:36.200Z","event":"attempt_failed","instance":"edge-b","request":"r2","server":"s0","fault":"HeadTimeout","outcome":"unknown"}
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_same_as_json() {
+fn the_json_summary_has_the_same_counts() {
     let json = summary().json();
     assert_eq!((json["lines"].as_u64(), json["damaged"].as_u64()), (Some(16), Some(2)));
     assert_eq!(json["requests"].as_array().map(Vec::len), Some(6));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn endings_are_told_apart() {
+fn each_ending_is_recognised() {
     let ending = |text: &str| LogLine::parse(text).and_then(|line| line.ending());
     let request = |rest: &str| ending(&format!(r#"{{"event":"request",{rest}}}"#));
     let in_time = r#""status":200,"took_ms":900,"first_ms":100,"target_ms":100"#;
@@ -62,27 +62,27 @@
 }
 
 #[test]
-fn a_requests_story_is_in_order_of_time() {
+fn a_request_trace_is_in_order_of_time() {
     let mut trace = RequestTrace::new("r2");
     LINES.lines().for_each(|line| trace.add_line(line));
     let lines = trace.lines();
     assert_eq!(lines.len(), 2);
     assert!(lines[0].contains("attempt_failed") && lines[1].contains("\"status\":200"));
-    assert!(lines.iter().all(|line| line.starts_with('{')), "without what stood before");
+    assert!(lines.iter().all(|line| line.starts_with('{')), "lines start with their JSON object");
 }
 
 #[test]
-fn the_picture_shows_every_ending_and_the_moments_of_trouble() {
-    let picture = chart::svg(&summary()).expect("a picture");
+fn the_chart_shows_every_ending_and_marks_failures() {
+    let svg = chart::svg(&summary()).expect("the summary has requests");
     for ending in Ending::ALL {
-        assert!(picture.contains(ending.name()), "{}", ending.name());
+        assert!(svg.contains(ending.name()), "{}", ending.name());
     }
-    assert!(picture.contains("server_silent"));
-    assert!(chart::svg(&Summary::default()).is_err(), "nothing to draw");
+    assert!(svg.contains("server_silent"));
+    assert!(chart::svg(&Summary::default()).is_err(), "a summary without requests has no chart");
 }
 
 #[test]
-fn groups_are_bounded_whatever_the_lines_say() {
+fn the_number_of_groups_is_bounded() {
     let mut summary = Summary::default();
     for number in 0..12_000 {
         summary.add_line(&format!(
@@ -90,38 +90,38 @@
         ));
     }
     let json = summary.json();
-    let rows = json["requests"].as_array().expect("rows");
+    let rows = json["requests"].as_array().expect("requests is a list");
     assert!(rows.len() <= 10_001, "{}", rows.len());
     let counted: u64 = rows.iter().filter_map(|row| row["count"].as_u64()).sum();
-    assert_eq!(counted, 12_000, "none is lost");
+    assert_eq!(counted, 12_000, "requests beyond the bound are counted as others");
 }
 
 #[test]
-fn the_command_reads_files_and_says_what_is_wrong() {
+fn the_command_reads_files_and_reports_errors() {
     let dir = std::env::temp_dir().join(format!("cartvane-report-{}", std::process::id()));
-    fs::create_dir_all(&dir).expect("a folder");
+    fs::create_dir_all(&dir).expect("the directory is created");
     let log = dir.join("a.log");
-    fs::write(&log, LINES).expect("written");
+    fs::write(&log, LINES).expect("the log is written");
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_cartvane")).arg("report").args(args).output();
-        let output = output.expect("it runs");
+        let output = output.expect("the command starts");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         (output.status.code(), text(&output.stdout), text(&output.stderr))
     };
-    let path = log.to_str().expect("a path");
+    let path = log.to_str().expect("the path is UTF-8");
     let svg = dir.join("a.svg");
-    let (code, out, _) = run(&[path, "--svg", svg.to_str().expect("a path")]);
+    let (code, out, _) = run(&[path, "--svg", svg.to_str().expect("the path is UTF-8")]);
     assert_eq!(code, Some(0));
     assert!(out.contains("2 damaged"), "{out}");
-    assert!(fs::read_to_string(&svg).expect("a picture").starts_with("<svg"));
+    assert!(fs::read_to_string(&svg).expect("the chart is written").starts_with("<svg"));
     let (code, out, _) = run(&["--request", "r2", path]);
     assert_eq!((code, out.lines().count()), (Some(0), 2));
     let (code, _, err) = run(&["--request", "nobody", path]);
     assert_eq!(code, Some(1));
     assert!(err.contains("no line tells of request nobody"), "{err}");
-    let (code, _, err) = run(&[dir.join("none").to_str().expect("a path")]);
+    let (code, _, err) = run(&[dir.join("none").to_str().expect("the path is UTF-8")]);
     assert_eq!(code, Some(3), "{err}");
     let (code, _, err) = run(&["--jason", path]);
     assert_eq!(code, Some(2), "{err}");
-    fs::remove_dir_all(&dir).expect("removed");
+    fs::remove_dir_all(&dir).expect("the directory is removed");
 }
