--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -39,8 +39,8 @@
     let mut summary = Summary::default();
     each_line(&files, |line| summary.add_line(line))?;
     if let Some(path) = svg {
-        let svg = chart::svg(&summary).map_err(|e| CommandFault::Refused(e.to_string()))?;
-        fs::write(&path, svg).map_err(|e| {
+        let picture = chart::svg(&summary).map_err(|e| CommandFault::Refused(e.to_string()))?;
+        fs::write(&path, picture).map_err(|e| {
             CommandFault::Unreachable(format!(
                 "cannot write {path}: {e}; correct the path or its rights"
             ))
--- a/src/utils/cached.rs
+++ b/src/utils/cached.rs
@@ -1,4 +1,4 @@
-//! A value that is worked out anew only now and then, whoever asks for it.
+//! A cached value that is computed again once it is too old.
 
 use std::{
     sync::{Arc, Mutex},
@@ -7,29 +7,30 @@
 
 use super::sync::lock;
 
-/// A value and when it was worked out.
+/// A value and the time at which it was computed.
 #[derive(Debug)]
 pub struct Cached<T> {
-    longest: Duration,
-    kept: Mutex<Option<(Instant, Arc<T>)>>,
+    max_age: Duration,
+    cached: Mutex<Option<(Instant, Arc<T>)>>,
 }
 
 impl<T> Cached<T> {
-    /// Returns a value that is told again for up to `longest`.
-    pub fn new(longest: Duration) -> Cached<T> {
-        Cached { longest, kept: Mutex::default() }
+    /// Returns an empty cache whose values are valid for `max_age`.
+    pub fn new(max_age: Duration) -> Cached<T> {
+        Cached { max_age, cached: Mutex::default() }
     }
 
-    /// Returns the value, worked out by `find` where none is recent enough. Those that ask meanwhile wait for it.
-    pub fn get(&self, now: Instant, find: impl FnOnce() -> T) -> Arc<T> {
-        let mut kept = lock(&self.kept);
-        if let Some((at, value)) = &*kept
-            && now.saturating_duration_since(*at) < self.longest
+    /// Returns the cached value, or the one that `compute` returns if the cached one is too old. Concurrent callers
+    /// wait for that value instead of computing it themselves.
+    pub fn get(&self, now: Instant, compute: impl FnOnce() -> T) -> Arc<T> {
+        let mut cached = lock(&self.cached);
+        if let Some((computed_at, value)) = &*cached
+            && now.saturating_duration_since(*computed_at) < self.max_age
         {
             return Arc::clone(value);
         }
-        let value = Arc::new(find());
-        *kept = Some((now, Arc::clone(&value)));
+        let value = Arc::new(compute());
+        *cached = Some((now, Arc::clone(&value)));
         value
     }
 }
--- a/src/utils/mod.rs
+++ b/src/utils/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers shared by several features.
+//! Small helpers that several modules share.
 
 pub mod cached;
 pub mod deflate;
--- a/src/utils/signal.rs
+++ b/src/utils/signal.rs
@@ -1,4 +1,4 @@
-//! A wish that one thread makes and another waits for.
+//! A signal that one thread sets and another waits for.
 
 use std::{
     sync::{Condvar, Mutex, PoisonError},
@@ -7,24 +7,24 @@
 
 use super::sync::lock;
 
-/// A wish that is kept until it is taken.
+/// A signal that stays set until a waiting thread consumes it, also when it is set before the wait begins.
 #[derive(Debug, Default)]
 pub struct Signal {
-    wished: Mutex<bool>,
-    told: Condvar,
+    is_set: Mutex<bool>,
+    condvar: Condvar,
 }
 
 impl Signal {
-    /// Makes the wish.
+    /// Sets the signal and wakes the waiting threads.
     pub fn set(&self) {
-        *lock(&self.wished) = true;
-        self.told.notify_all();
+        *lock(&self.is_set) = true;
+        self.condvar.notify_all();
     }
 
-    /// Waits for a wish, `longest` at most, and takes it.
-    pub fn wait(&self, longest: Duration) {
-        let wished = lock(&self.wished);
-        let waited = self.told.wait_timeout_while(wished, longest, |wished| !*wished);
+    /// Waits until the signal is set, or for `timeout`, and resets it.
+    pub fn wait(&self, timeout: Duration) {
+        let is_set = lock(&self.is_set);
+        let waited = self.condvar.wait_timeout_while(is_set, timeout, |is_set| !*is_set);
         *waited.unwrap_or_else(PoisonError::into_inner).0 = false;
     }
 }
--- a/src/utils/sync.rs
+++ b/src/utils/sync.rs
@@ -1,11 +1,11 @@
-//! Locks that outlive a panic of another holder.
+//! Locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks `mutex`, also when another holder panicked.
+/// Locks `mutex`, even if a thread panicked while it held the lock, so that a panic in one request does not fail the
+/// others.
 ///
-/// Only for data that every holder leaves whole at each step: a panic in one request must not
-/// end the others.
+/// Only for data that is consistent after each statement of every holder.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/utils/usage.rs
+++ b/src/utils/usage.rs
@@ -1,15 +1,15 @@
-//! Use of an instance's limits: requests in flight and bytes of bodies held.
+//! Limits of an instance on requests in flight and on buffered bytes of bodies.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-/// Requests in flight and bytes held.
+/// Number of requests in flight and of buffered bytes.
 #[derive(Debug, Default)]
 pub struct Usage {
     requests: AtomicU32,
     buffered: AtomicU64,
 }
 
-/// A request's hold on the limits; given back on drop, also on a panic.
+/// A request's part of the usage, which is released on drop, also after a panic.
 pub struct UsageGuard<'u> {
     usage: &'u Usage,
     bytes: u64,
@@ -23,9 +23,9 @@
 }
 
 impl Usage {
-    /// Takes a request's place; `None` when there is none.
-    pub fn enter(&self, most: u32) -> Option<UsageGuard<'_>> {
-        if self.requests.fetch_add(1, Ordering::SeqCst) >= most {
+    /// Counts a request; returns `None` if `max` requests are in flight already.
+    pub fn enter(&self, max: u32) -> Option<UsageGuard<'_>> {
+        if self.requests.fetch_add(1, Ordering::SeqCst) >= max {
             self.requests.fetch_sub(1, Ordering::SeqCst);
             return None;
         }
@@ -39,9 +39,9 @@
 }
 
 impl UsageGuard<'_> {
-    /// Takes room for `bytes` of a body; false when there is none.
-    pub fn reserve(&mut self, bytes: u64, most: u64) -> bool {
-        if self.usage.buffered.fetch_add(bytes, Ordering::SeqCst) + bytes > most {
+    /// Reserves `bytes` for a body; returns false if more than `max` bytes would be buffered.
+    pub fn reserve(&mut self, bytes: u64, max: u64) -> bool {
+        if self.usage.buffered.fetch_add(bytes, Ordering::SeqCst) + bytes > max {
             self.usage.buffered.fetch_sub(bytes, Ordering::SeqCst);
             return false;
         }
