--- a/src/logging.rs
+++ b/src/logging.rs
@@ -53,7 +53,7 @@
 
 /// Keys whose values are numbers, beside those that end in `_ms`. Ids may look like numbers and are
 /// never taken for them.
-const NUMBERS: [&str; 11] = [
+const NUMERIC_KEYS: [&str; 11] = [
     "status",
     "version",
     "rank",
@@ -74,14 +74,14 @@
     object.insert("at".to_owned(), at.into());
     object.insert("level".to_owned(), level_name(level).into());
     object.insert("instance".to_owned(), instance.into());
-    let mut rest = message.trim();
+    let mut remaining = message.trim();
     let mut words = Vec::new();
-    while !rest.is_empty() {
-        let (word, after) = split_word(rest);
-        rest = after.trim_start();
+    while !remaining.is_empty() {
+        let (word, after) = split_word(remaining);
+        remaining = after.trim_start();
         match word.split_once('=') {
             Some((key, value)) if is_key(key) => {
-                object.insert(key.to_owned(), value_of(key, value));
+                object.insert(key.to_owned(), parse_value(key, value));
             }
             _ => words.push(word),
         }
@@ -110,8 +110,8 @@
     !key.is_empty() && key.bytes().all(|b| b.is_ascii_lowercase() || b == b'_')
 }
 
-fn value_of(key: &str, text: &str) -> serde_json::Value {
-    let is_number = key.ends_with("_ms") || NUMBERS.contains(&key);
+fn parse_value(key: &str, text: &str) -> serde_json::Value {
+    let is_number = key.ends_with("_ms") || NUMERIC_KEYS.contains(&key);
     match serde_json::from_str(text) {
         Ok(value @ serde_json::Value::Number(_)) if is_number => value,
         Ok(value @ serde_json::Value::String(_)) => value,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -23,13 +23,13 @@
     requests: Counter<u64>,
     in_flight: UpDownCounter<i64>,
     first_byte: Histogram<f64>,
-    total: Histogram<f64>,
-    decision: Histogram<f64>,
+    request_time: Histogram<f64>,
+    permit_time: Histogram<f64>,
     attempts: Counter<u64>,
     retries: Counter<u64>,
-    permits: Counter<u64>,
+    permit_replies: Counter<u64>,
     dropped_responses: Counter<u64>,
-    resumed: Counter<u64>,
+    streams_resumed: Counter<u64>,
     control_bytes: Counter<u64>,
     control_messages: Counter<u64>,
     engine_load: Gauge<u64>,
@@ -62,7 +62,7 @@
     instruments: Arc<Instruments>,
 }
 
-fn kv(key: &'static str, value: impl ToString) -> KeyValue {
+fn label(key: &'static str, value: impl ToString) -> KeyValue {
     KeyValue::new(key, value.to_string())
 }
 
@@ -81,20 +81,20 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("cartvane");
-        let latency = |name: &'static str, what: &'static str| {
+        let latency = |name: &'static str, description: &'static str| {
             let bounds = LATENCY_BOUNDS.to_vec();
             meter
                 .f64_histogram(name)
                 .with_unit("s")
-                .with_description(what)
+                .with_description(description)
                 .with_boundaries(bounds)
                 .build()
         };
-        let counter = |name: &'static str, what: &'static str| {
-            meter.u64_counter(name).with_description(what).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter.u64_counter(name).with_description(description).build()
         };
-        let gauge = |name: &'static str, what: &'static str| {
-            meter.u64_gauge(name).with_description(what).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
         let instruments = Instruments {
             requests: counter(
@@ -106,16 +106,19 @@
                 "cartvane_first_byte",
                 "From a request's end to its answer's first byte",
             ),
-            total: latency("cartvane_request", "From a request's end to its answer's end"),
-            decision: latency("cartvane_permit", "From an ask to its reply"),
+            request_time: latency("cartvane_request", "From a request's end to its answer's end"),
+            permit_time: latency("cartvane_permit", "From an ask to its reply"),
             attempts: counter("cartvane_attempts", "Attempts at backend servers, by result"),
             retries: counter("cartvane_retries", "Attempts after the first, by service"),
-            permits: counter("cartvane_permit_replies", "Replies of homes to this entry, by kind"),
+            permit_replies: counter(
+                "cartvane_permit_replies",
+                "Replies of homes to this entry, by kind",
+            ),
             dropped_responses: counter(
                 "cartvane_answers_dropped",
                 "Answers that belong to another attempt",
             ),
-            resumed: counter(
+            streams_resumed: counter(
                 "cartvane_streams_resumed",
                 "Streams resumed after their connection was lost",
             ),
@@ -211,14 +214,15 @@
     /// Notes that a request ended.
     pub fn request_finished(&self, service: &str, status: u16, outcome: Outcome, took: Duration) {
         self.instruments.in_flight.add(-1, &[]);
-        let labels = [kv("service", service), kv("status", status), kv("outcome", outcome)];
+        let labels =
+            [label("service", service), label("status", status), label("outcome", outcome)];
         self.instruments.requests.add(1, &labels);
-        self.instruments.total.record(took.as_secs_f64(), &[kv("service", service)]);
+        self.instruments.request_time.record(took.as_secs_f64(), &[label("service", service)]);
     }
 
     /// Notes the time to an answer's first byte.
     pub fn first_byte(&self, service: &impl fmt::Display, took: Duration) {
-        self.instruments.first_byte.record(took.as_secs_f64(), &[kv("service", service)]);
+        self.instruments.first_byte.record(took.as_secs_f64(), &[label("service", service)]);
     }
 
     /// Notes an attempt's result.
@@ -236,48 +240,48 @@
             AttemptFault::StalledBody => "stalled-body",
             AttemptFault::CallerGone => "caller-gone",
         });
-        self.instruments.attempts.add(1, &[kv("service", service), kv("result", result)]);
+        self.instruments.attempts.add(1, &[label("service", service), label("result", result)]);
         if fault == Some(AttemptFault::Foreign) {
-            self.instruments.dropped_responses.add(1, &[kv("service", service)]);
+            self.instruments.dropped_responses.add(1, &[label("service", service)]);
         }
     }
 
     /// Notes a retry.
     pub fn retry(&self, service: &impl fmt::Display) {
-        self.instruments.retries.add(1, &[kv("service", service)]);
+        self.instruments.retries.add(1, &[label("service", service)]);
     }
 
     /// Notes a resumed stream.
     pub fn stream_resumed(&self, service: &impl fmt::Display) {
-        self.instruments.resumed.add(1, &[kv("service", service)]);
+        self.instruments.streams_resumed.add(1, &[label("service", service)]);
     }
 
     /// Notes a home's reply and the time it took.
     pub fn permit_reply(&self, kind: &'static str, took: Duration) {
-        self.instruments.permits.add(1, &[kv("reply", kind)]);
-        self.instruments.decision.record(took.as_secs_f64(), &[]);
+        self.instruments.permit_replies.add(1, &[label("reply", kind)]);
+        self.instruments.permit_time.record(took.as_secs_f64(), &[]);
     }
 
     /// Returns what counts control bytes into these metrics.
     pub fn traffic(&self) -> TrafficCounter {
-        let counted = Arc::clone(&self.instruments);
+        let instruments = Arc::clone(&self.instruments);
         TrafficCounter::new(move |purpose, direction, bytes| {
-            let labels = [kv("purpose", purpose.name()), kv("direction", direction.name())];
-            counted.control_bytes.add(bytes as u64, &labels);
+            let labels = [label("purpose", purpose.name()), label("direction", direction.name())];
+            instruments.control_bytes.add(bytes as u64, &labels);
             if direction == Direction::Sent {
-                counted.control_messages.add(1, &[kv("purpose", purpose.name())]);
+                instruments.control_messages.add(1, &[label("purpose", purpose.name())]);
             }
         })
     }
 
     /// Shows an engine's load.
     pub fn engine_load(&self, server: &BackendId, load: u32) {
-        self.instruments.engine_load.record(u64::from(load), &[kv("backend_server", server)]);
+        self.instruments.engine_load.record(u64::from(load), &[label("backend_server", server)]);
     }
 
     /// Shows the bound and queue of a service's shard.
     pub fn shard(&self, service: &ServiceId, bound: u32, queued: usize) {
-        let labels = [kv("service", service)];
+        let labels = [label("service", service)];
         self.instruments.load_bound.record(u64::from(bound), &labels);
         self.instruments.queued.record(queued as u64, &labels);
     }
@@ -299,22 +303,22 @@
 
     /// Notes a claim's verdict.
     pub fn claim(&self, verdict: &'static str) {
-        self.instruments.claims.add(1, &[kv("verdict", verdict)]);
+        self.instruments.claims.add(1, &[label("verdict", verdict)]);
     }
 
     /// Notes a call to the platform's store.
     pub fn store_call(&self, kind: &'static str, result: &'static str) {
-        self.instruments.store_calls.add(1, &[kv("kind", kind), kv("result", result)]);
+        self.instruments.store_calls.add(1, &[label("kind", kind), label("result", result)]);
     }
 
     /// Shows how old what is believed is.
     pub fn knowledge_age(&self, subject: &'static str, age: Duration) {
-        self.instruments.knowledge_age.record(age.as_secs_f64(), &[kv("subject", subject)]);
+        self.instruments.knowledge_age.record(age.as_secs_f64(), &[label("subject", subject)]);
     }
 
     /// Shows the repeats spent in the retry window.
-    pub fn budget_spent(&self, service: &impl fmt::Display, repeats: usize) {
-        self.instruments.budget_spent.record(repeats as u64, &[kv("service", service)]);
+    pub fn budget_spent(&self, service: &impl fmt::Display, retries: usize) {
+        self.instruments.budget_spent.record(retries as u64, &[label("service", service)]);
     }
 
     /// Shows how many requests are held back.
@@ -324,7 +328,7 @@
 
     /// Notes whether a cold server took a request.
     pub fn cold_permit(&self, service: &impl fmt::Display, result: &'static str) {
-        self.instruments.cold_permits.add(1, &[kv("service", service), kv("result", result)]);
+        self.instruments.cold_permits.add(1, &[label("service", service), label("result", result)]);
     }
 
     /// Shows how many backend servers are cold.
@@ -339,7 +343,7 @@
 
     /// Shows the share of a service's requests that goes to a version which is rolled out.
     pub fn rollout_share(&self, service: &ServiceName, share: f64) {
-        self.instruments.rollout_share.record(share, &[kv("service", service)]);
+        self.instruments.rollout_share.record(share, &[label("service", service)]);
     }
 
     /// Shows the store's era.
@@ -349,12 +353,14 @@
 
     /// Notes a request that was refused without being sent.
     pub fn refusal(&self, service: &impl fmt::Display, reason: &'static str) {
-        self.instruments.refusals.add(1, &[kv("service", service), kv("reason", reason)]);
+        self.instruments.refusals.add(1, &[label("service", service), label("reason", reason)]);
     }
 
     /// Notes an answer in which a backend server said that it leaves, or wants no requests for a while.
     pub fn server_notice(&self, service: &impl fmt::Display, notice: &'static str) {
-        self.instruments.server_notices.add(1, &[kv("service", service), kv("notice", notice)]);
+        self.instruments
+            .server_notices
+            .add(1, &[label("service", service), label("notice", notice)]);
     }
 
     /// Notes log lines that were left out.
@@ -364,6 +370,6 @@
 
     /// Shows the requests in flight at a backend server.
     pub fn in_flight_at(&self, server: &impl fmt::Display, count: u32) {
-        self.instruments.engine_load.record(u64::from(count), &[kv("backend_server", server)]);
+        self.instruments.engine_load.record(u64::from(count), &[label("backend_server", server)]);
     }
 }
--- a/src/names.rs
+++ b/src/names.rs
@@ -19,10 +19,10 @@
     Empty,
     /// The text is longer than [`ID_MAX`].
     #[error("an id has {0} characters; shorten it to {ID_MAX}")]
-    Long(usize),
+    TooLong(usize),
     /// The text has a character outside the allowed set.
     #[error("an id holds {0:?}; use a-z, 0-9, '-', '_' and '.' only")]
-    Character(char),
+    InvalidCharacter(char),
 }
 
 /// A 32-bit hash of an id, used in messages between instances in place of the id.
@@ -51,12 +51,12 @@
         return Err(IdError::Empty);
     }
     if text.len() > ID_MAX {
-        return Err(IdError::Long(text.len()));
+        return Err(IdError::TooLong(text.len()));
     }
     let allowed =
         |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, '-' | '_' | '.');
     match text.chars().find(|&c| !allowed(c)) {
-        Some(c) => Err(IdError::Character(c)),
+        Some(c) => Err(IdError::InvalidCharacter(c)),
         None => Ok(()),
     }
 }
@@ -132,7 +132,7 @@
     match text.len() {
         0 => Err(IdError::Empty),
         1..=LABEL_MAX => Ok(()),
-        long => Err(IdError::Long(long)),
+        len => Err(IdError::TooLong(len)),
     }
 }
 
--- a/src/units.rs
+++ b/src/units.rs
@@ -47,11 +47,11 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Size, UnitError> {
-        let fault = || UnitError::Size(text.to_owned());
+        let error = || UnitError::Size(text.to_owned());
         let (name, unit) =
-            SIZE_UNITS.iter().find(|(name, _)| text.ends_with(name)).ok_or_else(fault)?;
-        let count: u64 = text[..text.len() - name.len()].trim().parse().map_err(|_| fault())?;
-        count.checked_mul(*unit).map(Size).ok_or_else(fault)
+            SIZE_UNITS.iter().find(|(name, _)| text.ends_with(name)).ok_or_else(error)?;
+        let count: u64 = text[..text.len() - name.len()].trim().parse().map_err(|_| error())?;
+        count.checked_mul(*unit).map(Size).ok_or_else(error)
     }
 }
 
@@ -69,10 +69,10 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Rate, UnitError> {
-        let fault = || UnitError::Rate(text.to_owned());
-        let number = text.strip_suffix("/s").ok_or_else(fault)?;
-        let rate: f64 = number.trim().parse().map_err(|_| fault())?;
-        if rate.is_finite() && rate > 0.0 { Ok(Rate(rate)) } else { Err(fault()) }
+        let error = || UnitError::Rate(text.to_owned());
+        let number = text.strip_suffix("/s").ok_or_else(error)?;
+        let rate: f64 = number.trim().parse().map_err(|_| error())?;
+        if rate.is_finite() && rate > 0.0 { Ok(Rate(rate)) } else { Err(error()) }
     }
 }
 
