--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who changed what, when, and what came of it.
+//! Rows of the audit trail: who did what, when, and with which result.
 
 use std::fmt;
 
@@ -12,70 +12,70 @@
 /// Prefix of the keys of audit rows.
 pub const AUDIT_PREFIX: &str = "audit/";
 
-/// Prefix of the keys of the rows that name each revision's file.
+/// Prefix of the keys of the rows that point to the configuration file of each revision.
 pub const REVISION_PREFIX: &str = "revision/";
 
-/// Most changed entities named in one row.
+/// Maximum number of changed entities listed in one row.
 pub const CHANGES_MAX: usize = 200;
 
-/// What was done.
+/// An audited action.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "action")]
 pub enum AuditAction {
-    /// A file was put in force.
+    /// A configuration file was activated.
     Applied {
-        /// Revision before.
+        /// Revision that was active before.
         from: Revision,
-        /// Revision after.
+        /// Revision that is active now.
         to: Revision,
-        /// What differs, at most [`CHANGES_MAX`].
+        /// Changed entities, at most [`CHANGES_MAX`].
         changes: Vec<Change>,
-        /// Number of differing entities.
+        /// Number of all changed entities.
         count: usize,
     },
-    /// A file was refused.
+    /// A configuration file was rejected.
     Refused {
-        /// Revision in force.
+        /// Active revision.
         from: Revision,
-        /// Why.
+        /// Why it was rejected.
         reason: String,
     },
-    /// An instance was told to drain.
+    /// An operator requested that an instance drains.
     Drain {
-        /// Which.
+        /// Id of the instance.
         instance: String,
     },
-    /// An engine was given an order.
+    /// An order was sent to an engine.
     Order {
-        /// Which engine.
+        /// Id of the engine.
         backend_server: String,
-        /// What was ordered and what came of it.
+        /// The order and its result.
         detail: String,
-        /// Fencing number.
+        /// Fencing number of the order.
         fencing: u64,
     },
 }
 
-/// One row of the trail.
+/// One row of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRow {
-    /// When, in milliseconds since 1970.
+    /// Time, in milliseconds since the Unix epoch.
     pub at: u64,
-    /// Who.
+    /// Who did it.
     pub by: String,
-    /// What.
+    /// What was done.
     #[serde(flatten)]
     pub action: AuditAction,
 }
 
-/// Names the file of one revision.
+/// Points to the configuration file of one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionRow {
     /// Revision.
     pub revision: Revision,
     /// Digest of its manifest.
     pub manifest: Digest,
-    /// Digest of the text as it was applied.
+    /// Digest of the file's text, as an operator applied it.
     pub source: Digest,
 }
 
@@ -84,13 +84,13 @@
     format!("{AUDIT_PREFIX}{at:015}-{id}")
 }
 
-/// Returns the key of the row that names a revision's file.
+/// Returns the key of a revision's [`RevisionRow`].
 pub fn revision_key(revision: Revision) -> String {
     format!("{REVISION_PREFIX}{:012}", revision.0)
 }
 
 impl AuditRow {
-    /// Returns whether the row concerns `entity`.
+    /// Returns whether the row is about an entity whose name contains `entity`, or a rejection whose reason does.
     pub fn concerns(&self, entity: &str) -> bool {
         match &self.action {
             AuditAction::Applied { changes, .. } => {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time as an interface: everything that needs the time is handed a [`Clock`].
+//! Injectable time: every component that needs the time receives a [`Clock`], so that tests can control it.
 
 use std::{
     fmt,
@@ -18,15 +18,15 @@
 }
 
 impl Clock {
-    /// Returns the clock of the machine, which counts the time for which the machine was suspended.
+    /// Returns the clock of the machine, which includes the time for which the machine was suspended.
     pub fn system() -> Clock {
         Clock::from_boot_time(boot_time, SystemTime::now)
     }
 
-    /// Returns a clock that goes by the time since the machine's start.
+    /// Returns a clock that follows the time since the machine's start.
     ///
-    /// An [`Instant`] of the system stands still while the machine is suspended: after four seconds away, all that an
-    /// instance believes and all that it was lent would be four seconds younger than it is.
+    /// [`Instant::now`] does not advance while the machine is suspended: after a suspension of four seconds, an
+    /// instance would take its state and its leases to be four seconds younger than they are.
     pub fn from_boot_time(
         since_boot: impl Fn() -> Duration + Send + Sync + 'static,
         wall: impl Fn() -> SystemTime + Send + Sync + 'static,
@@ -35,7 +35,7 @@
         Clock::new(move || start + since_boot().saturating_sub(boot_offset), wall)
     }
 
-    /// Returns a clock made of two closures.
+    /// Returns a clock that calls these closures.
     pub fn new(
         now: impl Fn() -> Instant + Send + Sync + 'static,
         wall: impl Fn() -> SystemTime + Send + Sync + 'static,
@@ -53,7 +53,7 @@
         (self.wall)()
     }
 
-    /// Returns the wall-clock time in milliseconds since 1970.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     pub fn wall_millis(&self) -> u64 {
         let since = self.wall().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/src/context.rs
+++ b/src/context.rs
@@ -1,4 +1,4 @@
-//! What the command line and an instance take from their surroundings.
+//! The environment that commands and instances run in.
 
 use std::{env, sync::Arc};
 
@@ -6,7 +6,7 @@
 
 type Lookup = dyn Fn(&str) -> Option<String> + Send + Sync;
 
-/// Environment variables and the clock, passed down from `main` and replaced in tests.
+/// Clock and environment variables, which `main` passes down and tests replace.
 #[derive(Clone)]
 pub struct Context {
     /// The clock in use.
@@ -20,7 +20,7 @@
         Context::new(Clock::system(), |name| env::var(name).ok())
     }
 
-    /// Returns a context made of a clock and a closure that looks up environment variables.
+    /// Returns a context with this clock and this lookup of environment variables.
     pub fn new(
         clock: Clock,
         variable: impl Fn(&str) -> Option<String> + Send + Sync + 'static,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! cartvane: a router fleet for very many returning chats.
+//! cartvane: a fleet of request routers for services with very many long-lived chats.
 //!
-//! Instances of one binary stand between callers and backend servers. docs/ARCHITECTURE.md is the
-//! map of the modules, docs/DESIGN.md says why they are as they are.
+//! All instances run the same binary, between callers and backend servers. docs/ARCHITECTURE.md describes the modules,
+//! and docs/DESIGN.md explains their design.
 
 #[path = "../platform/mod.rs"]
 pub mod adapter;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs by `log` and `fern`: text or one JSON object a line, on standard error.
+//! Logging with `log` and `fern`: text, or one JSON object per line, on standard error.
 
 use log::{Level, Record};
 
@@ -7,11 +7,11 @@
     configs::settings::{LogFormat, Logging},
 };
 
-/// Starts logging for the process.
+/// Installs the logger of the process.
 ///
 /// # Errors
 ///
-/// Logging has been started before.
+/// A logger is already installed.
 pub fn init(logging: &Logging, instance: &str, clock: Clock) -> Result<(), log::SetLoggerError> {
     let format = logging.format;
     let instance = instance.to_owned();
@@ -33,7 +33,8 @@
         .apply()
 }
 
-/// Returns one log line as a JSON object; `key=value` words of the message become members.
+/// Returns a log line as a JSON object, with the whole message under `message` and each of its `key=value` words as a
+/// member of its own.
 pub fn json_line(at: &str, instance: &str, record: &Record<'_>, message: &str) -> String {
     let mut object = serde_json::Map::new();
     object.insert("at".to_owned(), at.into());
@@ -51,8 +52,8 @@
     serde_json::Value::Object(object).to_string()
 }
 
-/// Keys whose values are numbers, beside those that end in `_ms`. Ids may look like numbers and are
-/// never taken for them.
+/// Keys whose values are numbers, in addition to those that end in `_ms`. Values of other keys stay strings, since ids
+/// may look like numbers.
 const NUMERIC_KEYS: [&str; 11] = [
     "status",
     "version",
@@ -67,8 +68,8 @@
     "admitted",
 ];
 
-/// Returns a line of `key=value` words as a JSON object; a value in quotes may hold spaces. Words that
-/// are no pair are kept under `message`.
+/// Returns a line of `key=value` words as a JSON object. A quoted value may contain spaces. Words that are no pair are
+/// joined under `message`.
 pub fn event_line(at: &str, instance: &str, level: Level, message: &str) -> String {
     let mut object = serde_json::Map::new();
     object.insert("at".to_owned(), at.into());
@@ -92,7 +93,7 @@
     serde_json::Value::Object(object).to_string()
 }
 
-/// Splits off the first word; spaces inside quotes belong to it.
+/// Splits `text` after its first word; spaces inside quotes are part of the word.
 fn split_word(text: &str) -> (&str, &str) {
     let (mut quoted, mut escaped) = (false, false);
     for (at, c) in text.char_indices() {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, shown in the Prometheus text format.
+//! Metrics recorded with `opentelemetry` and exposed in the Prometheus text format.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     names::{BackendId, ServiceId, ServiceName},
 };
 
-/// Bounds of latency histograms, in seconds.
+/// Upper bounds of the buckets of latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 14] =
     [0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
 
@@ -53,7 +53,7 @@
     rollout_share: Gauge<f64>,
 }
 
-/// The instance's metrics; clones share them.
+/// The metrics of an instance; clones share them.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -67,7 +67,7 @@
 }
 
 impl Metrics {
-    /// Returns fresh metrics with a registry of their own.
+    /// Returns new metrics with their own registry.
     ///
     /// # Errors
     ///
@@ -198,20 +198,20 @@
         Ok(Metrics { registry, _provider: provider, instruments: Arc::new(instruments) })
     }
 
-    /// Returns all metrics in the Prometheus text format, those with few rows first: of a text that its
-    /// collector cuts, what is lost then is loads by backend server, not the instance's own state.
+    /// Returns all metrics in the Prometheus text format, those with few series first: a collector that truncates the
+    /// text then loses loads of backend servers, not the instance's own state.
     pub fn text(&self) -> String {
         let mut families = self.registry.gather();
         families.sort_by_key(|family| family.get_metric().len());
         TextEncoder::new().encode_to_string(&families).unwrap_or_default()
     }
 
-    /// Notes that a request began.
+    /// Counts a request as in flight.
     pub fn request_started(&self) {
         self.instruments.in_flight.add(1, &[]);
     }
 
-    /// Notes that a request ended.
+    /// Counts a finished request and records its duration.
     pub fn request_finished(&self, service: &str, status: u16, outcome: Outcome, took: Duration) {
         self.instruments.in_flight.add(-1, &[]);
         let labels =
@@ -220,12 +220,12 @@
         self.instruments.request_time.record(took.as_secs_f64(), &[label("service", service)]);
     }
 
-    /// Notes the time to an answer's first byte.
+    /// Records the time to the first byte of a response.
     pub fn first_byte(&self, service: &impl fmt::Display, took: Duration) {
         self.instruments.first_byte.record(took.as_secs_f64(), &[label("service", service)]);
     }
 
-    /// Notes an attempt's result.
+    /// Counts an attempt by its fault, or as answered if there was none.
     pub fn attempt(&self, service: &impl fmt::Display, fault: Option<AttemptFault>) {
         let result = fault.map_or("answered", |fault| match fault {
             AttemptFault::Connect => "connect",
@@ -246,23 +246,23 @@
         }
     }
 
-    /// Notes a retry.
+    /// Counts a retry.
     pub fn retry(&self, service: &impl fmt::Display) {
         self.instruments.retries.add(1, &[label("service", service)]);
     }
 
-    /// Notes a resumed stream.
+    /// Counts a resumed stream.
     pub fn stream_resumed(&self, service: &impl fmt::Display) {
         self.instruments.streams_resumed.add(1, &[label("service", service)]);
     }
 
-    /// Notes a home's reply and the time it took.
+    /// Counts a home's reply to a permit request and records the time it took.
     pub fn permit_reply(&self, kind: &'static str, took: Duration) {
         self.instruments.permit_replies.add(1, &[label("reply", kind)]);
         self.instruments.permit_time.record(took.as_secs_f64(), &[]);
     }
 
-    /// Returns what counts control bytes into these metrics.
+    /// Returns a counter that adds control traffic to these metrics.
     pub fn traffic(&self) -> TrafficCounter {
         let instruments = Arc::clone(&self.instruments);
         TrafficCounter::new(move |purpose, direction, bytes| {
@@ -274,101 +274,101 @@
         })
     }
 
-    /// Shows an engine's load.
+    /// Sets the load of an engine.
     pub fn engine_load(&self, server: &BackendId, load: u32) {
         self.instruments.engine_load.record(u64::from(load), &[label("backend_server", server)]);
     }
 
-    /// Shows the bound and queue of a service's shard.
+    /// Sets the load bound and the queue length of a service's shard.
     pub fn shard(&self, service: &ServiceId, bound: u32, queued: usize) {
         let labels = [label("service", service)];
         self.instruments.load_bound.record(u64::from(bound), &labels);
         self.instruments.queued.record(queued as u64, &labels);
     }
 
-    /// Shows the revision in force.
+    /// Sets the active revision.
     pub fn revision(&self, revision: u64) {
         self.instruments.revision.record(revision, &[]);
     }
 
-    /// Shows the newest revision that is known to exist.
+    /// Sets the newest revision that the instance has learned of.
     pub fn revision_newest(&self, revision: u64) {
         self.instruments.revision_newest.record(revision, &[]);
     }
 
-    /// Shows the number of shards whose home this is.
+    /// Sets the number of shards whose home this instance is.
     pub fn homes(&self, count: usize) {
         self.instruments.homes.record(count as u64, &[]);
     }
 
-    /// Notes a claim's verdict.
+    /// Counts a claim of an idempotency key by its verdict.
     pub fn claim(&self, verdict: &'static str) {
         self.instruments.claims.add(1, &[label("verdict", verdict)]);
     }
 
-    /// Notes a call to the platform's store.
+    /// Counts a call to the platform's store by kind and result.
     pub fn store_call(&self, kind: &'static str, result: &'static str) {
         self.instruments.store_calls.add(1, &[label("kind", kind), label("result", result)]);
     }
 
-    /// Shows how old what is believed is.
+    /// Sets the time since the instance's information on a subject was known to be current.
     pub fn knowledge_age(&self, subject: &'static str, age: Duration) {
         self.instruments.knowledge_age.record(age.as_secs_f64(), &[label("subject", subject)]);
     }
 
-    /// Shows the repeats spent in the retry window.
+    /// Sets the number of retries of a service in the retry window.
     pub fn budget_spent(&self, service: &impl fmt::Display, retries: usize) {
         self.instruments.budget_spent.record(retries as u64, &[label("service", service)]);
     }
 
-    /// Shows how many requests are held back.
+    /// Sets the number of held requests.
     pub fn held_requests(&self, count: usize) {
         self.instruments.held_requests.record(count as u64, &[]);
     }
 
-    /// Notes whether a cold server took a request.
+    /// Counts a request that would have gone to a cold server, by whether the server took it.
     pub fn cold_permit(&self, service: &impl fmt::Display, result: &'static str) {
         self.instruments.cold_permits.add(1, &[label("service", service), label("result", result)]);
     }
 
-    /// Shows how many backend servers are cold.
+    /// Sets the number of cold backend servers.
     pub fn cold_servers(&self, count: usize) {
         self.instruments.cold_servers.record(count as u64, &[]);
     }
 
-    /// Shows how many zones are emptied.
+    /// Sets the number of evacuated availability zones.
     pub fn evacuated_zones(&self, count: usize) {
         self.instruments.evacuated_zones.record(count as u64, &[]);
     }
 
-    /// Shows the share of a service's requests that goes to a version which is rolled out.
+    /// Sets the share of a service's requests that goes to the version that is being rolled out.
     pub fn rollout_share(&self, service: &ServiceName, share: f64) {
         self.instruments.rollout_share.record(share, &[label("service", service)]);
     }
 
-    /// Shows the store's era.
+    /// Sets the store's era.
     pub fn store_era(&self, era: u64) {
         self.instruments.store_era.record(era, &[]);
     }
 
-    /// Notes a request that was refused without being sent.
+    /// Counts a request that was rejected before it was sent to a backend server.
     pub fn refusal(&self, service: &impl fmt::Display, reason: &'static str) {
         self.instruments.refusals.add(1, &[label("service", service), label("reason", reason)]);
     }
 
-    /// Notes an answer in which a backend server said that it leaves, or wants no requests for a while.
+    /// Counts a response in which a backend server announced that it leaves or asked for a backoff.
     pub fn server_notice(&self, service: &impl fmt::Display, notice: &'static str) {
         self.instruments
             .server_notices
             .add(1, &[label("service", service), label("notice", notice)]);
     }
 
-    /// Notes log lines that were left out.
+    /// Counts dropped log lines.
     pub fn log_lines_left_out(&self, count: u64) {
         self.instruments.log_lines_left_out.add(count, &[]);
     }
 
-    /// Shows the requests in flight at a backend server.
+    /// Sets the number of this instance's requests in flight at a backend server.
     pub fn in_flight_at(&self, server: &impl fmt::Display, count: u32) {
         self.instruments.engine_load.record(u64::from(count), &[label("backend_server", server)]);
     }
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,23 +1,23 @@
-//! Identifiers of the things cartvane talks about, as newtypes.
+//! Newtypes for the names of instances, zones, teams, services, backend servers and models.
 //!
-//! Every id is a short text checked at the edge, cheap to clone, and has a 32-bit [`Tag`] that
-//! stands for it in messages between instances.
+//! An id is a short text that is validated when it is parsed and is cheap to clone. Its 32-bit [`Tag`] represents it in
+//! messages between instances. A label is a name that a platform gives; only its length is limited.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest id accepted, in bytes.
+/// Maximum length of an id, in bytes.
 pub const ID_MAX: usize = 64;
 
-/// Why a text is not an id.
+/// Why a text is no valid id or label.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
     /// The text is empty.
     #[error("an id is empty; give it 1 to {ID_MAX} characters")]
     Empty,
-    /// The text is longer than [`ID_MAX`].
+    /// The text is longer than [`ID_MAX`], or than [`LABEL_MAX`] if it is a label.
     #[error("an id has {0} characters; shorten it to {ID_MAX}")]
     TooLong(usize),
     /// The text has a character outside the allowed set.
@@ -27,8 +27,8 @@
 
 /// A 32-bit hash of an id, used in messages between instances in place of the id.
 ///
-/// The operators' file is refused when two ids of one kind share a tag, so a tag is as good as
-/// the id within one revision.
+/// A configuration file in which two ids of one kind have the same tag is rejected, so a tag identifies the id within
+/// one revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tag(pub u32);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Makes a newtype of a text that `$check` lets pass.
+/// Defines a newtype of a text that `$check` accepts.
 macro_rules! text_newtype {
     ($(#[$doc:meta])* $name:ident, $check:ident) => {
         $(#[$doc])*
@@ -107,13 +107,13 @@
     };
 }
 
-/// Makes an id: a short text of few characters, with a tag.
+/// Defines an id: a short text of a restricted character set, with a tag.
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident) => {
         text_newtype!($(#[$doc])* $name, check_id);
 
         impl $name {
-            /// Returns the tag that stands for the id in messages.
+            /// Returns the tag that represents the id in messages.
             pub fn tag(&self) -> Tag {
                 Tag::of(&self.0)
             }
@@ -121,7 +121,7 @@
     };
 }
 
-/// Makes a label: any text of a bounded length, as a platform gives it.
+/// Defines a label: any text of bounded length, as a platform gives it.
 macro_rules! label {
     ($(#[$doc:meta])* $name:ident) => {
         text_newtype!($(#[$doc])* $name, check_label);
@@ -137,7 +137,7 @@
 }
 
 id!(
-    /// One running router process's name, from its settings.
+    /// A router instance, as its settings name it.
     InstanceId
 );
 id!(
@@ -153,11 +153,11 @@
     TeamId
 );
 id!(
-    /// A service: backend servers that answer the same requests.
+    /// A service: a group of backend servers that handle the same requests.
     ServiceId
 );
 id!(
-    /// A backend server: a model engine or one server of a plain service.
+    /// A backend server: a model engine, or a server of a plain service.
     BackendId
 );
 id!(
@@ -165,27 +165,27 @@
     ModelId
 );
 
-/// Longest label taken from a platform, in bytes; its store limits keys to as much.
+/// Maximum length of a label, in bytes: the length to which the platform's store limits its keys.
 pub const LABEL_MAX: usize = 200;
 
 label!(
-    /// A service as a platform names it: any text, taken as it is.
+    /// A service, as a platform names it.
     ServiceName
 );
 label!(
-    /// A backend server; after a restart it may have the id that it had.
+    /// A backend server, as a platform names it; the id may stay the same over a restart.
     ServerId
 );
 label!(
-    /// A team as a platform names it.
+    /// A team, as a platform names it.
     TeamName
 );
 label!(
-    /// An availability zone as a platform names it.
+    /// An availability zone, as a platform names it.
     ZoneName
 );
 label!(
-    /// A region as a platform names it: a group of availability zones.
+    /// A region, as a platform names it: a group of availability zones.
     RegionName
 );
 label!(
@@ -193,6 +193,6 @@
     SoftwareVersion
 );
 label!(
-    /// A running router instance as a platform names it.
+    /// A router instance, as a platform names it.
     NodeName
 );
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,22 +1,22 @@
-//! Sizes, rates and revisions as newtypes with `Display` and `FromStr`.
+//! Newtypes for sizes, rates, durations and revisions, with `Display` and `FromStr`.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a quantity.
+/// Why a text is no valid quantity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
-    /// Not a size.
+    /// The text is not a size.
     #[error("{0:?} is not a size; write a whole number with B, KiB, MiB or GiB, such as \"64KiB\"")]
     Size(String),
-    /// Not a rate.
+    /// The text is not a rate.
     #[error("{0:?} is not a rate; write a number per second, such as \"50/s\"")]
     Rate(String),
-    /// Not a duration.
+    /// The text is not a duration.
     #[error("{0:?} is not a duration; write such as \"250ms\", \"3s\" or \"2min\"")]
     Span(String),
-    /// Not a revision.
+    /// The text is not a revision.
     #[error("{0:?} is not a revision; write a whole number, as `cartvane show` prints it")]
     Revision(String),
 }
@@ -25,11 +25,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Size(pub u64);
 
+/// Units of sizes with their number of bytes, the largest first.
 const SIZE_UNITS: [(&str, u64); 4] =
     [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
 
 impl Size {
-    /// Returns the size as a count of bytes in memory.
+    /// Returns the number of bytes as a `usize`, saturating on platforms where it does not fit.
     pub fn bytes(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A number of events a second.
+/// A number of events per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Rate(pub f64);
 
@@ -76,17 +77,17 @@
     }
 }
 
-/// A duration in settings and files: a [`Duration`] with a readable text form.
+/// A duration in settings and files: a [`Duration`] with a text form such as `250ms`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Span(pub Duration);
 
 impl Span {
-    /// Returns a span of `millis` milliseconds.
+    /// Returns a duration of `millis` milliseconds.
     pub const fn millis(millis: u64) -> Span {
         Span(Duration::from_millis(millis))
     }
 
-    /// Returns a span of `secs` seconds.
+    /// Returns a duration of `secs` seconds.
     pub const fn secs(secs: u64) -> Span {
         Span(Duration::from_secs(secs))
     }
@@ -106,7 +107,7 @@
     }
 }
 
-/// The number of an accepted operators' file; it only grows. Zero: none accepted yet.
+/// The number of an accepted configuration file, which only increases; zero if none has been accepted yet.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -114,7 +115,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Returns the revision that follows.
+    /// Returns the next revision.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
