--- a/src/configs/fleet/service.rs
+++ b/src/configs/fleet/service.rs
@@ -52,12 +52,12 @@
 impl RequestRule {
     /// Returns whether the rule covers the request.
     pub fn covers(&self, method: &str, path: &str) -> bool {
-        let method_fits = self.method == "*" || self.method == method;
-        let path_fits = match self.path.strip_suffix('*') {
+        let method_matches = self.method == "*" || self.method == method;
+        let path_matches = match self.path.strip_suffix('*') {
             Some(prefix) => path.starts_with(prefix),
             None => path == self.path,
         };
-        method_fits && path_fits
+        method_matches && path_matches
     }
 }
 
@@ -65,12 +65,12 @@
     type Err = RuleError;
 
     fn from_str(text: &str) -> Result<RequestRule, RuleError> {
-        let fault = || RuleError(text.to_owned());
-        let (method, path) = text.split_once(' ').ok_or_else(fault)?;
-        let method_fits =
+        let invalid = || RuleError(text.to_owned());
+        let (method, path) = text.split_once(' ').ok_or_else(invalid)?;
+        let method_is_valid =
             method == "*" || (!method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase()));
-        if !method_fits || !path.starts_with('/') || path.contains(char::is_whitespace) {
-            return Err(fault());
+        if !method_is_valid || !path.starts_with('/') || path.contains(char::is_whitespace) {
+            return Err(invalid());
         }
         Ok(RequestRule { method: method.to_owned(), path: path.to_owned() })
     }
@@ -104,7 +104,7 @@
     /// Most requests waiting at a home.
     pub queue: u32,
     /// Longest wait of a returning chat for the engine that holds its context.
-    pub patience: Span,
+    pub affinity_wait: Span,
     /// Models its engines hold.
     pub models: Vec<ModelId>,
     /// Most engines of a shard that load models at once, for the weight store's sake.
@@ -116,7 +116,7 @@
 }
 
 /// Default patience of model services; the figures behind it are in docs/MEASUREMENTS.md.
-const PATIENCE: Span = Span::millis(700);
+const AFFINITY_WAIT: Span = Span::millis(700);
 
 const KINDS: [(&str, ServiceKind); 2] =
     [("model", ServiceKind::Model), ("plain", ServiceKind::Plain)];
@@ -141,33 +141,32 @@
         let deadline = table.text("deadline").unwrap_or(Span::secs(30));
         let max_deadline = table.text("max_deadline").unwrap_or(Span::secs(300));
         if deadline > max_deadline {
-            table.fault(
+            table.add_error(
                 "deadline",
                 format!("is over max_deadline ({max_deadline}); lower it or raise that"),
             );
         }
-        let service = Service {
-            id: id?,
-            kind: kind?,
-            load_bound,
-            deadline,
-            max_deadline,
-            non_idempotent: table.texts("non_idempotent"),
-            attempts: table.whole("attempts", 1, 10).unwrap_or(3) as u32,
-            retry_budget: table.number("retry_budget", 0.0, 1.0).unwrap_or(0.1),
-            queue: table.whole("queue", 0, 100_000).unwrap_or(1000) as u32,
-            patience: table.text("patience").unwrap_or(if kind == Some(ServiceKind::Model) {
-                PATIENCE
-            } else {
-                Span::secs(0)
-            }),
-            models: table.texts("models"),
-            loads_at_once: table.whole("loads_at_once", 1, 1000).unwrap_or(2) as u32,
-            min_serving: table.number("min_serving", 0.0, 1.0).unwrap_or(0.75),
-            placement: table.choice("placement", &PLACEMENTS).unwrap_or(Placement::Permit),
-        };
+        let service =
+            Service {
+                id: id?,
+                kind: kind?,
+                load_bound,
+                deadline,
+                max_deadline,
+                non_idempotent: table.texts("non_idempotent"),
+                attempts: table.integer("attempts", 1, 10).unwrap_or(3) as u32,
+                retry_budget: table.number("retry_budget", 0.0, 1.0).unwrap_or(0.1),
+                queue: table.integer("queue", 0, 100_000).unwrap_or(1000) as u32,
+                affinity_wait: table.text("patience").unwrap_or(
+                    if kind == Some(ServiceKind::Model) { AFFINITY_WAIT } else { Span::secs(0) },
+                ),
+                models: table.texts("models"),
+                loads_at_once: table.integer("loads_at_once", 1, 1000).unwrap_or(2) as u32,
+                min_serving: table.number("min_serving", 0.0, 1.0).unwrap_or(0.75),
+                placement: table.choice("placement", &PLACEMENTS).unwrap_or(Placement::Permit),
+            };
         for model in service.models.iter().filter(|model| !models.contains_key(*model)) {
-            table.fault(
+            table.add_error(
                 "models",
                 format!("{model} is no model of this file; add a [[model]] or remove it here"),
             );
--- a/src/instance/knowledge/apply.rs
+++ b/src/instance/cluster_state/apply.rs
@@ -1,5 +1,5 @@
-//! Puts an operators' file in force: checked whole, stored, and named by one conditional write
-//! together with its audit row.
+//! Applies an operators' file: the file is checked as a whole, its objects are stored, and one conditional write
+//! sets the head row together with its audit row.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,14 +8,14 @@
     configs::{
         fleet::{
             Fleet,
-            chunks::{Digest, decode, encode, store},
+            chunks::{Digest, decode, encode, to_chunks},
             diff::{Change, diff},
         },
-        reader::Faults,
+        reader::ConfigErrors,
     },
     contract::revision::{HEAD_KEY, Head},
     instance::{
-        knowledge::{
+        cluster_state::{
             audit_trail,
             config::{self, object_key},
         },
@@ -25,85 +25,85 @@
     units::Revision,
 };
 
-/// Tries to write the head, each after reading it anew, when no base was stated.
-const TRIES: u32 = 5;
+/// Attempts to write the head if no base was stated, each after reading it anew.
+const WRITE_ATTEMPTS: u32 = 5;
 
-/// Reads of the head in a row during which newer revisions may come into force: who applied the newest is told then, not that
-/// there is one.
-const HEAD_READS: u32 = 5;
+/// Attempts to read the head together with its file, repeated while newer revisions become active in between. The
+/// operator is then told who applied the newest revision, not just that there is one.
+const HEAD_READ_ATTEMPTS: u32 = 5;
 
-/// What came of an apply.
+/// Result of an apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
-    /// Revision in force.
+    /// Active revision.
     pub revision: Revision,
-    /// What changed; empty when the same file was in force already.
+    /// What changed; empty if the same file was active already.
     pub changes: Vec<Change>,
 }
 
-/// Why a file was not put in force.
+/// Why a file was not applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
-pub enum ApplyFault {
-    /// The file has faults.
+pub enum ApplyError {
+    /// The file has errors.
     #[error("the file is refused as a whole; correct these and apply it again:\n{0}")]
-    Faults(Faults),
-    /// Another file was put in force since the base.
+    Faults(ConfigErrors),
+    /// Another file was applied since the base.
     #[error(
         "revision {revision} by {by} is in force, not {base}; look at `cartvane diff`, then apply again with --base {revision}"
     )]
     Moved {
         /// Base that the operator stated.
         base: Revision,
-        /// Revision in force.
+        /// Active revision.
         revision: Revision,
         /// Who applied it.
         by: String,
-        /// What differs between the file in force and the one refused.
+        /// Differences between the active file and the rejected one.
         differs: Vec<Change>,
     },
-    /// The store did not take it.
+    /// The store did not accept the file.
     #[error("the store did not take the file ({0}); nothing changed, apply it again")]
     Store(String),
-    /// The store's reply was lost and it cannot be read back now.
+    /// The store's reply was lost, and the result cannot be read back now.
     #[error(
         "the store's reply was lost ({0}); see `cartvane show` for what is in force before applying again"
     )]
     Unknown(String),
 }
 
-impl From<PlatformError> for ApplyFault {
-    fn from(fault: PlatformError) -> ApplyFault {
-        ApplyFault::Store(fault.to_string())
+impl From<PlatformError> for ApplyError {
+    fn from(error: PlatformError) -> ApplyError {
+        ApplyError::Store(error.to_string())
     }
 }
 
-/// The file in force as the store has it.
+/// The active file according to the store.
 struct Current {
     row: Option<Row>,
     head: Option<Head>,
     fleet: Fleet,
 }
 
-/// Checks `text` and puts it in force.
+/// Checks `text` and applies it.
 ///
-/// With `base`, only if that revision is in force.
+/// With `base`, only if that revision is active.
 ///
 /// # Errors
 ///
-/// See [`ApplyFault`]; the refusal is in the audit trail when the store takes it.
+/// See [`ApplyError`]; the rejection is in the audit trail unless the store fails to write it.
 pub fn apply(
     shared: &Shared,
     text: &str,
     base: Option<Revision>,
     by: &str,
-) -> Result<Applied, ApplyFault> {
+) -> Result<Applied, ApplyError> {
     let result = match Fleet::parse(text) {
         Ok(fleet) => apply_fleet(shared, text, &fleet, base, by),
-        Err(faults) => Err(ApplyFault::Faults(faults)),
+        Err(faults) => Err(ApplyError::Faults(faults)),
     };
-    if let Err(fault) = &result {
-        note_refusal(shared, by, fault);
+    if let Err(error) = &result {
+        audit_refusal(shared, by, error);
     }
     result
 }
@@ -114,20 +114,20 @@
     fleet: &Fleet,
     base: Option<Revision>,
     by: &str,
-) -> Result<Applied, ApplyFault> {
-    let stored = store(fleet);
+) -> Result<Applied, ApplyError> {
+    let stored = to_chunks(fleet);
     let manifest = Digest::of(&stored.manifest);
     let id = shared.next_request_id();
     put_objects(shared, &stored, manifest, text)?;
-    let mut moved = None;
-    for _ in 0..TRIES {
+    let mut implied_base = None;
+    for _ in 0..WRITE_ATTEMPTS {
         let current = current(shared)?;
         let revision = current.head.as_ref().map_or(Revision::default(), |h| h.revision);
         let changes = diff(&current.fleet, fleet);
-        if let Some(base) = base.or(moved)
+        if let Some(base) = base.or(implied_base)
             && base != revision
         {
-            return Err(moved_fault(base, current, changes));
+            return Err(moved_error(base, current, changes));
         }
         if current.head.as_ref().is_some_and(|h| h.manifest == manifest) {
             return Ok(Applied { revision, changes: Vec::new() });
@@ -141,19 +141,19 @@
         };
         match write_head(shared, &current, &head, &changes, text)? {
             true => {
-                put_in_force(shared, head.clone());
+                activate(shared, head.clone());
                 return Ok(Applied { revision: head.revision, changes });
             }
-            // Another apply came first. What this operator saw is no longer in force.
-            false => moved = Some(revision),
+            // Another apply came first; what this operator saw is no longer active.
+            false => implied_base = Some(revision),
         }
     }
-    Err(ApplyFault::Store("the row is changing; apply again".to_owned()))
+    Err(ApplyError::Store("the row is changing; apply again".to_owned()))
 }
 
-fn moved_fault(base: Revision, current: Current, differs: Vec<Change>) -> ApplyFault {
+fn moved_error(base: Revision, current: Current, differs: Vec<Change>) -> ApplyError {
     let head = current.head;
-    ApplyFault::Moved {
+    ApplyError::Moved {
         base,
         revision: head.as_ref().map_or(Revision::default(), |h| h.revision),
         by: head.map_or_else(|| "nobody".to_owned(), |h| h.by),
@@ -166,10 +166,10 @@
     stored: &crate::configs::fleet::chunks::StoredFleet,
     manifest: Digest,
     text: &str,
-) -> Result<(), ApplyFault> {
+) -> Result<(), ApplyError> {
     let objects = &shared.platform.objects;
     for (name, bytes) in &stored.chunks {
-        // What is in force here has been stored by whoever applied it.
+        // An object in the cache has already been stored by the instance that applied it.
         if shared.objects.get(name).is_none() {
             objects.put(&object_key(name), bytes)?;
         }
@@ -183,36 +183,37 @@
     Ok(())
 }
 
-/// Reads the head and its file from the store, or from memory where that is the same.
-fn current(shared: &Shared) -> Result<Current, ApplyFault> {
-    for _ in 0..HEAD_READS {
+/// Reads the head from the store, and returns it with its file.
+fn current(shared: &Shared) -> Result<Current, ApplyError> {
+    for _ in 0..HEAD_READ_ATTEMPTS {
         let row = shared.platform.table.get(HEAD_KEY)?;
         let head: Option<Head> = row.as_ref().and_then(|row| decode(&row.value).ok());
-        let Some(fleet) = fleet_of(shared, head.as_ref())? else { continue };
+        let Some(fleet) = fleet_at(shared, head.as_ref())? else { continue };
         return Ok(Current { row, head, fleet });
     }
-    Err(ApplyFault::Store("newer revisions keep coming in; apply again".to_owned()))
+    Err(ApplyError::Store("newer revisions keep coming in; apply again".to_owned()))
 }
 
-/// Returns the file of a head; `None` where a newer one has come into force since the head was read.
-fn fleet_of(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyFault> {
+/// Returns the file of `head`, installed here if it is newer than the active one; `None` if an even newer revision
+/// has become active since `head` was read.
+fn fleet_at(shared: &Shared, head: Option<&Head>) -> Result<Option<Fleet>, ApplyError> {
     let Some(head) = head else { return Ok(Some(Fleet::default())) };
     if shared.revision() < head.revision {
-        config::install(shared, head.clone()).map_err(|e| ApplyFault::Store(e.to_string()))?;
+        config::install(shared, head.clone()).map_err(|e| ApplyError::Store(e.to_string()))?;
     }
     let snapshot = shared.snapshot.load_full();
     let same = snapshot.filter(|snapshot| snapshot.revision() == head.revision);
     Ok(same.map(|snapshot| snapshot.fleet.clone()))
 }
 
-/// Writes the head with its audit row; false when another apply came first.
+/// Writes the head with its audit row; returns false if another apply came first.
 fn write_head(
     shared: &Shared,
     current: &Current,
     head: &Head,
     changes: &[Change],
     text: &str,
-) -> Result<bool, ApplyFault> {
+) -> Result<bool, ApplyError> {
     let audit = AuditRow {
         at: head.at,
         by: head.by.clone(),
@@ -228,44 +229,46 @@
     let expect = current.row.as_ref().map_or(Expect::Absent, |row| Expect::Version(row.version));
     let operations = vec![
         Operation { key: HEAD_KEY.to_owned(), expect, write: Write::Put(encode(head)) },
-        Operation::create(audit_key(head.at, &head.apply), audit_trail::json(&audit)),
-        Operation::create(revision_key(head.revision), audit_trail::json(&revision)),
+        Operation::create(audit_key(head.at, &head.apply), audit_trail::encode_json(&audit)),
+        Operation::create(revision_key(head.revision), audit_trail::encode_json(&revision)),
     ];
     match shared.platform.table.transact(operations) {
         Ok(TransactReply::Committed) => Ok(true),
         Ok(TransactReply::Conflict { .. }) => Ok(false),
-        Err(fault) if fault.may_have_taken_effect() => read_back(shared, head, &fault),
-        Err(fault) => Err(fault.into()),
+        Err(error) if error.may_have_taken_effect() => read_back(shared, head, &error),
+        Err(error) => Err(error.into()),
     }
 }
 
-/// The reply was lost: the row for the revision tells whether this apply wrote it, also when yet
-/// another one has followed.
-fn read_back(shared: &Shared, head: &Head, fault: &PlatformError) -> Result<bool, ApplyFault> {
-    let unknown = |e: PlatformError| ApplyFault::Unknown(e.to_string());
+/// Determines after a lost reply whether the write took effect. The audit row of this apply shows it, even if
+/// another apply has followed.
+fn read_back(shared: &Shared, head: &Head, error: &PlatformError) -> Result<bool, ApplyError> {
+    let unknown = |e: PlatformError| ApplyError::Unknown(e.to_string());
     let audit = shared.platform.table.get(&audit_key(head.at, &head.apply)).map_err(unknown)?;
     if audit.is_some() {
         return Ok(true);
     }
     let row = shared.platform.table.get(HEAD_KEY).map_err(unknown)?;
-    let seen: Option<Head> = row.and_then(|row| decode(&row.value).ok());
-    if seen.is_some_and(|seen| seen.revision >= head.revision) {
-        // The revision is taken by another apply, so this one can no longer take effect.
+    let stored: Option<Head> = row.and_then(|row| decode(&row.value).ok());
+    if stored.is_some_and(|stored| stored.revision >= head.revision) {
+        // Another apply has written this revision, so this write can no longer take effect.
         return Ok(false);
     }
-    Err(ApplyFault::Unknown(fault.to_string()))
+    Err(ApplyError::Unknown(error.to_string()))
 }
 
-fn put_in_force(shared: &Shared, head: Head) {
+fn activate(shared: &Shared, head: Head) {
     let head_revision = head.revision;
-    if let Err(fault) = config::install(shared, head) {
-        log::warn!("revision {head_revision} is accepted and not yet in force here: {fault}");
-        (shared.wake_sync)();
+    if let Err(error) = config::install(shared, head) {
+        log::warn!(
+            "revision {head_revision} is stored, but not yet active on this instance: {error}"
+        );
+        (shared.wake_config)();
     }
 }
 
-fn note_refusal(shared: &Shared, by: &str, fault: &ApplyFault) {
+fn audit_refusal(shared: &Shared, by: &str, error: &ApplyError) {
     let at = shared.clock.wall_millis();
-    let action = AuditAction::Refused { from: shared.revision(), reason: fault.to_string() };
+    let action = AuditAction::Refused { from: shared.revision(), reason: error.to_string() };
     audit_trail::append(shared, &AuditRow { at, by: by.to_owned(), action });
 }
--- a/standins/src/measure/config.rs
+++ b/standins/src/measure/config.rs
@@ -9,11 +9,11 @@
 use cartvane::{
     configs::fleet::{
         Fleet as FleetFile,
-        chunks::{Manifest, decode, load, store},
+        chunks::{Manifest, decode, from_chunks, to_chunks},
         team::KeyHash,
     },
     contract::revision::Head,
-    instance::knowledge::snapshot::Snapshot,
+    instance::cluster_state::snapshot::Snapshot,
     units::Revision,
 };
 
@@ -62,7 +62,7 @@
     for n in 0..CHANGES {
         let file = format!("{}{}", fleet.file(), team(&format!("change-{n}")));
         let began = Instant::now();
-        let applied: cartvane::instance::knowledge::apply::Applied =
+        let applied: cartvane::instance::cluster_state::apply::Applied =
             fleet.post(0, "/v1/apply", &file)?;
         if goes_down {
             fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
@@ -116,11 +116,12 @@
     let check = began.elapsed();
     let before = resident_mib(std::process::id());
     let began = Instant::now();
-    let stored = store(&file);
+    let stored = to_chunks(&file);
     let chunked = began.elapsed();
     let manifest: Manifest = decode(&stored.manifest).expect("just encoded");
     let began = Instant::now();
-    let loaded = load(&manifest, |name| stored.chunks.get(name).cloned()).expect("just stored");
+    let loaded =
+        from_chunks(&manifest, |name| stored.chunks.get(name).cloned()).expect("just stored");
     let head = Head {
         revision: Revision(1),
         manifest: cartvane::configs::fleet::chunks::Digest::of(&stored.manifest),
@@ -136,7 +137,7 @@
     if let Some(team) = changed.teams.values_mut().last() {
         team.weight += 1;
     }
-    let next = store(&changed);
+    let next = to_chunks(&changed);
     let new: usize = next
         .chunks
         .iter()
@@ -165,7 +166,7 @@
     let idle = resident_mib(fleet.routers[3].pid());
     let file = large_file(&fleet.file());
     let began = Instant::now();
-    let applied: cartvane::instance::knowledge::apply::Applied =
+    let applied: cartvane::instance::cluster_state::apply::Applied =
         fleet.post(0, "/v1/apply", &file)?;
     let accepted = began.elapsed();
     for at in 0..8 {
@@ -186,7 +187,7 @@
     let before: Vec<f64> = (1..8).map(config).collect();
     let changed = file.replacen("weight = 1", "weight = 2", 1) + &team("one-more");
     let began = Instant::now();
-    let applied: cartvane::instance::knowledge::apply::Applied =
+    let applied: cartvane::instance::cluster_state::apply::Applied =
         fleet.post(0, "/v1/apply", &changed)?;
     let change_accepted = began.elapsed();
     for at in 0..8 {
