--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-fn tell(id: &str, files: &[String], json: bool) -> CommandResult {
+fn print_request(id: &str, files: &[String], json: bool) -> CommandResult {
     let mut trace = RequestTrace::new(id);
     each_line(files, |line| trace.add_line(line))?;
     let lines = trace.lines();
--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -47,9 +47,9 @@
         text = settings::set(&text, key, value).map_err(|e| CommandError::Usage(e.to_string()))?;
     }
     let settings = Settings::parse(&text, cx)
-        .map_err(|faults| CommandFault::Refused(format!("{path} is refused:\n{faults}")))?;
+        .map_err(|errors| CommandError::Refused(format!("{path} is refused:\n{errors}")))?;
     let started = logging::init(&settings.logging, settings.id.as_str(), cx.clock.clone());
-    started.map_err(|e| CommandFault::Refused(e.to_string()))?;
+    started.map_err(|e| CommandError::Refused(e.to_string()))?;
     serve(settings, cx)
 }
 
--- a/src/instance/requests/engine_streams.rs
+++ b/src/instance/requests/engine_streams.rs
@@ -28,7 +28,7 @@
     }
     log::info!("resumed id={id} backend_server={} offset={offset}", server.id);
     shared.metrics.stream_resumed(&server.service);
-    Some(answer)
+    Some(response)
 }
 
 /// Cancels the stream of attempt `id`, whose caller has disconnected.
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -113,8 +113,8 @@
     let head_only = head.method == Method::HEAD;
     let service_name = split_target(&head.target).0.to_owned();
     shared.metrics.request_started();
-    let done = take_in(shared, conn, head, &id, began);
-    let team = done
+    let admission = admit(shared, conn, head, &id, received_at);
+    let team = admission
         .as_ref()
         .map_or_else(|_| "-".to_owned(), |t| t.snapshot.team_id(t.team_tag).to_string());
     let (result, body_read) = match admission {
@@ -135,9 +135,9 @@
         }
         Err(rejected) => (ForwardResult::Rejected(rejected.refusal), rejected.body_read),
     };
-    match ended {
-        Ended::Answered { status, outcome, reusable, server } => {
-            let took = shared.clock.now() - began;
+    match result {
+        ForwardResult::Responded { status, outcome, reusable, server } => {
+            let took = shared.clock.now() - received_at;
             shared.metrics.request_finished(&service_name, status, outcome, took);
             let server = server.map_or_else(|| "-".to_owned(), |id| id.to_string());
             log::info!(
@@ -169,8 +169,9 @@
         send_refusal(conn, stall, refusal, &response_options(id.clone(), keep_alive), head_only);
     let took = shared.clock.now() - received_at;
     if service != "-" {
-        let known = shared.snapshot.load().as_ref().is_some_and(|s| s.service(service).is_some());
-        let label = if known { service } else { "-" };
+        let is_configured =
+            shared.snapshot.load().as_ref().is_some_and(|s| s.service(service).is_some());
+        let label = if is_configured { service } else { "-" };
         shared.metrics.request_finished(label, refusal.status, refusal.outcome, took);
     }
     log::info!(
