--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,98 +1,115 @@
-//! The promises, checked from what callers and backend servers saw.
+//! Invariants of the fleet, checked against what callers and backend servers observed.
 
 use std::{fmt, sync::Mutex, time::Instant};
 
 use cartvane::utils::sync::lock;
 use standins::listed::Listed;
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Broken {
-    /// The promise.
-    pub(crate) promise: &'static str,
-    /// The request, or what else it is about.
-    pub(crate) about: String,
-    /// What was seen.
-    pub(crate) seen: String,
-    /// Milliseconds since the run began.
+pub(crate) struct Violation {
+    /// The invariant.
+    pub(crate) invariant: &'static str,
+    /// The request, instance or part of the soak that violated it.
+    pub(crate) subject: String,
+    /// What was observed instead.
+    pub(crate) observed: String,
+    /// Milliseconds since the start of the run.
     pub(crate) at_ms: u128,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {} ms: {}: {}: {}", self.at_ms, self.promise, self.about, self.seen)
+        write!(f, "at {} ms: {}: {}: {}", self.at_ms, self.invariant, self.subject, self.observed)
     }
 }
 
-/// What a caller was told of a request that may run only once.
+/// The response to a request that may run at most once.
 #[derive(Debug, Clone)]
-struct Told {
+struct OnceResponse {
     id: String,
     status: u16,
 }
 
-/// Collects what callers saw.
+/// Collects what callers observed.
 pub(crate) struct Checks {
-    began: Instant,
-    broken: Mutex<Vec<Broken>>,
-    once: Mutex<Vec<Told>>,
-    served: Mutex<(u64, u64)>,
+    started_at: Instant,
+    violations: Mutex<Vec<Violation>>,
+    once: Mutex<Vec<OnceResponse>>,
+    request_counts: Mutex<(u64, u64)>,
 }
 
 impl Checks {
-    /// Returns the checks of a run that begins now.
+    /// Returns the checks of a run that starts now.
     pub(crate) fn new() -> Checks {
         Checks {
-            began: Instant::now(),
-            broken: Mutex::default(),
+            started_at: Instant::now(),
+            violations: Mutex::default(),
             once: Mutex::default(),
-            served: Mutex::default(),
+            request_counts: Mutex::default(),
         }
     }
 
-    /// Notes a broken promise.
-    pub(crate) fn broken(&self, promise: &'static str, about: &str, seen: impl Into<String>) {
-        let at_ms = self.began.elapsed().as_millis();
-        let (about, seen) = (about.to_owned(), seen.into());
-        lock(&self.broken).push(Broken { promise, about, seen, at_ms });
+    /// Records a violated invariant.
+    pub(crate) fn report_violation(
+        &self,
+        invariant: &'static str,
+        subject: &str,
+        observed: impl Into<String>,
+    ) {
+        let at_ms = self.started_at.elapsed().as_millis();
+        let (subject, observed) = (subject.to_owned(), observed.into());
+        lock(&self.violations).push(Violation { invariant, subject, observed, at_ms });
     }
 
-    /// Notes the answer to a request that may run only once.
-    pub(crate) fn told_once(&self, id: &str, status: u16) {
-        lock(&self.once).push(Told { id: id.to_owned(), status });
+    /// Records the response to a request that may run at most once.
+    pub(crate) fn note_once(&self, id: &str, status: u16) {
+        lock(&self.once).push(OnceResponse { id: id.to_owned(), status });
     }
 
-    /// Counts a request, and whether it was served.
-    pub(crate) fn count(&self, served: bool) {
-        let mut counts = lock(&self.served);
+    /// Counts a request and whether it was served with a complete response.
+    pub(crate) fn count_request(&self, served: bool) {
+        let mut counts = lock(&self.request_counts);
         counts.0 += 1;
         counts.1 += u64::from(served);
     }
 
-    /// Returns the requests and how many of them were served.
-    pub(crate) fn counts(&self) -> (u64, u64) {
-        *lock(&self.served)
+    /// Returns the number of requests and how many of them were served.
+    pub(crate) fn request_counts(&self) -> (u64, u64) {
+        *lock(&self.request_counts)
     }
 
-    /// Checks the runs of requests that may run only once, when all is over.
+    /// Checks how often the servers ran each request that may run at most once; called after the last response.
     pub(crate) fn check_runs(&self, servers: &[Listed]) {
-        for told in lock(&self.once).iter() {
-            let runs: u32 = servers.iter().map(|server| server.runs(&told.id)).sum();
+        for response in lock(&self.once).iter() {
+            let runs: u32 = servers.iter().map(|server| server.runs(&response.id)).sum();
             if runs > 1 {
-                self.broken("it runs at most once", &told.id, format!("{runs} runs"));
+                self.report_violation(
+                    "a non-idempotent request runs at most once",
+                    &response.id,
+                    format!("{runs} runs"),
+                );
             }
-            if matches!(told.status, 408 | 421 | 429 | 503) && runs > 0 {
-                let seen = format!("status {} and {runs} runs", told.status);
-                self.broken("a refusal that says not-run is true", &told.id, seen);
+            if matches!(response.status, 408 | 421 | 429 | 503) && runs > 0 {
+                let observed = format!("status {} and {runs} runs", response.status);
+                self.report_violation(
+                    "a request rejected as not run has not run",
+                    &response.id,
+                    observed,
+                );
             }
-            if told.status == 200 && runs == 0 {
-                self.broken("an answer is a server's", &told.id, "status 200 and no run");
+            if response.status == 200 && runs == 0 {
+                self.report_violation(
+                    "a successful response comes from a backend server",
+                    &response.id,
+                    "status 200 and no run",
+                );
             }
         }
     }
 
-    /// Returns the broken promises.
-    pub(crate) fn take(&self) -> Vec<Broken> {
-        std::mem::take(&mut lock(&self.broken))
+    /// Returns the violations and clears them.
+    pub(crate) fn take_violations(&self) -> Vec<Violation> {
+        std::mem::take(&mut lock(&self.violations))
     }
 }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, the store and the backend servers, and what can be done to them.
+//! The instances, store and backend servers of a run, and the operations on them that events use.
 
 use std::{
     fs::{self, File},
@@ -18,62 +18,63 @@
 use serde_json::{Value, json};
 use standins::{fault::Fault, listed::Listed, server::Received, store::StoreStandIn};
 
-use crate::proxy::{Link, Proxy};
+use crate::proxy::{LinkMode, Proxy};
 
-/// Key of the callers' team.
+/// API key of the callers' team.
 pub(crate) const KEY: &str = "key-of-crew";
 
-/// Time in which a change must be in force.
-pub(crate) const IN_FORCE: Duration = Duration::from_millis(2000);
+/// Time within which instances must apply a change of the intent.
+pub(crate) const CONFIG_APPLY_TIME: Duration = Duration::from_millis(2000);
 
-/// Time after which a leaving server must get nothing.
-pub(crate) const LEAVING: Duration = Duration::from_millis(2000);
+/// Time after which a draining server must receive no new requests.
+pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(2000);
 
-/// Time between the signal to end and the kill.
-pub(crate) const GRACE: Duration = Duration::from_secs(6);
+/// Time that an instance has for its shutdown after SIGTERM.
+pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// One instance, running or not.
+/// An instance, whether its process runs or not.
 pub(crate) struct Instance {
-    /// Callers' address.
-    pub(crate) callers: SocketAddr,
-    /// Its link to the store.
-    pub(crate) store_link: Proxy,
+    /// Address that callers connect to.
+    pub(crate) frontend: SocketAddr,
+    /// Proxy between the instance and the store.
+    pub(crate) store_proxy: Proxy,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
     pid: Arc<AtomicI32>,
-    /// Last moment at which something was done to it.
-    pub(crate) disturbed: Instant,
+    /// Time of the last event that affected it.
+    pub(crate) disturbed_at: Instant,
 }
 
-/// One place of a backend server, with the incarnation that has it now.
-pub(crate) struct Place {
-    /// Its link.
-    pub(crate) link: Proxy,
-    /// Index of the incarnation in [`Fleet::servers`].
+/// The address of a backend server, with the incarnation that uses it now.
+pub(crate) struct ServerEndpoint {
+    /// Proxy whose address is in the server's entry.
+    pub(crate) proxy: Proxy,
+    /// Index of the current incarnation in [`Fleet::servers`].
     pub(crate) server: usize,
-    /// When something was last done to the link.
-    pub(crate) disturbed: Instant,
+    /// Time of the last change of the proxy's mode.
+    pub(crate) disturbed_at: Instant,
 }
 
 /// The fleet of a run.
 pub(crate) struct Fleet {
     /// The store.
     pub(crate) store: StoreStandIn,
-    /// Instances.
+    /// Instances, by number.
     pub(crate) instances: Vec<Mutex<Instance>>,
-    /// Ids of the instances' processes, 0 for none: a process can be frozen while it is told to end.
+    /// Process ids of the instances, 0 for none. Outside the instances' locks, since a process may be frozen while
+    /// another event holds its lock and waits for it to exit.
     pub(crate) pids: Vec<Arc<AtomicI32>>,
-    /// Places of backend servers.
-    pub(crate) places: Vec<Mutex<Place>>,
-    /// All incarnations that there were.
+    /// Endpoints of backend servers.
+    pub(crate) endpoints: Vec<Mutex<ServerEndpoint>>,
+    /// All incarnations of backend servers, former ones included.
     pub(crate) servers: Mutex<Vec<Listed>>,
-    /// Version of the intent.
+    /// Current version of the intent.
     pub(crate) version: Mutex<u64>,
-    /// Routes of the intent that nobody asks for.
+    /// Number of routes in the intent that no caller uses.
     idle_routes: Mutex<usize>,
-    /// Last moment at which something was done to the store.
-    pub(crate) store_disturbed: Mutex<Instant>,
+    /// Time of the last event that affected the store.
+    pub(crate) store_disturbed_at: Mutex<Instant>,
 }
 
 impl Fleet {
@@ -87,14 +88,18 @@
         fs::create_dir_all(dir)?;
         let store = StoreStandIn::spawn()?;
         let mut all = Vec::new();
-        let mut places = Vec::new();
+        let mut endpoints = Vec::new();
         for number in 0..servers {
             let server = Listed::spawn(&format!("s{number}-0"))?;
-            let link = Proxy::spawn(server.address())?;
+            let proxy = Proxy::spawn(server.address())?;
             all.push(server);
-            places.push(Mutex::new(Place { link, server: number, disturbed: Instant::now() }));
+            endpoints.push(Mutex::new(ServerEndpoint {
+                proxy,
+                server: number,
+                disturbed_at: Instant::now(),
+            }));
         }
-        // Every run has loopback addresses of its own, so that ports can be the same everywhere.
+        // Every run has its own loopback addresses, so that concurrent runs can use the same ports.
         let net = [127, 64 + (std::process::id() % 64) as u8, (seed % 250) as u8];
         let ip = |number: usize| [net[0], net[1], net[2], number as u8 + 1];
         let seeds: Vec<String> =
@@ -102,34 +107,34 @@
         let mut started = Vec::new();
         let mut pids: Vec<Arc<AtomicI32>> = Vec::new();
         for number in 0..instances {
-            let store_link = Proxy::spawn(store.address())?;
+            let store_proxy = Proxy::spawn(store.address())?;
             let address = |port: u16| SocketAddr::from((ip(number), port));
-            let text = settings(number, &address, &seeds, store_link.address());
+            let text = settings(number, &address, &seeds, store_proxy.address());
             let settings = dir.join(format!("{number}.json"));
             fs::write(&settings, text.to_string())?;
             pids.push(Arc::default());
             started.push(Mutex::new(Instance {
                 pid: Arc::clone(&pids[number]),
-                callers: address(7000),
-                store_link,
+                frontend: address(7000),
+                store_proxy,
                 settings,
                 log: dir.join(format!("{number}.log")),
                 child: None,
-                disturbed: Instant::now(),
+                disturbed_at: Instant::now(),
             }));
         }
         let fleet = Fleet {
             store,
             instances: started,
             pids,
-            places,
+            endpoints,
             servers: Mutex::new(all),
             version: Mutex::new(10),
             idle_routes: Mutex::default(),
-            store_disturbed: Mutex::new(Instant::now()),
+            store_disturbed_at: Mutex::new(Instant::now()),
         };
-        for place in 0..servers {
-            fleet.list(place, "ready");
+        for endpoint in 0..servers {
+            fleet.write_entry(endpoint, "ready");
         }
         fleet.write_intent();
         for instance in &fleet.instances {
@@ -138,82 +143,83 @@
         Ok(Arc::new(fleet))
     }
 
-    /// Writes the entry of a place's server.
-    pub(crate) fn list(&self, place: usize, state: &str) {
-        let place = lock(&self.places[place]);
+    /// Writes the entry of an endpoint's server to the store.
+    pub(crate) fn write_entry(&self, endpoint: usize, state: &str) {
+        let endpoint = lock(&self.endpoints[endpoint]);
         let servers = lock(&self.servers);
-        let mut entry = servers[place.server].entry("app", state);
-        entry["address"] = place.link.address().to_string().into();
-        self.store.put("servers", &servers[place.server].id, &entry);
+        let mut entry = servers[endpoint.server].entry("app", state);
+        entry["address"] = endpoint.proxy.address().to_string().into();
+        self.store.put("servers", &servers[endpoint.server].id, &entry);
     }
 
-    /// Puts a new incarnation in a place; the one before keeps its address of its own.
-    pub(crate) fn replace(&self, place: usize) -> anyhow::Result<()> {
-        let mut at = lock(&self.places[place]);
+    /// Starts a new incarnation behind an endpoint; the one before keeps running at its own address.
+    pub(crate) fn replace_server(&self, endpoint: usize) -> anyhow::Result<()> {
+        let mut current = lock(&self.endpoints[endpoint]);
         let mut servers = lock(&self.servers);
-        let id = format!("s{place}-{}", servers.len());
+        let id = format!("s{endpoint}-{}", servers.len());
         let server = Listed::spawn(&id)?;
-        self.store.remove("servers", &servers[at.server].id);
-        at.link.retarget(server.address());
-        at.server = servers.len();
+        self.store.remove("servers", &servers[current.server].id);
+        current.proxy.retarget(server.address());
+        current.server = servers.len();
         servers.push(server);
-        drop((at, servers));
-        self.list(place, "ready");
+        drop((current, servers));
+        self.write_entry(endpoint, "ready");
         Ok(())
     }
 
-    /// Returns the id of a place's server and the ids of the requests that have arrived there.
-    pub(crate) fn arrivals(&self, place: usize) -> (String, Vec<String>) {
-        let at = lock(&self.places[place]).server;
+    /// Returns the id of an endpoint's server and the ids of the requests that have arrived there.
+    pub(crate) fn arrivals(&self, endpoint: usize) -> (String, Vec<String>) {
+        let server = lock(&self.endpoints[endpoint]).server;
         let servers = lock(&self.servers);
-        let arrivals = servers[at].arrivals();
+        let arrivals = servers[server].arrivals();
         let id = |request: &Received| request.head.header("x-request-id").unwrap_or("").to_owned();
-        (servers[at].id.clone(), arrivals.iter().map(id).collect())
+        (servers[server].id.clone(), arrivals.iter().map(id).collect())
     }
 
-    /// Returns the requests under way at the servers in use.
+    /// Returns the number of requests in flight at each current server.
     pub(crate) fn loads(&self) -> Vec<u32> {
-        let used: Vec<usize> = self.places.iter().map(|place| lock(place).server).collect();
+        let used: Vec<usize> =
+            self.endpoints.iter().map(|endpoint| lock(endpoint).server).collect();
         let servers = lock(&self.servers);
-        used.into_iter().map(|at| servers[at].in_flight()).collect()
+        used.into_iter().map(|server| servers[server].in_flight()).collect()
     }
 
-    /// Has a place's link behave otherwise.
-    pub(crate) fn disturb_place(&self, place: usize, link: Link) {
-        let mut place = lock(&self.places[place]);
-        place.link.set(link);
-        place.disturbed = Instant::now();
+    /// Sets the mode of an endpoint's proxy.
+    pub(crate) fn set_link_mode(&self, endpoint: usize, mode: LinkMode) {
+        let mut endpoint = lock(&self.endpoints[endpoint]);
+        endpoint.proxy.set_mode(mode);
+        endpoint.disturbed_at = Instant::now();
     }
 
-    /// Gives the next requests at a place these faults.
-    pub(crate) fn faults(&self, place: usize, faults: &[Fault]) {
-        let at = lock(&self.places[place]).server;
-        lock(&self.servers)[at].faults.push(faults.iter().copied());
+    /// Injects faults into the next requests at an endpoint, one for each.
+    pub(crate) fn inject_faults(&self, endpoint: usize, faults: &[Fault]) {
+        let server = lock(&self.endpoints[endpoint]).server;
+        lock(&self.servers)[server].faults.push(faults.iter().copied());
     }
 
-    /// Makes the next version of the intent the operator's and returns it.
-    pub(crate) fn change(&self) -> u64 {
+    /// Writes the next version of the intent and returns its number.
+    pub(crate) fn change_intent(&self) -> u64 {
         *lock(&self.version) += 1;
         self.write_intent();
         *lock(&self.version)
     }
 
-    /// Makes the versions from the next one on larger.
-    pub(crate) fn grow(&self, routes: usize) {
+    /// Adds unused routes to all following versions of the intent.
+    pub(crate) fn add_idle_routes(&self, routes: usize) {
         *lock(&self.idle_routes) += routes;
     }
 
-    /// Writes what the operator and the servers have written, as after a return of the store from a copy.
-    pub(crate) fn write_again(&self) {
+    /// Writes the intent and the servers' entries again, as after a restore of the store from a copy.
+    pub(crate) fn rewrite_all(&self) {
         self.write_intent();
-        let used: Vec<String> = (0..self.places.len())
-            .map(|place| {
-                self.list(place, "ready");
-                let at = lock(&self.places[place]).server;
-                lock(&self.servers)[at].id.clone()
+        let used: Vec<String> = (0..self.endpoints.len())
+            .map(|endpoint| {
+                self.write_entry(endpoint, "ready");
+                let server = lock(&self.endpoints[endpoint]).server;
+                lock(&self.servers)[server].id.clone()
             })
             .collect();
-        // Entries that nobody writes lapse.
+        // Entries of former servers, which the copy may contain, are removed as if they had expired.
         let left = self.store.keys("servers").into_iter().filter(|id| !used.contains(id));
         left.for_each(|id| self.store.remove("servers", &id));
     }
@@ -223,16 +229,16 @@
         self.store.put("op", "config", &intent(version, idle_routes));
     }
 
-    /// Notes that something was done to the store.
-    pub(crate) fn disturb_store(&self) {
-        *lock(&self.store_disturbed) = Instant::now();
+    /// Records that an event affected the store.
+    pub(crate) fn note_store_disturbed(&self) {
+        *lock(&self.store_disturbed_at) = Instant::now();
     }
 }
 
 impl Instance {
     /// Starts the process.
     pub(crate) fn start(&mut self) -> anyhow::Result<()> {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
         let binary = std::env::current_exe()?.with_file_name("cartvane");
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&binary)
@@ -249,23 +255,23 @@
         Ok(())
     }
 
-    /// Notes that something was done to the process. The time is read under the lock: read before, it may be from before
-    /// the last start, and the process is told to reload before it has run its first lines.
+    /// Records that an event affected the process. Reads the time under the lock: a time read earlier may precede the
+    /// last start, and SIGHUP would then be sent before the process has installed its handler, and terminate it.
     pub(crate) fn note_disturbed(&mut self) {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
     }
 
     /// Sends a signal to the process, if it runs.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
         send(&self.pid, signal);
     }
 
-    /// Waits for the process to end; returns whether it did so by itself before `time` was over.
+    /// Waits for the process to exit; returns whether it did within `time`.
     pub(crate) fn wait(&mut self, time: Duration) -> bool {
-        let until = Instant::now() + time;
+        let deadline = Instant::now() + time;
         let Some(child) = &mut self.child else { return true };
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             if matches!(child.try_wait(), Ok(Some(_))) {
                 self.pid.store(0, Ordering::SeqCst);
                 self.child = None;
@@ -278,17 +284,17 @@
 
     /// Kills the process, if it runs.
     pub(crate) fn kill(&mut self) {
-        self.disturbed = Instant::now();
+        self.disturbed_at = Instant::now();
         self.pid.store(0, Ordering::SeqCst);
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // Fails if the process has exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Returns how the process has ended by itself, if it has.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status of a process that exited without being stopped or killed.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
     }
 }
@@ -299,10 +305,10 @@
     }
 }
 
-/// Sends a signal to the process whose id stands in `pid`, if there is one.
+/// Sends a signal to the process with the id in `pid`, if there is one.
 pub(crate) fn send(pid: &AtomicI32, signal: Signal) {
     if let Some(pid) = Pid::from_raw(pid.load(Ordering::SeqCst)) {
-        // A process that has just ended takes no signal.
+        // Fails if the process has just exited.
         let _ = kill_process(pid, signal);
     }
 }
@@ -321,16 +327,15 @@
         },
         "seeds": seeds, "limits": {"max_fds": 1000},
         "bounds": {
-            "drain_ms": LEAVING.as_millis(), "grace_s": GRACE.as_secs(),
-            "config_apply_ms": IN_FORCE.as_millis(), "retry_budget_ratio": 0.2,
+            "drain_ms": DRAIN_TIME.as_millis(), "grace_s": GRACE_PERIOD.as_secs(),
+            "config_apply_ms": CONFIG_APPLY_TIME.as_millis(), "retry_budget_ratio": 0.2,
             "retry_window_s": 10, "budget_slack": 60
         },
         "platform": {"address": store.to_string()}
     })
 }
 
-/// Returns the intent of a version: beside the lasting routes one that only this version has, and some that
-/// nobody asks for.
+/// Returns the intent of a version: the routes that callers use, one that only this version has, and unused ones.
 fn intent(version: u64, idle_routes: usize) -> Value {
     let route = |name: &str, kind: &str, resume: bool| {
         json!({
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -1,4 +1,4 @@
-//! Many requests with one prompt at once, and the load that they bring to the backend servers.
+//! Concurrent requests with the same prompt, and the check that the load of each backend server stays within its bound.
 
 use std::{
     sync::{
@@ -17,25 +17,28 @@
     fleet::{Fleet, KEY},
 };
 
-/// Callers for each instance: together several times what one server may have.
+/// Callers for each instance: together they send several times as many requests as one server may run.
 const CALLERS: usize = 10;
 
-/// Time before loads are looked at: instances have told each other their counts a few times.
-const WARM_UP: Duration = Duration::from_millis(1200);
+/// Time before the first sample, in which the instances exchange their request counts a few times.
+const WARM_UP_TIME: Duration = Duration::from_millis(1200);
 
-/// Time in which loads are looked at.
-const LENGTH: Duration = Duration::from_millis(1500);
+/// Time over which loads are sampled.
+const SAMPLING_TIME: Duration = Duration::from_millis(1500);
 
-/// Pause between two looks.
-const PERIOD: Duration = Duration::from_millis(5);
+/// Pause between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The bound as the settings have it: a multiple of the mean, and requests beyond that.
-const BOUND: (f64, f64) = (2.0, 3.0);
+/// Load bound of a server as a multiple of the mean load, as in the settings.
+const BOUND_FACTOR: f64 = 2.0;
 
-/// Share of looks at which a server may be beyond the bound: requests on their way.
-const BEYOND_MAX: f64 = 0.1;
+/// Requests that a server may have beyond [`BOUND_FACTOR`] times the mean.
+const BOUND_SLACK: f64 = 3.0;
 
-/// Sends one prompt from everywhere and checks that no server gets more than its bound.
+/// Share of samples in which a server may be over its bound, because of requests in transit.
+const OVER_BOUND_SHARE_MAX: f64 = 0.1;
+
+/// Sends requests with one prompt to all instances and checks that no server exceeds its load bound.
 pub(crate) fn check(fleet: &Arc<Fleet>, checks: &Checks) {
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..fleet.instances.len() * CALLERS)
@@ -44,28 +47,33 @@
             thread::spawn(move || call_until(&stop, &fleet, number))
         })
         .collect();
-    thread::sleep(WARM_UP);
-    let looks = look(fleet);
+    thread::sleep(WARM_UP_TIME);
+    let samples = sample_loads(fleet);
     stop.store(true, Ordering::SeqCst);
     for caller in callers {
         if caller.join().is_err() {
-            checks.broken("the soak itself works", "load", "a caller panicked");
+            checks.report_violation("the soak itself works", "load", "a caller panicked");
         }
     }
-    let beyond = looks.iter().filter(|loads| is_beyond(loads, &looks)).count();
-    if beyond as f64 > BEYOND_MAX * looks.len() as f64 {
-        let most = looks.iter().max_by_key(|loads| loads.iter().max());
-        let seen = format!("{beyond} of {} looks; the worst: {most:?}", looks.len());
-        checks.broken("no server has more than its bound", "one prompt", seen);
+    let over_bound = samples.iter().filter(|loads| is_over_bound(loads, &samples)).count();
+    if over_bound as f64 > OVER_BOUND_SHARE_MAX * samples.len() as f64 {
+        let most = samples.iter().max_by_key(|loads| loads.iter().max());
+        let observed =
+            format!("{over_bound} of {} samples over the bound; worst: {most:?}", samples.len());
+        checks.report_violation(
+            "the load of a server stays within its bound",
+            "one prompt",
+            observed,
+        );
     }
 }
 
 fn call_until(stop: &AtomicBool, fleet: &Fleet, number: usize) {
-    let address = lock(&fleet.instances[number % fleet.instances.len()]).callers;
+    let address = lock(&fleet.instances[number % fleet.instances.len()]).frontend;
     let mut sent = 0;
     while !stop.load(Ordering::SeqCst) {
         sent += 1;
-        // What comes back is checked by the other callers; here only the load counts.
+        // Responses are checked in callers.rs; only the load matters here.
         let _ = Call { timeout: Duration::from_secs(4), ..Call::post("/stream/load", KEY, "load") }
             .with("x-request-id", format!("load-{number}-{sent}"))
             .with("x-prefix-hash", format!("ab12:900,{number:x}:50"))
@@ -73,20 +81,20 @@
     }
 }
 
-/// Returns the loads of all servers in use, look by look.
-fn look(fleet: &Fleet) -> Vec<Vec<u32>> {
-    let until = Instant::now() + LENGTH;
-    let mut looks = Vec::new();
-    while Instant::now() < until {
-        looks.push(fleet.loads());
-        thread::sleep(PERIOD);
+/// Returns the loads of all current servers, one list for each sample.
+fn sample_loads(fleet: &Fleet) -> Vec<Vec<u32>> {
+    let deadline = Instant::now() + SAMPLING_TIME;
+    let mut samples = Vec::new();
+    while Instant::now() < deadline {
+        samples.push(fleet.loads());
+        thread::sleep(SAMPLE_INTERVAL);
     }
-    looks
+    samples
 }
 
-/// Returns whether a server is beyond the bound; servers that never had a request do not count.
-fn is_beyond(loads: &[u32], looks: &[Vec<u32>]) -> bool {
-    let used = (0..loads.len()).filter(|&at| looks.iter().any(|loads| loads[at] > 0)).count();
+/// Returns whether a server is over its bound. Servers without a request in any sample do not count for the mean.
+fn is_over_bound(loads: &[u32], samples: &[Vec<u32>]) -> bool {
+    let used = (0..loads.len()).filter(|&at| samples.iter().any(|loads| loads[at] > 0)).count();
     let mean = f64::from(loads.iter().sum::<u32>()) / used.max(1) as f64;
-    loads.iter().any(|&load| f64::from(load) > BOUND.0 * mean + BOUND.1)
+    loads.iter().any(|&load| f64::from(load) > BOUND_FACTOR * mean + BOUND_SLACK)
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! The fault soak: real instances as separate processes, faults from outside them, and the promises
-//! checked while they run, from what callers and backend servers see.
+//! Soak test with fault injection: runs instances as separate processes, injects faults from outside, and checks
+//! invariants against what callers and backend servers observe.
 
 mod callers;
 mod checks;
@@ -22,15 +22,15 @@
 fn main() -> ExitCode {
     let options = match Options::parse(std::env::args_os().skip(1).collect()) {
         Ok(options) => options,
-        Err(fault) => {
-            eprintln!("soak: {fault}\n\n{}", options::USAGE);
+        Err(error) => {
+            eprintln!("soak: {error}\n\n{}", options::USAGE);
             return ExitCode::from(2);
         }
     };
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        if let Err(fault) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
-            eprintln!("soak: cannot watch signals: {fault}");
+        if let Err(error) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
+            eprintln!("soak: cannot register a signal handler: {error}");
             return ExitCode::from(2);
         }
     }
@@ -39,12 +39,12 @@
         match run::run(seed, &options, &interrupted) {
             Ok(report) => {
                 println!("seed {seed}: {report}");
-                if !report.broken.is_empty() {
+                if !report.violations.is_empty() {
                     failed.push(seed);
                 }
             }
-            Err(fault) => {
-                println!("seed {seed}: not run: {fault:#}");
+            Err(error) => {
+                println!("seed {seed}: not run: {error:#}");
                 failed.push(seed);
             }
         }
--- a/soak/src/options.rs
+++ b/soak/src/options.rs
@@ -2,39 +2,39 @@
 
 use std::{ffi::OsString, ops::Range, time::Duration};
 
-/// How to call the soak.
+/// Usage text.
 pub(crate) const USAGE: &str =
     "soak [--seed N | --seeds A..B] [--seconds S] [--instances N] [--verbose]
 
-  --seed N       one run, everything drawn from N; also to replay a seed that failed
-  --seeds A..B   a run for each seed from A to B - 1 (as usual 1..4)
-  --seconds S    length of the faults of a run (as usual 12)
-  --instances N  instances in the fleet (as usual 4)
-  --verbose      print each fault as it happens
+  --seed N       one run whose random choices follow from N; also replays a failed seed
+  --seeds A..B   a run for each seed from A to B - 1 (default 1..4)
+  --seconds S    time in which faults are injected in a run (default 12)
+  --instances N  instances in the fleet (default 4)
+  --verbose      print each event as it is applied
 
-Logs of a run's processes are in target/soak/SEED/.";
+The processes of a run log to target/soak/SEED/.";
 
-/// Longest run: an hour of faults.
+/// Longest time in which faults are injected, in seconds.
 const SECONDS_MAX: u64 = 3600;
 
-/// Most instances: with their servers and callers a few hundred processes and threads.
+/// Maximum number of instances: with their servers and callers they make a few hundred processes and threads.
 const INSTANCES_MAX: usize = 100;
 
-/// What the command line asks for.
+/// Parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
-    /// Seeds to run.
+    /// Seeds, with one run each.
     pub(crate) seeds: Range<u64>,
-    /// Length of the faults of a run.
-    pub(crate) faults: Duration,
-    /// Instances.
+    /// Time in which faults are injected in a run.
+    pub(crate) fault_time: Duration,
+    /// Number of instances.
     pub(crate) instances: usize,
-    /// Whether faults are printed.
+    /// Whether events are printed.
     pub(crate) verbose: bool,
 }
 
 impl Options {
-    /// Reads the command line.
+    /// Parses the command line.
     pub(crate) fn parse(args: Vec<OsString>) -> anyhow::Result<Options> {
         let mut args = pico_args::Arguments::from_vec(args);
         let seed: Option<u64> = args.opt_value_from_str("--seed")?;
@@ -42,8 +42,8 @@
         let seconds: u64 = args.opt_value_from_str("--seconds")?.unwrap_or(12);
         let instances: usize = args.opt_value_from_str("--instances")?.unwrap_or(4);
         let verbose = args.contains("--verbose");
-        let rest = args.finish();
-        anyhow::ensure!(rest.is_empty(), "unknown option {rest:?}");
+        let unknown = args.finish();
+        anyhow::ensure!(unknown.is_empty(), "unknown option {unknown:?}");
         anyhow::ensure!((1..=SECONDS_MAX).contains(&seconds), "--seconds takes 1 to {SECONDS_MAX}");
         anyhow::ensure!(
             (1..=INSTANCES_MAX).contains(&instances),
@@ -62,6 +62,6 @@
             }
         };
         anyhow::ensure!(!seeds.is_empty(), "the range of seeds is empty");
-        Ok(Options { seeds, faults: Duration::from_secs(seconds), instances, verbose })
+        Ok(Options { seeds, fault_time: Duration::from_secs(seconds), instances, verbose })
     }
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose links can be delayed, cut one way, silenced or reset.
+//! A loopback TCP proxy that can delay, block (in one or both directions) or reset its connections.
 
 use std::{
     io::{Read, Write},
@@ -13,30 +13,30 @@
 
 use cartvane::utils::sync::lock;
 
-/// Pause between two looks at a link that lets nothing through.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a blocked connection checks the mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the link behaves.
+/// How the proxy treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Link {
-    /// It passes bytes on.
+pub(crate) enum LinkMode {
+    /// Forwards bytes.
     Open,
-    /// It passes them on this late.
+    /// Forwards bytes after this delay.
     Delayed(Duration),
-    /// It passes nothing back; bytes wait, as behind a partition.
+    /// Forwards no bytes to the client; they wait, as in a network partition.
     OneWay,
-    /// It passes nothing; bytes wait.
-    Silent,
-    /// Connections are closed, new ones too.
+    /// Forwards nothing; bytes wait.
+    Blocked,
+    /// Closes all connections, new ones as well.
     Reset,
 }
 
 struct Shared {
-    link: Mutex<Link>,
+    mode: Mutex<LinkMode>,
     target: Mutex<SocketAddr>,
-    /// Both ends of each connection, to reset them.
+    /// Both sockets of each connection, to shut them down.
     open: Mutex<Vec<TcpStream>>,
-    ended: AtomicBool,
+    closed: AtomicBool,
 }
 
 /// A running proxy.
@@ -46,43 +46,43 @@
 }
 
 impl Proxy {
-    /// Listens on a port of its own before `target`.
+    /// Listens on a free port and forwards connections to `target`.
     pub(crate) fn spawn(target: SocketAddr) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            link: Mutex::new(Link::Open),
+            mode: Mutex::new(LinkMode::Open),
             target: Mutex::new(target),
             open: Mutex::default(),
-            ended: AtomicBool::new(false),
+            closed: AtomicBool::new(false),
         });
         let accepting = Arc::clone(&shared);
         thread::Builder::new().name("proxy".to_owned()).spawn(move || {
-            for near in listener.incoming() {
-                if accepting.ended.load(Ordering::SeqCst) {
+            for client in listener.incoming() {
+                if accepting.closed.load(Ordering::SeqCst) {
                     return;
                 }
-                let Ok(near) = near else { continue };
-                connect(&accepting, near);
+                let Ok(client) = client else { continue };
+                connect(&accepting, client);
             }
         })?;
         Ok(Proxy { address, shared })
     }
 
-    /// Returns the address.
+    /// Returns the address that it listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how the link behaves.
-    pub(crate) fn set(&self, link: Link) {
-        *lock(&self.shared.link) = link;
-        if link == Link::Reset {
+    /// Changes the mode, for open connections as well.
+    pub(crate) fn set_mode(&self, mode: LinkMode) {
+        *lock(&self.shared.mode) = mode;
+        if mode == LinkMode::Reset {
             self.reset_all();
         }
     }
 
-    /// Leads to another target from now on; what was open is reset.
+    /// Forwards new connections to another target and closes the open ones.
     pub(crate) fn retarget(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
         self.reset_all();
@@ -90,7 +90,7 @@
 
     fn reset_all(&self) {
         for stream in lock(&self.shared.open).drain(..) {
-            // A connection that has ended needs no reset.
+            // Fails if the connection is closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -98,34 +98,34 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.shared.ended.store(true, Ordering::SeqCst);
+        self.shared.closed.store(true, Ordering::SeqCst);
         self.reset_all();
-        // The accept call returns for this connection and sees the end.
+        // Unblocks the accept call, which then sees that the proxy is closed.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
     }
 }
 
-fn connect(shared: &Arc<Shared>, near: TcpStream) {
-    if *lock(&shared.link) == Link::Reset {
+fn connect(shared: &Arc<Shared>, client: TcpStream) {
+    if *lock(&shared.mode) == LinkMode::Reset {
         return;
     }
     let target = *lock(&shared.target);
-    let Ok(far) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else { return };
-    let pair = [(&near, &far, false), (&far, &near, true)];
-    for (from, to, back) in pair {
+    let Ok(server) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else { return };
+    let pair = [(&client, &server, false), (&server, &client, true)];
+    for (from, to, is_response) in pair {
         let (Ok(from), Ok(to), Ok(kept)) = (from.try_clone(), to.try_clone(), from.try_clone())
         else {
             return;
         };
-        // Delays of small packets would hide the order of events.
+        // Nagle's algorithm would delay small packets and hide the order of events.
         let _ = to.set_nodelay(true);
         lock(&shared.open).push(kept);
         let shared = Arc::clone(shared);
-        thread::spawn(move || pump(&shared, from, to, back));
+        thread::spawn(move || forward(&shared, from, to, is_response));
     }
 }
 
-fn pump(shared: &Shared, mut from: TcpStream, mut to: TcpStream, back: bool) {
+fn forward(shared: &Shared, mut from: TcpStream, mut to: TcpStream, is_response: bool) {
     let mut buf = vec![0; 16 << 10];
     loop {
         let count = match from.read(&mut buf) {
@@ -133,31 +133,31 @@
             Ok(count) => count,
         };
         loop {
-            let link = *lock(&shared.link);
-            match link {
-                Link::Open => break,
-                Link::Delayed(time) => {
+            let mode = *lock(&shared.mode);
+            match mode {
+                LinkMode::Open => break,
+                LinkMode::Delayed(time) => {
                     thread::sleep(time);
                     break;
                 }
-                Link::OneWay if !back => break,
-                Link::Reset => return cut(&from, &to),
-                Link::OneWay | Link::Silent => thread::sleep(LOOK),
+                LinkMode::OneWay if !is_response => break,
+                LinkMode::Reset => return shut_down(&from, &to),
+                LinkMode::OneWay | LinkMode::Blocked => thread::sleep(POLL_INTERVAL),
             }
-            if shared.ended.load(Ordering::SeqCst) {
-                return cut(&from, &to);
+            if shared.closed.load(Ordering::SeqCst) {
+                return shut_down(&from, &to);
             }
         }
         if to.write_all(&buf[..count]).is_err() {
-            return cut(&from, &to);
+            return shut_down(&from, &to);
         }
     }
-    // The other direction goes on, as after a half close.
+    // Half-close: the other direction stays open.
     let _ = to.shutdown(Shutdown::Write);
 }
 
-fn cut(from: &TcpStream, to: &TcpStream) {
-    // Ends that are gone need no cutting.
+fn shut_down(from: &TcpStream, to: &TcpStream) {
+    // Fails if the connection is closed already.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, callers, the drawn events, and the checks at the end.
+//! One run: starts the fleet and the callers, applies random events, and checks the invariants.
 
 use std::{
     fmt,
@@ -18,40 +18,41 @@
 
 use crate::{
     callers::Callers,
-    checks::{Broken, Checks},
-    fleet::{Fleet, GRACE, IN_FORCE, KEY, LEAVING, send},
+    checks::{Checks, Violation},
+    fleet::{CONFIG_APPLY_TIME, DRAIN_TIME, Fleet, GRACE_PERIOD, KEY, send},
     load, notices,
     options::Options,
     plan::{self, Event},
-    proxy::Link,
+    proxy::LinkMode,
     rollouts,
 };
 
-/// Time after a return of the store in which operators and servers write again, in milliseconds.
-const WRITTEN_AGAIN_MS: std::ops::Range<u64> = 50..1200;
+/// Time between a restore of the store and the writes with which operators and servers restore their rows, in
+/// milliseconds.
+const REWRITE_DELAY_MS: std::ops::Range<u64> = 50..1200;
 
-/// Backend servers of a run.
+/// Number of backend servers in use at any time.
 const SERVERS: usize = 5;
 
-/// Callers for each instance.
+/// Number of callers for each instance.
 const CALLERS: usize = 4;
 
-/// Time without disturbance from which an instance's bounds hold.
-const CALM: Duration = Duration::from_millis(3000);
+/// Time without a disturbance after which the time bounds of an instance hold.
+const UNDISTURBED_TIME: Duration = Duration::from_millis(3000);
 
-/// Time in which all instances serve again when every fault is over.
-const RECOVERY: Duration = Duration::from_secs(8);
+/// Time within which all instances serve again after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time in which a started process has surely run its first lines.
-const START: Duration = Duration::from_millis(500);
+/// Time after which a started process has installed its signal handlers.
+const STARTUP_TIME: Duration = Duration::from_millis(500);
 
-/// Room for a busy machine, on top of each bound.
-pub(crate) const ROOM: Duration = Duration::from_millis(1500);
+/// Added to each time bound, because processes are scheduled late on a busy machine.
+pub(crate) const TOLERANCE: Duration = Duration::from_millis(1500);
 
-/// What came of a run.
+/// Result of a run.
 pub(crate) struct Report {
-    /// Broken promises.
-    pub(crate) broken: Vec<Broken>,
+    /// Violated invariants.
+    pub(crate) violations: Vec<Violation>,
     requests: u64,
     served: u64,
     events: usize,
@@ -61,10 +62,10 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} events, {} of {} requests served", self.events, self.served, self.requests)?;
-        for broken in &self.broken {
-            write!(f, "\n  BROKEN {broken}")?;
+        for violation in &self.violations {
+            write!(f, "\n  VIOLATED {violation}")?;
         }
-        if !self.broken.is_empty() {
+        if !self.violations.is_empty() {
             write!(f, "\n  logs: {}", self.logs)?;
         }
         Ok(())
@@ -82,62 +83,62 @@
         std::fs::remove_dir_all(&dir)?;
     }
     let mut rng = Rng::with_seed(seed);
-    let events = plan::draw(&mut rng, options.faults, options.instances, SERVERS);
-    let growth = plan::draw_growth(seed, options.faults);
+    let events = plan::random_events(&mut rng, options.fault_time, options.instances, SERVERS);
+    let growth = plan::random_growth(seed, options.fault_time);
     let mut events: Vec<(Duration, Event, Rng)> =
         events.into_iter().map(|(at, event)| (at, event, rng.fork())).collect();
     events.extend(growth.events.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let returns = plan::draw_returns(seed, options.faults);
-    events.extend(returns.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let notices = plan::draw_notices(seed, options.faults, SERVERS);
+    let restores = plan::random_restores(seed, options.fault_time);
+    events.extend(restores.into_iter().map(|(at, event)| (at, event, rng.fork())));
+    let notices = plan::random_notices(seed, options.fault_time, SERVERS);
     events.extend(notices.into_iter().map(|(at, event)| (at, event, rng.fork())));
-    let rollout = plan::draw_rollout(seed, options.faults);
+    let rollout = plan::random_rollout(seed, options.fault_time);
     events.extend(rollout.into_iter().map(|(at, event)| (at, event, rng.fork())));
     events.sort_by_key(|(at, ..)| *at);
     let fleet = Fleet::start(seed, options.instances, SERVERS, &dir)?;
-    fleet.store.set_link(growth.store_link);
+    fleet.store.set_link(growth.store_bytes_per_s);
     let checks = Arc::new(Checks::new());
-    wait_all_serve(&fleet, &checks, "a fleet that starts serves");
+    wait_until_serving(&fleet, &checks, "all instances serve after their start");
     let callers = Callers::spawn(options.instances * CALLERS, seed, &fleet, &checks);
-    let began = Instant::now();
-    let mut under_way = Vec::new();
+    let started_at = Instant::now();
+    let mut running_events = Vec::new();
     let count = events.len();
     for (at, event, rng) in events {
-        while began.elapsed() < at && !interrupted.load(Ordering::SeqCst) {
+        while started_at.elapsed() < at && !interrupted.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
         if interrupted.load(Ordering::SeqCst) {
             break;
         }
         if options.verbose {
-            println!("  {:6} ms {event:?}", began.elapsed().as_millis());
+            println!("  {:6} ms {event:?}", started_at.elapsed().as_millis());
         }
-        under_way.push(happen(event, &fleet, &checks, rng));
+        running_events.push(spawn_event(event, &fleet, &checks, rng));
     }
-    for event in under_way {
+    for event in running_events {
         if event.join().is_err() {
-            checks.broken("the soak itself works", "event", "a thread panicked");
+            checks.report_violation("the soak itself works", "event", "a thread panicked");
         }
     }
-    wait_all_serve(&fleet, &checks, "everything serves again when the faults are over");
-    check_in_calm(&fleet, &checks, interrupted);
+    wait_until_serving(&fleet, &checks, "all instances serve again after the last fault");
+    check_undisturbed(&fleet, &checks, interrupted);
     load::check(&fleet, &checks);
     callers.finish();
-    // Requests that were given up on end at their servers within their deadlines.
+    // Servers may still run requests whose callers have given up on them; they finish within their deadlines.
     thread::sleep(Duration::from_millis(500));
     checks.check_runs(&lock(&fleet.servers));
-    let (requests, served) = checks.counts();
+    let (requests, served) = checks.request_counts();
     let logs = dir.display().to_string();
-    Ok(Report { broken: checks.take(), requests, served, events: count, logs })
+    Ok(Report { violations: checks.take_violations(), requests, served, events: count, logs })
 }
 
-/// Lets an event happen in a thread of its own, so that events overlap.
-fn happen(event: Event, fleet: &Arc<Fleet>, checks: &Arc<Checks>, rng: Rng) -> JoinHandle<()> {
+/// Applies an event in a thread of its own, so that events overlap.
+fn spawn_event(event: Event, fleet: &Arc<Fleet>, checks: &Arc<Checks>, rng: Rng) -> JoinHandle<()> {
     let (fleet, checks) = (Arc::clone(fleet), Arc::clone(checks));
-    thread::spawn(move || act(event, &fleet, &checks, rng))
+    thread::spawn(move || apply_event(event, &fleet, &checks, rng))
 }
 
-fn act(event: Event, fleet: &Fleet, checks: &Checks, mut rng: Rng) {
+fn apply_event(event: Event, fleet: &Fleet, checks: &Checks, mut rng: Rng) {
     match event {
         Event::Terminate(number) => terminate(fleet, checks, number),
         Event::Kill(number, time) => {
@@ -146,7 +147,7 @@
             restart(fleet, checks, number);
         }
         Event::Freeze(number, time) => {
-            // Not under the instance's lock: it may be told to end while it stands still.
+            // Does not hold the instance's lock, so that a frozen process can receive other signals.
             send(&fleet.pids[number], Signal::STOP);
             thread::sleep(time);
             send(&fleet.pids[number], Signal::CONT);
@@ -158,43 +159,45 @@
             (0..fleet.instances.len()).for_each(|number| restart(fleet, checks, number));
         }
         Event::Store(mode, time) => {
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
             fleet.store.set_mode(mode);
             thread::sleep(time);
             fleet.store.set_mode(StoreMode::Up);
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
         }
-        Event::StoreLink(number, link, time) => {
-            lock(&fleet.instances[number]).store_link.set(link);
+        Event::StoreLink(number, mode, time) => {
+            lock(&fleet.instances[number]).store_proxy.set_mode(mode);
             lock(&fleet.instances[number]).note_disturbed();
             thread::sleep(time);
-            lock(&fleet.instances[number]).store_link.set(Link::Open);
+            lock(&fleet.instances[number]).store_proxy.set_mode(LinkMode::Open);
             lock(&fleet.instances[number]).note_disturbed();
         }
-        Event::ForgetHistory => {
-            fleet.disturb_store();
+        Event::ExpireHistory => {
+            fleet.note_store_disturbed();
             fleet.store.forget_history();
         }
-        Event::ComeBack(age) => {
+        Event::RestoreStore(age) => {
             let copy = fleet.store.copy();
             thread::sleep(age);
-            fleet.disturb_store();
+            fleet.note_store_disturbed();
             fleet.store.come_back(copy);
-            thread::sleep(Duration::from_millis(rng.u64(WRITTEN_AGAIN_MS)));
-            fleet.write_again();
-            fleet.disturb_store();
+            thread::sleep(Duration::from_millis(rng.u64(REWRITE_DELAY_MS)));
+            fleet.rewrite_all();
+            fleet.note_store_disturbed();
         }
-        Event::ServerLink(place, link, time) => {
-            fleet.disturb_place(place, link);
+        Event::ServerLink(endpoint, mode, time) => {
+            fleet.set_link_mode(endpoint, mode);
             thread::sleep(time);
-            fleet.disturb_place(place, Link::Open);
+            fleet.set_link_mode(endpoint, LinkMode::Open);
+        }
+        Event::AnnounceLeaving(endpoint) => notices::announce_leaving(fleet, checks, endpoint),
+        Event::AnnounceBackoff(endpoint, time, backoff) => {
+            notices::announce_backoff(fleet, checks, endpoint, time, backoff)
         }
-        Event::SayLeaving(place) => notices::say_leaving(fleet, checks, place),
-        Event::Refuse(place, time, backoff) => notices::refuse(fleet, checks, place, time, backoff),
         Event::RollOut => rollouts::roll_out(fleet, checks),
-        Event::Replace(place) => leave(fleet, checks, place),
-        Event::Crash(place) => replace(fleet, checks, place),
-        Event::ServerFaults(place) => {
+        Event::Replace(endpoint) => drain_server(fleet, checks, endpoint),
+        Event::Crash(endpoint) => replace_server(fleet, checks, endpoint),
+        Event::ServerFaults(endpoint) => {
             let faults = [
                 Fault::RefuseNotRun,
                 Fault::CloseAfterRun,
@@ -207,100 +210,112 @@
                 Fault::SilentAfter(2, Duration::from_millis(700)),
                 Fault::Late(Duration::from_millis(400)),
             ];
-            let drawn: Vec<Fault> = (0..6).map(|_| faults[rng.usize(..faults.len())]).collect();
-            fleet.faults(place, &drawn);
+            let random_faults: Vec<Fault> =
+                (0..6).map(|_| faults[rng.usize(..faults.len())]).collect();
+            fleet.inject_faults(endpoint, &random_faults);
         }
-        Event::Change(times) => change(fleet, checks, times),
-        Event::Grow(routes) => {
-            fleet.grow(routes);
-            change(fleet, checks, 1);
+        Event::ChangeIntent(times) => change_intent(fleet, checks, times),
+        Event::GrowIntent(routes) => {
+            fleet.add_idle_routes(routes);
+            change_intent(fleet, checks, 1);
         }
     }
 }
 
-/// Tells an instance to read its settings again, unless it has only just been started: until a
-/// program runs its first lines, the system's own answer to the signal is to end it.
+/// Has an instance reload its settings, unless it was started only just now: before the process has installed its
+/// handler, the default action of SIGHUP terminates it.
 fn reload(fleet: &Fleet, number: usize) {
     let mut instance = lock(&fleet.instances[number]);
-    if instance.disturbed.elapsed() > START {
+    if instance.disturbed_at.elapsed() > STARTUP_TIME {
         instance.signal(Signal::HUP);
     }
 }
 
 fn terminate(fleet: &Fleet, checks: &Checks, number: usize) {
-    // The lock is held while the process ends: nothing else is done to it, but for what others
-    // have begun before.
+    // Holds the lock until the process exits, so that no other event except one that already runs affects it.
     let mut instance = lock(&fleet.instances[number]);
     instance.signal(Signal::TERM);
-    if !instance.wait(GRACE + plan::LENGTH_MAX + ROOM) {
-        checks.broken("an instance ends within the grace time", &format!("edge-{number}"), "runs");
+    if !instance.wait(GRACE_PERIOD + plan::FAULT_TIME_MAX + TOLERANCE) {
+        checks.report_violation(
+            "an instance exits within the grace period",
+            &format!("edge-{number}"),
+            "still running",
+        );
         instance.kill();
     }
-    if let Err(fault) = instance.start() {
-        checks.broken("the soak itself works", "start", fault.to_string());
+    if let Err(error) = instance.start() {
+        checks.report_violation("the soak itself works", "start", error.to_string());
     }
 }
 
 fn restart(fleet: &Fleet, checks: &Checks, number: usize) {
     let mut instance = lock(&fleet.instances[number]);
     instance.kill();
-    if let Err(fault) = instance.start() {
-        checks.broken("the soak itself works", "start", fault.to_string());
+    if let Err(error) = instance.start() {
+        checks.report_violation("the soak itself works", "start", error.to_string());
     }
 }
 
-pub(crate) fn replace(fleet: &Fleet, checks: &Checks, place: usize) {
-    if let Err(fault) = fleet.replace(place) {
-        checks.broken("the soak itself works", "replace", fault.to_string());
+pub(crate) fn replace_server(fleet: &Fleet, checks: &Checks, endpoint: usize) {
+    if let Err(error) = fleet.replace_server(endpoint) {
+        checks.report_violation("the soak itself works", "replace", error.to_string());
     }
 }
 
-/// A server says that it leaves; once that must be known, nothing more may arrive there.
-fn leave(fleet: &Fleet, checks: &Checks, place: usize) {
-    let said = Instant::now();
-    fleet.list(place, "draining");
-    thread::sleep(LEAVING + ROOM);
-    let (id, before) = fleet.arrivals(place);
+/// Marks a server's entry as draining and checks that no request arrives there once the drain time has passed.
+fn drain_server(fleet: &Fleet, checks: &Checks, endpoint: usize) {
+    let since = Instant::now();
+    fleet.write_entry(endpoint, "draining");
+    thread::sleep(DRAIN_TIME + TOLERANCE);
+    let (id, before) = fleet.arrivals(endpoint);
     thread::sleep(Duration::from_millis(700));
-    let (still, after) = fleet.arrivals(place);
+    let (still, after) = fleet.arrivals(endpoint);
     if id == still {
-        // The caller's id of a request names the instance that it was sent to.
+        // A request id contains the number of the instance that the caller sent it to.
         for request in &after[before.len()..] {
             let number = request.rsplit_once("-i").and_then(|(_, number)| number.parse().ok());
-            if number.is_some_and(|number| is_calm(fleet, number, said)) {
-                checks.broken("a leaving server gets nothing new", request, format!("at {id}"));
+            if number.is_some_and(|number| is_undisturbed(fleet, number, since)) {
+                checks.report_violation(
+                    "a draining server receives no new requests",
+                    request,
+                    format!("at {id}"),
+                );
             }
         }
     }
-    replace(fleet, checks, place);
+    replace_server(fleet, checks, endpoint);
 }
 
-/// The intent changes; once that must be in force, calm instances serve by it and not by the one
-/// before.
-fn change(fleet: &Fleet, checks: &Checks, times: u32) {
-    let said = Instant::now();
+/// Changes the intent and checks that, after the time for applying it, undisturbed instances serve the new version
+/// and not the one before.
+fn change_intent(fleet: &Fleet, checks: &Checks, times: u32) {
+    let since = Instant::now();
     let mut version = 0;
     for _ in 0..times {
-        version = fleet.change();
+        version = fleet.change_intent();
         thread::sleep(Duration::from_millis(60));
     }
-    thread::sleep(IN_FORCE + ROOM);
+    thread::sleep(CONFIG_APPLY_TIME + TOLERANCE);
     for number in 0..fleet.instances.len() {
         let new = probe(fleet, number, version);
         let old = probe(fleet, number, version - 1);
-        if *lock(&fleet.version) != version || !is_calm(fleet, number, said) {
+        if *lock(&fleet.version) != version || !is_undisturbed(fleet, number, since) {
             continue;
         }
         if new == 404 || old == 200 {
-            let seen = format!("version {version}: new {new}, old {old}");
-            checks.broken("a change is in force in time", &format!("edge-{number}"), seen);
+            let observed = format!("version {version}: new {new}, old {old}");
+            checks.report_violation(
+                "an intent change is applied in time",
+                &format!("edge-{number}"),
+                observed,
+            );
         }
     }
 }
 
 fn probe(fleet: &Fleet, number: usize, version: u64) -> u16 {
     let Ok(instance) = fleet.instances[number].try_lock() else { return 0 };
-    let address = instance.callers;
+    let address = instance.frontend;
     drop(instance);
     let call = Call {
         timeout: Duration::from_secs(3),
@@ -309,27 +324,27 @@
     call.with("x-request-id", format!("probe-{number}-{version}")).send(address).status
 }
 
-/// Returns whether nothing has been done to the store and an instance from a little before `since`.
-fn is_calm(fleet: &Fleet, number: usize, since: Instant) -> bool {
+/// Returns whether the store and an instance were undisturbed for [`UNDISTURBED_TIME`] before `since` and ever since.
+fn is_undisturbed(fleet: &Fleet, number: usize, since: Instant) -> bool {
     let Ok(instance) = fleet.instances[number].try_lock() else { return false };
-    let calm = |at: Instant| at + CALM < since;
-    calm(instance.disturbed) && calm(*lock(&fleet.store_disturbed))
+    let undisturbed = |at: Instant| at + UNDISTURBED_TIME < since;
+    undisturbed(instance.disturbed_at) && undisturbed(*lock(&fleet.store_disturbed_at))
 }
 
-/// Waits until every instance serves requests of its own.
-fn wait_all_serve(fleet: &Fleet, checks: &Checks, promise: &'static str) {
-    let until = Instant::now() + RECOVERY + ROOM;
+/// Waits until every instance serves a request; reports a violation if that takes too long.
+fn wait_until_serving(fleet: &Fleet, checks: &Checks, invariant: &'static str) {
+    let deadline = Instant::now() + RECOVERY_TIMEOUT + TOLERANCE;
     for (number, instance) in fleet.instances.iter().enumerate() {
-        let address = lock(instance).callers;
+        let address = lock(instance).frontend;
         let mut status = 0;
         while status != 200 {
             let call =
                 Call { timeout: Duration::from_secs(2), ..Call::post("/idem/", KEY, "probe") };
             status = call.with("x-request-id", "probe").send(address).status;
-            if Instant::now() >= until {
-                let ended = lock(instance).ended();
-                let seen = format!("status {status}, ended {ended:?}");
-                checks.broken(promise, &format!("edge-{number}"), seen);
+            if Instant::now() >= deadline {
+                let exited = lock(instance).exit_status();
+                let observed = format!("status {status}, exit {exited:?}");
+                checks.report_violation(invariant, &format!("edge-{number}"), observed);
                 return;
             }
             thread::sleep(Duration::from_millis(50));
@@ -337,15 +352,21 @@
     }
 }
 
-/// Changes the intent and lets a server leave once more, when nothing else happens: then the bounds
+/// Changes the intent and announces that servers leave or back off while no other event runs: then the time bounds
 /// hold for every instance.
-fn check_in_calm(fleet: &Fleet, checks: &Checks, interrupted: &AtomicBool) {
-    thread::sleep(CALM + Duration::from_millis(100));
+fn check_undisturbed(fleet: &Fleet, checks: &Checks, interrupted: &AtomicBool) {
+    thread::sleep(UNDISTURBED_TIME + Duration::from_millis(100));
     if interrupted.load(Ordering::SeqCst) {
         return;
     }
-    change(fleet, checks, 1);
-    leave(fleet, checks, 0);
-    notices::refuse(fleet, checks, 0, Duration::from_millis(800), Duration::from_millis(2000));
-    notices::say_leaving(fleet, checks, 0);
+    change_intent(fleet, checks, 1);
+    drain_server(fleet, checks, 0);
+    notices::announce_backoff(
+        fleet,
+        checks,
+        0,
+        Duration::from_millis(800),
+        Duration::from_millis(2000),
+    );
+    notices::announce_leaving(fleet, checks, 0);
 }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -8,7 +8,7 @@
 use super::{Command, CommandError, CommandResult, Options, options::print_json};
 use crate::{
     context::Context,
-    report::{Story, Summary, chart},
+    report::{RequestTrace, Summary, chart},
 };
 
 pub(super) const COMMAND: Command = Command {
@@ -37,7 +37,7 @@
         return print_request(&id, &files, json);
     }
     let mut summary = Summary::default();
-    each_line(&files, |line| summary.take(line))?;
+    each_line(&files, |line| summary.add_line(line))?;
     if let Some(path) = svg {
         let picture = chart::svg(&summary).map_err(|e| CommandError::Refused(e.to_string()))?;
         fs::write(&path, picture).map_err(|e| {
@@ -54,9 +54,9 @@
 }
 
 fn print_request(id: &str, files: &[String], json: bool) -> CommandResult {
-    let mut story = Story::new(id);
-    each_line(files, |line| story.take(line))?;
-    let lines = story.lines();
+    let mut trace = RequestTrace::new(id);
+    each_line(files, |line| trace.add_line(line))?;
+    let lines = trace.lines();
     if lines.is_empty() {
         return Err(CommandError::Refused(format!(
             "no log line of request {id} found; pass the logs of all instances, and the id as the caller sent it"
--- a/src/cli/router.rs
+++ b/src/cli/router.rs
@@ -48,7 +48,7 @@
     }
     let settings = Settings::parse(&text, cx)
         .map_err(|errors| CommandError::Refused(format!("{path} is invalid:\n{errors}")))?;
-    let started = logging::start(&settings.logging, settings.id.as_str(), cx.clock.clone());
+    let started = logging::init(&settings.logging, settings.id.as_str(), cx.clock.clone());
     started.map_err(|e| CommandError::Refused(e.to_string()))?;
     serve(settings, cx)
 }
--- a/src/instance/requests/entry.rs
+++ b/src/instance/requests/entry.rs
@@ -112,7 +112,7 @@
     let keep_alive = head.keep_alive() && !shared.drain.is_draining();
     let head_only = head.method == Method::HEAD;
     let service_name = split_target(&head.target).0.to_owned();
-    shared.metrics.request_began();
+    shared.metrics.request_started();
     let admission = admit(shared, conn, head, &id, received_at);
     let team = admission
         .as_ref()
@@ -138,7 +138,7 @@
     match result {
         ForwardResult::Responded { status, outcome, reusable, server } => {
             let took = shared.clock.now() - received_at;
-            shared.metrics.request_ended(&service_name, status, outcome, took);
+            shared.metrics.request_finished(&service_name, status, outcome, took);
             let server = server.map_or_else(|| "-".to_owned(), |id| id.to_string());
             log::info!(
                 "request id={id} service={service_name} team={team} backend_server={server} status={status} outcome={outcome} ms={}",
@@ -172,7 +172,7 @@
         let is_configured =
             shared.snapshot.load().as_ref().is_some_and(|s| s.service(service).is_some());
         let label = if is_configured { service } else { "-" };
-        shared.metrics.request_ended(label, refusal.status, refusal.outcome, took);
+        shared.metrics.request_finished(label, refusal.status, refusal.outcome, took);
     }
     log::info!(
         "refused id={id} service={service} status={} outcome={} title={:?} ms={}",
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, shown in the Prometheus text format.
+//! Metrics recorded with `opentelemetry` and exposed in the Prometheus text format.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     names::{BackendId, ServiceId, ServiceName},
 };
 
-/// Bounds of latency histograms, in seconds.
+/// Upper bounds of the buckets of latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 14] =
     [0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0];
 
@@ -23,13 +23,13 @@
     requests: Counter<u64>,
     in_flight: UpDownCounter<i64>,
     first_byte: Histogram<f64>,
-    total: Histogram<f64>,
-    decision: Histogram<f64>,
+    request_time: Histogram<f64>,
+    permit_time: Histogram<f64>,
     attempts: Counter<u64>,
     retries: Counter<u64>,
-    permits: Counter<u64>,
-    dropped_answers: Counter<u64>,
-    resumed: Counter<u64>,
+    permit_replies: Counter<u64>,
+    dropped_responses: Counter<u64>,
+    streams_resumed: Counter<u64>,
     control_bytes: Counter<u64>,
     control_messages: Counter<u64>,
     engine_load: Gauge<u64>,
@@ -53,21 +53,21 @@
     rollout_share: Gauge<f64>,
 }
 
-/// The instance's metrics; clones share them.
+/// The metrics of an instance; clones share them.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
     // Keeps the reader alive.
     _provider: SdkMeterProvider,
-    i: Arc<Instruments>,
+    instruments: Arc<Instruments>,
 }
 
-fn kv(key: &'static str, value: impl ToString) -> KeyValue {
+fn label(key: &'static str, value: impl ToString) -> KeyValue {
     KeyValue::new(key, value.to_string())
 }
 
 impl Metrics {
-    /// Returns fresh metrics with a registry of their own.
+    /// Returns new metrics with their own registry.
     ///
     /// # Errors
     ///
@@ -81,22 +81,22 @@
             .build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("cartvane");
-        let latency = |name: &'static str, what: &'static str| {
+        let latency = |name: &'static str, description: &'static str| {
             let bounds = LATENCY_BOUNDS.to_vec();
             meter
                 .f64_histogram(name)
                 .with_unit("s")
-                .with_description(what)
+                .with_description(description)
                 .with_boundaries(bounds)
                 .build()
         };
-        let counter = |name: &'static str, what: &'static str| {
-            meter.u64_counter(name).with_description(what).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter.u64_counter(name).with_description(description).build()
         };
-        let gauge = |name: &'static str, what: &'static str| {
-            meter.u64_gauge(name).with_description(what).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
-        let i = Instruments {
+        let instruments = Instruments {
             requests: counter(
                 "cartvane_requests",
                 "Requests ended, by service, status and outcome",
@@ -106,16 +106,19 @@
                 "cartvane_first_byte",
                 "From a request's end to its answer's first byte",
             ),
-            total: latency("cartvane_request", "From a request's end to its answer's end"),
-            decision: latency("cartvane_permit", "From an ask to its reply"),
+            request_time: latency("cartvane_request", "From a request's end to its answer's end"),
+            permit_time: latency("cartvane_permit", "From an ask to its reply"),
             attempts: counter("cartvane_attempts", "Attempts at backend servers, by result"),
             retries: counter("cartvane_retries", "Attempts after the first, by service"),
-            permits: counter("cartvane_permit_replies", "Replies of homes to this entry, by kind"),
-            dropped_answers: counter(
+            permit_replies: counter(
+                "cartvane_permit_replies",
+                "Replies of homes to this entry, by kind",
+            ),
+            dropped_responses: counter(
                 "cartvane_answers_dropped",
                 "Answers that belong to another attempt",
             ),
-            resumed: counter(
+            streams_resumed: counter(
                 "cartvane_streams_resumed",
                 "Streams resumed after their connection was lost",
             ),
@@ -192,36 +195,37 @@
                 "Answers in which a backend server said something of itself, by service and notice",
             ),
         };
-        Ok(Metrics { registry, _provider: provider, i: Arc::new(i) })
+        Ok(Metrics { registry, _provider: provider, instruments: Arc::new(instruments) })
     }
 
-    /// Returns all metrics in the Prometheus text format, those with few rows first: of a text that its
-    /// collector cuts, what is lost then is loads by backend server, not the instance's own state.
+    /// Returns all metrics in the Prometheus text format, those with few series first: a collector that truncates the
+    /// text then loses loads of backend servers, not the instance's own state.
     pub fn text(&self) -> String {
         let mut families = self.registry.gather();
         families.sort_by_key(|family| family.get_metric().len());
         TextEncoder::new().encode_to_string(&families).unwrap_or_default()
     }
 
-    /// Notes that a request began.
-    pub fn request_began(&self) {
-        self.i.in_flight.add(1, &[]);
+    /// Counts a request as in flight.
+    pub fn request_started(&self) {
+        self.instruments.in_flight.add(1, &[]);
     }
 
-    /// Notes that a request ended.
-    pub fn request_ended(&self, service: &str, status: u16, outcome: Outcome, took: Duration) {
-        self.i.in_flight.add(-1, &[]);
-        let labels = [kv("service", service), kv("status", status), kv("outcome", outcome)];
-        self.i.requests.add(1, &labels);
-        self.i.total.record(took.as_secs_f64(), &[kv("service", service)]);
+    /// Counts a finished request and records its duration.
+    pub fn request_finished(&self, service: &str, status: u16, outcome: Outcome, took: Duration) {
+        self.instruments.in_flight.add(-1, &[]);
+        let labels =
+            [label("service", service), label("status", status), label("outcome", outcome)];
+        self.instruments.requests.add(1, &labels);
+        self.instruments.request_time.record(took.as_secs_f64(), &[label("service", service)]);
     }
 
-    /// Notes the time to an answer's first byte.
+    /// Records the time to the first byte of a response.
     pub fn first_byte(&self, service: &impl fmt::Display, took: Duration) {
-        self.i.first_byte.record(took.as_secs_f64(), &[kv("service", service)]);
+        self.instruments.first_byte.record(took.as_secs_f64(), &[label("service", service)]);
     }
 
-    /// Notes an attempt's result.
+    /// Counts an attempt by its fault, or as answered if there was none.
     pub fn attempt(&self, service: &impl fmt::Display, fault: Option<AttemptFault>) {
         let result = fault.map_or("answered", |fault| match fault {
             AttemptFault::Connect => "connect",
@@ -236,134 +240,136 @@
             AttemptFault::StalledBody => "stalled-body",
             AttemptFault::CallerGone => "caller-gone",
         });
-        self.i.attempts.add(1, &[kv("service", service), kv("result", result)]);
+        self.instruments.attempts.add(1, &[label("service", service), label("result", result)]);
         if fault == Some(AttemptFault::Foreign) {
-            self.i.dropped_answers.add(1, &[kv("service", service)]);
+            self.instruments.dropped_responses.add(1, &[label("service", service)]);
         }
     }
 
-    /// Notes a retry.
+    /// Counts a retry.
     pub fn retry(&self, service: &impl fmt::Display) {
-        self.i.retries.add(1, &[kv("service", service)]);
+        self.instruments.retries.add(1, &[label("service", service)]);
     }
 
-    /// Notes a resumed stream.
-    pub fn resumed(&self, service: &impl fmt::Display) {
-        self.i.resumed.add(1, &[kv("service", service)]);
+    /// Counts a resumed stream.
+    pub fn stream_resumed(&self, service: &impl fmt::Display) {
+        self.instruments.streams_resumed.add(1, &[label("service", service)]);
     }
 
-    /// Notes a home's reply and the time it took.
+    /// Counts a home's reply to a permit request and records the time it took.
     pub fn permit_reply(&self, kind: &'static str, took: Duration) {
-        self.i.permits.add(1, &[kv("reply", kind)]);
-        self.i.decision.record(took.as_secs_f64(), &[]);
+        self.instruments.permit_replies.add(1, &[label("reply", kind)]);
+        self.instruments.permit_time.record(took.as_secs_f64(), &[]);
     }
 
-    /// Returns what counts control bytes into these metrics.
+    /// Returns a counter that adds control traffic to these metrics.
     pub fn traffic(&self) -> TrafficCounter {
-        let counted = Arc::clone(&self.i);
+        let instruments = Arc::clone(&self.instruments);
         TrafficCounter::new(move |purpose, direction, bytes| {
-            let labels = [kv("purpose", purpose.name()), kv("direction", direction.name())];
-            counted.control_bytes.add(bytes as u64, &labels);
+            let labels = [label("purpose", purpose.name()), label("direction", direction.name())];
+            instruments.control_bytes.add(bytes as u64, &labels);
             if direction == Direction::Sent {
-                counted.control_messages.add(1, &[kv("purpose", purpose.name())]);
+                instruments.control_messages.add(1, &[label("purpose", purpose.name())]);
             }
         })
     }
 
-    /// Shows an engine's load.
+    /// Sets the load of an engine.
     pub fn engine_load(&self, server: &BackendId, load: u32) {
-        self.i.engine_load.record(u64::from(load), &[kv("backend_server", server)]);
+        self.instruments.engine_load.record(u64::from(load), &[label("backend_server", server)]);
     }
 
-    /// Shows the bound and queue of a service's shard.
+    /// Sets the load bound and the queue length of a service's shard.
     pub fn shard(&self, service: &ServiceId, bound: u32, queued: usize) {
-        let labels = [kv("service", service)];
-        self.i.load_bound.record(u64::from(bound), &labels);
-        self.i.queued.record(queued as u64, &labels);
+        let labels = [label("service", service)];
+        self.instruments.load_bound.record(u64::from(bound), &labels);
+        self.instruments.queued.record(queued as u64, &labels);
     }
 
-    /// Shows the revision in force.
+    /// Sets the active revision.
     pub fn revision(&self, revision: u64) {
-        self.i.revision.record(revision, &[]);
+        self.instruments.revision.record(revision, &[]);
     }
 
-    /// Shows the newest revision that is known to exist.
+    /// Sets the newest revision that the instance has learned of.
     pub fn revision_newest(&self, revision: u64) {
-        self.i.revision_newest.record(revision, &[]);
+        self.instruments.revision_newest.record(revision, &[]);
     }
 
-    /// Shows the number of shards whose home this is.
+    /// Sets the number of shards whose home this instance is.
     pub fn homes(&self, count: usize) {
-        self.i.homes.record(count as u64, &[]);
+        self.instruments.homes.record(count as u64, &[]);
     }
 
-    /// Notes a claim's verdict.
+    /// Counts a claim of an idempotency key by its verdict.
     pub fn claim(&self, verdict: &'static str) {
-        self.i.claims.add(1, &[kv("verdict", verdict)]);
+        self.instruments.claims.add(1, &[label("verdict", verdict)]);
     }
 
-    /// Notes a call to the platform's store.
+    /// Counts a call to the platform's store by kind and result.
     pub fn store_call(&self, kind: &'static str, result: &'static str) {
-        self.i.store_calls.add(1, &[kv("kind", kind), kv("result", result)]);
+        self.instruments.store_calls.add(1, &[label("kind", kind), label("result", result)]);
     }
 
-    /// Shows how old what is believed is.
+    /// Sets the time since the instance's information on a subject was known to be current.
     pub fn knowledge_age(&self, subject: &'static str, age: Duration) {
-        self.i.knowledge_age.record(age.as_secs_f64(), &[kv("subject", subject)]);
+        self.instruments.knowledge_age.record(age.as_secs_f64(), &[label("subject", subject)]);
     }
 
-    /// Shows the repeats spent in the retry window.
-    pub fn budget_spent(&self, service: &impl fmt::Display, repeats: usize) {
-        self.i.budget_spent.record(repeats as u64, &[kv("service", service)]);
+    /// Sets the number of retries of a service in the retry window.
+    pub fn budget_spent(&self, service: &impl fmt::Display, retries: usize) {
+        self.instruments.budget_spent.record(retries as u64, &[label("service", service)]);
     }
 
-    /// Shows how many requests are held back.
+    /// Sets the number of held requests.
     pub fn held_requests(&self, count: usize) {
-        self.i.held_requests.record(count as u64, &[]);
+        self.instruments.held_requests.record(count as u64, &[]);
     }
 
-    /// Notes whether a cold server took a request.
+    /// Counts a request that would have gone to a cold server, by whether the server took it.
     pub fn cold_permit(&self, service: &impl fmt::Display, result: &'static str) {
-        self.i.cold_permits.add(1, &[kv("service", service), kv("result", result)]);
+        self.instruments.cold_permits.add(1, &[label("service", service), label("result", result)]);
     }
 
-    /// Shows how many backend servers are cold.
+    /// Sets the number of cold backend servers.
     pub fn cold_servers(&self, count: usize) {
-        self.i.cold_servers.record(count as u64, &[]);
+        self.instruments.cold_servers.record(count as u64, &[]);
     }
 
-    /// Shows how many zones are emptied.
+    /// Sets the number of evacuated availability zones.
     pub fn evacuated_zones(&self, count: usize) {
-        self.i.evacuated_zones.record(count as u64, &[]);
+        self.instruments.evacuated_zones.record(count as u64, &[]);
     }
 
-    /// Shows the share of a service's requests that goes to a version which is rolled out.
+    /// Sets the share of a service's requests that goes to the version that is being rolled out.
     pub fn rollout_share(&self, service: &ServiceName, share: f64) {
-        self.i.rollout_share.record(share, &[kv("service", service)]);
+        self.instruments.rollout_share.record(share, &[label("service", service)]);
     }
 
-    /// Shows the store's era.
+    /// Sets the store's era.
     pub fn store_era(&self, era: u64) {
-        self.i.store_era.record(era, &[]);
+        self.instruments.store_era.record(era, &[]);
     }
 
-    /// Notes a request that was refused without being sent.
+    /// Counts a request that was rejected before it was sent to a backend server.
     pub fn refusal(&self, service: &impl fmt::Display, reason: &'static str) {
-        self.i.refusals.add(1, &[kv("service", service), kv("reason", reason)]);
+        self.instruments.refusals.add(1, &[label("service", service), label("reason", reason)]);
     }
 
-    /// Notes an answer in which a backend server said that it leaves, or wants no requests for a while.
+    /// Counts a response in which a backend server announced that it leaves or asked for a backoff.
     pub fn server_notice(&self, service: &impl fmt::Display, notice: &'static str) {
-        self.i.server_notices.add(1, &[kv("service", service), kv("notice", notice)]);
+        self.instruments
+            .server_notices
+            .add(1, &[label("service", service), label("notice", notice)]);
     }
 
-    /// Notes log lines that were left out.
+    /// Counts dropped log lines.
     pub fn log_lines_left_out(&self, count: u64) {
-        self.i.log_lines_left_out.add(count, &[]);
+        self.instruments.log_lines_left_out.add(count, &[]);
     }
 
-    /// Shows the requests in flight at a backend server.
+    /// Sets the number of this instance's requests in flight at a backend server.
     pub fn in_flight_at(&self, server: &impl fmt::Display, count: u32) {
-        self.i.engine_load.record(u64::from(count), &[kv("backend_server", server)]);
+        self.instruments.engine_load.record(u64::from(count), &[label("backend_server", server)]);
     }
 }
--- a/src/report/chart.rs
+++ b/src/report/chart.rs
@@ -1,16 +1,17 @@
-//! Requests over time as a picture, with the moments at which something changed in belief.
+//! An SVG chart of requests over time, with marks at notable changes of state.
 
 use plotters::prelude::*;
 
 use super::{Summary, line::Ending};
 
-/// Size of the picture, in pixels.
+/// Width and height of the chart, in pixels.
 const SIZE: (u32, u32) = (1200, 480);
 
-/// Events of belief that are marked: those that tell of trouble.
-const MARKED: [&str; 6] =
+/// Changes of state that are marked in the chart: starts, and failures of the store, servers, peers or requests.
+const MARKED_EVENTS: [&str; 6] =
     ["started", "store_lost", "server_silent", "server_gone", "peer_silent", "request_found"];
 
+/// Line colours, in the order of [`Ending::ALL`].
 const COLOURS: [RGBColor; Ending::ALL.len()] = [
     RGBColor(60, 140, 80),
     RGBColor(220, 160, 40),
@@ -19,36 +20,37 @@
     RGBColor(150, 150, 150),
 ];
 
-/// Why there is no picture.
+/// Why a chart cannot be made.
 #[derive(Debug, thiserror::Error)]
-pub enum ChartFault {
-    /// The lines tell of no request.
-    #[error("no line tells of a request; give the logs of instances that had some")]
+pub enum ChartError {
+    /// No log line is about a request.
+    #[error("the logs contain no request; pass the logs of instances that received requests")]
     Empty,
-    /// It could not be drawn.
-    #[error("the picture could not be drawn: {0}")]
+    /// The drawing library failed.
+    #[error("the chart could not be drawn: {0}")]
     Drawing(String),
 }
 
-/// Returns requests a second by ending as an SVG picture.
+/// Returns an SVG chart of the requests per second by ending.
 ///
 /// # Errors
 ///
-/// There are no requests, or the drawing fails.
-pub fn svg(summary: &Summary) -> Result<String, ChartFault> {
+/// The summary has no requests, or the drawing fails.
+pub fn svg(summary: &Summary) -> Result<String, ChartError> {
     let seconds: Vec<(&str, [u64; Ending::ALL.len()])> =
         summary.seconds().map(|(second, counts)| (second, *counts)).collect();
-    let most = seconds.iter().flat_map(|(_, counts)| counts).copied().max();
-    let most = most.ok_or(ChartFault::Empty)?;
+    let max_count = seconds.iter().flat_map(|(_, counts)| counts).copied().max();
+    let max_count = max_count.ok_or(ChartError::Empty)?;
     let mut text = String::new();
-    draw(summary, &seconds, most, &mut text).map_err(|e| ChartFault::Drawing(e.to_string()))?;
+    draw(summary, &seconds, max_count, &mut text)
+        .map_err(|e| ChartError::Drawing(e.to_string()))?;
     Ok(text)
 }
 
 fn draw(
     summary: &Summary,
     seconds: &[(&str, [u64; Ending::ALL.len()])],
-    most: u64,
+    max_count: u64,
     text: &mut String,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
@@ -57,7 +59,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d(0..seconds.len().max(1), 0..most + 1)?;
+        .build_cartesian_2d(0..seconds.len().max(1), 0..max_count + 1)?;
     let name = |at: &usize| {
         seconds.get(*at).map_or(String::new(), |(s, _)| s[11.min(s.len())..].to_owned())
     };
@@ -75,13 +77,14 @@
             .label(ending.name())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
     }
-    let marked = summary.beliefs().filter(|(_, event, _)| MARKED.contains(event));
+    let marked = summary.state_changes().filter(|(_, event, _)| MARKED_EVENTS.contains(event));
     for (second, event, _) in marked {
         let Ok(at) = seconds.binary_search_by(|(known, _)| (*known).cmp(second)) else { continue };
-        let line = PathElement::new([(at, 0), (at, most + 1)], BLACK.mix(0.25));
+        let line = PathElement::new([(at, 0), (at, max_count + 1)], BLACK.mix(0.25));
         chart.draw_series([line])?;
-        let place = MARKED.iter().position(|marked| *marked == event).unwrap_or(0) as u64;
-        let height = most.saturating_sub(place * most / 12);
+        let label_index =
+            MARKED_EVENTS.iter().position(|marked| *marked == event).unwrap_or(0) as u64;
+        let height = max_count.saturating_sub(label_index * max_count / 12);
         chart.draw_series([Text::new(event.to_owned(), (at, height), ("sans-serif", 11))])?;
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,12 +1,12 @@
-//! What the log lines of any number of instances say together: requests by route and result, attempts that
-//! failed, and what changed in belief, on one time line.
+//! Summary of the log lines of any number of instances: requests by route and result, failed attempts, and changes of
+//! state over time.
 
 pub mod chart;
+pub mod durations;
 pub mod line;
-pub mod story;
+pub mod request_trace;
 pub mod summary;
-pub mod times;
 
 pub use line::LogLine;
-pub use story::Story;
+pub use request_trace::RequestTrace;
 pub use summary::Summary;
